--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink lets the bench drive the decision module: batches on standard input, a reply to each on
+// Command simadapter lets the bench drive the decision module: batches on standard input, a reply to each on
 // standard output, one decide.Router for each instance.
 package main
 
@@ -14,7 +14,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
