--- a/cmd/merlinlab/demo.go
+++ b/cmd/faultsim/demo.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/lab"
+	"merlinjunction/internal/faultsim"
 )
 
 // demoExperiment is played by demo.
@@ -21,7 +21,7 @@
 	cmd := &cobra.Command{
 		Use: "demo", Short: "Three gateways, five stand-in hosts and a load for ten seconds; one gateway is killed on the way", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			e, err := lab.ParseExperiment("demo.toml", demoExperiment)
+			e, err := faultsim.ParseExperiment("demo.toml", demoExperiment)
 			if err != nil {
 				return err
 			}
@@ -31,7 +31,7 @@
 			}
 			r := results[0]
 			if o.report != "" {
-				if err := (&lab.Report{Title: "demo", About: e.About, Results: results}).Write(o.report); err != nil {
+				if err := (&faultsim.Report{Title: "demo", About: e.About, Results: results}).Write(o.report); err != nil {
 					return err
 				}
 			}
@@ -65,7 +65,7 @@
 	cmd := &cobra.Command{
 		Use: "compare A B", Short: "Put two reports side by side", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			rows, err := lab.Compare(args[0], args[1], dir)
+			rows, err := faultsim.Compare(args[0], args[1], dir)
 			if err != nil {
 				return err
 			}
--- a/cmd/merlinlab/main.go
+++ b/cmd/faultsim/main.go
@@ -1,4 +1,4 @@
-// Command merlinlab is the laboratory: it plays experiments on a fleet of gateways.
+// Command faultsim is the laboratory: it plays experiments on a fleet of gateways.
 package main
 
 import (
@@ -17,12 +17,12 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/lab"
+	"merlinjunction/internal/faultsim"
 )
 
 func main() {
 	if err := root().Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "merlinlab:", err)
+		fmt.Fprintln(os.Stderr, "faultsim:", err)
 		os.Exit(1)
 	}
 }
@@ -32,7 +32,7 @@
 
 func root() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "merlinlab", Short: "Play experiments on a fleet of gateways", SilenceUsage: true, SilenceErrors: true,
+		Use: "faultsim", Short: "Play experiments on a fleet of gateways", SilenceUsage: true, SilenceErrors: true,
 	}
 	cmd.AddCommand(runCommand(), checkCommand(), compareCommand(), demoCommand())
 	return cmd
@@ -87,7 +87,7 @@
 		Use: "check FILE...", Short: "Check experiments and print their plans", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, files []string) error {
 			for _, file := range files {
-				e, err := lab.LoadExperiment(file)
+				e, err := faultsim.LoadExperiment(file)
 				if err != nil {
 					return err
 				}
@@ -104,7 +104,7 @@
 
 // play plays one file with all seeds; ok tells whether all was met.
 func (o *options) play(cmd *cobra.Command, file string) (ok bool, err error) {
-	e, err := lab.LoadExperiment(file)
+	e, err := faultsim.LoadExperiment(file)
 	if err != nil {
 		return false, err
 	}
@@ -119,7 +119,7 @@
 	if o.seeds < 1 || o.seeds > 1000 {
 		return false, fmt.Errorf("--seeds: %d is out of range, 1 to 1000", o.seeds)
 	}
-	var results []*lab.Result
+	var results []*faultsim.Result
 	switch o.engine {
 	case "emulated":
 		results, err = o.emulate(e, log)
@@ -140,7 +140,7 @@
 		if o.files > 1 {
 			dir = filepath.Join(dir, e.Name)
 		}
-		if err := (&lab.Report{Title: title, About: e.About, Results: results}).Write(dir); err != nil {
+		if err := (&faultsim.Report{Title: title, About: e.About, Results: results}).Write(dir); err != nil {
 			return false, err
 		}
 	}
@@ -163,7 +163,7 @@
 }
 
 // say prints verdicts, all or those that fell short, and tells whether all were met.
-func say(out io.Writer, indent string, list []lab.Verdict, all bool) bool {
+func say(out io.Writer, indent string, list []faultsim.Verdict, all bool) bool {
 	ok := true
 	for _, v := range list {
 		if !v.OK || all {
@@ -188,7 +188,7 @@
 }
 
 // progress is the live line, on standard error where that is a terminal.
-func (o *options) progress(e *lab.Experiment) func(float64, int, float64, int) {
+func (o *options) progress(e *faultsim.Experiment) func(float64, int, float64, int) {
 	info, err := os.Stderr.Stat()
 	if o.quiet || err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil
@@ -205,18 +205,18 @@
 	}
 }
 
-func (o *options) emulate(e *lab.Experiment, log *zap.Logger) ([]*lab.Result, error) {
-	maker, choices := lab.Designed, (*lab.Choices)(nil)
+func (o *options) emulate(e *faultsim.Experiment, log *zap.Logger) ([]*faultsim.Result, error) {
+	maker, choices := faultsim.Designed, (*faultsim.Choices)(nil)
 	switch o.baseline {
 	case "":
 	case "swim":
-		maker = lab.Baseline
+		maker = faultsim.Baseline
 	case "alone", "random", "blind":
-		choices = &lab.Choices{By: o.baseline, Subset: e.Choices.Subset, Wrong: 1}
+		choices = &faultsim.Choices{By: o.baseline, Subset: e.Choices.Subset, Wrong: 1}
 	default:
 		return nil, fmt.Errorf("--baseline: unknown baseline %q: swim, alone, random and blind are known", o.baseline)
 	}
-	results, errs := make([]*lab.Result, o.seeds), make([]error, o.seeds)
+	results, errs := make([]*faultsim.Result, o.seeds), make([]error, o.seeds)
 	var wg sync.WaitGroup
 	room := make(chan struct{}, runtime.NumCPU())
 	for i := range o.seeds {
@@ -225,26 +225,26 @@
 			defer wg.Done()
 			room <- struct{}{}
 			defer func() { <-room }()
-			opt := lab.Options{Seed: o.seed + uint64(i), Gateways: o.gateways, Make: maker, Choices: choices, Log: log}
+			opt := faultsim.Options{Seed: o.seed + uint64(i), Gateways: o.gateways, Make: maker, Choices: choices, Log: log}
 			if o.seeds == 1 {
 				opt.Progress = o.progress(e)
 			}
-			results[i], errs[i] = lab.Emulate(e, opt)
+			results[i], errs[i] = faultsim.Emulate(e, opt)
 		}()
 	}
 	wg.Wait()
 	return results, errors.Join(errs...)
 }
 
-func (o *options) processes(e *lab.Experiment, log *zap.Logger) ([]*lab.Result, error) {
+func (o *options) processes(e *faultsim.Experiment, log *zap.Logger) ([]*faultsim.Result, error) {
 	program, clean, err := findProgram(o.program)
 	if err != nil {
 		return nil, err
 	}
 	defer clean()
-	var results []*lab.Result
+	var results []*faultsim.Result
 	for i := range o.seeds {
-		r, err := lab.Processes(e, program, lab.Options{Seed: o.seed + uint64(i), Gateways: o.gateways, Log: log, Progress: o.progress(e)})
+		r, err := faultsim.Processes(e, program, faultsim.Options{Seed: o.seed + uint64(i), Gateways: o.gateways, Log: log, Progress: o.progress(e)})
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/merlinlab/program.go
+++ b/cmd/faultsim/program.go
@@ -24,7 +24,7 @@
 			return beside, clean, nil
 		}
 	}
-	dir, err := os.MkdirTemp("", "merlinlab-program-")
+	dir, err := os.MkdirTemp("", "faultsim-program-")
 	if err != nil {
 		return "", clean, err
 	}
--- a/internal/lab/choices_test.go
+++ b/internal/faultsim/choices_test.go
@@ -1,9 +1,9 @@
-package lab
+package faultsim
 
 import (
 	"testing"
 
-	"merlinjunction/internal/lab/model"
+	"merlinjunction/internal/faultsim/model"
 )
 
 // smaller is an experiment on the choices at a size that CI has time for: fewer gateways, and as much less traffic. What
--- a/internal/lab/expect.go
+++ b/internal/faultsim/expect.go
@@ -1,4 +1,4 @@
-package lab
+package faultsim
 
 import (
 	"fmt"
--- a/internal/lab/experiment.go
+++ b/internal/faultsim/experiment.go
@@ -1,6 +1,6 @@
 // Package lab is the laboratory: it plays experiments, files that describe a fleet, a load, a timeline of faults and what
 // must hold. One engine starts real processes, the other plays the pure modules on virtual time. Both take the same file.
-package lab
+package faultsim
 
 import (
 	"errors"
--- a/internal/lab/processes.go
+++ b/internal/faultsim/processes.go
@@ -1,4 +1,4 @@
-package lab
+package faultsim
 
 import (
 	"bufio"
@@ -83,7 +83,7 @@
 			return nil, fmt.Errorf("%s: the clocks of processes can't be stepped without rights that this engine does not ask for", e.Path)
 		}
 	}
-	dir, err := os.MkdirTemp("", "merlinlab-")
+	dir, err := os.MkdirTemp("", "faultsim-")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/processes_test.go
+++ b/internal/faultsim/processes_test.go
@@ -1,4 +1,4 @@
-package lab
+package faultsim
 
 import (
 	"os"
@@ -39,7 +39,7 @@
 
 // buildProgram builds the gateway once for all tests.
 var buildProgram = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "merlinlab-test-")
+	dir, err := os.MkdirTemp("", "faultsim-test-")
 	if err != nil {
 		return "", err
 	}
@@ -62,7 +62,7 @@
 }
 
 // Each fault is caused once among real processes. Bounds in milliseconds are four times the file's here: a machine with
-// other work may be late; `merlinlab run --engine processes` holds the file's own. What must never happen is held exactly.
+// other work may be late; `faultsim run --engine processes` holds the file's own. What must never happen is held exactly.
 func TestExperimentsProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes two minutes")
--- a/internal/lab/service.go
+++ b/internal/faultsim/service.go
@@ -1,4 +1,4 @@
-package lab
+package faultsim
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"merlinjunction/decide"
 	"merlinjunction/fleet"
-	"merlinjunction/internal/lab/model"
+	"merlinjunction/internal/faultsim/model"
 	"merlinjunction/internal/peer"
 	"merlinjunction/membership"
 )
