--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
 // Command simadapter lets the bench drive the decision module: batches on standard input, a reply to each on
-// standard output, one decide.Router for each instance.
+// standard output, one routing.Router for each instance.
 package main
 
 import (
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/wire"
+	"merlinjunction/routing"
 )
 
 func main() {
@@ -21,7 +21,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	d, e := wire.NewDecoder(in), wire.NewEncoder(out)
-	l := link{enc: e, routers: map[int]*decide.Router{}}
+	l := link{enc: e, routers: map[int]*routing.Router{}}
 	for {
 		b, err := d.Next()
 		if err == io.EOF {
@@ -42,13 +42,13 @@
 // link holds the Routers of this process; they share nothing.
 type link struct {
 	enc     *wire.Encoder
-	routers map[int]*decide.Router
+	routers map[int]*routing.Router
 }
 
 // batch gives each instance its events, in the order in which the instances first appear.
 func (l *link) batch(b *wire.Batch) error {
 	var order []int
-	events := map[int][]decide.Event{}
+	events := map[int][]routing.Event{}
 	for _, m := range b.Messages {
 		if _, seen := events[m.Instance]; !seen {
 			order = append(order, m.Instance)
@@ -59,7 +59,7 @@
 			delete(l.routers, m.Instance)
 			events[m.Instance] = nil
 		case m.Create != nil:
-			r, err := decide.New(m.Create.Settings, m.Create.Seed)
+			r, err := routing.New(m.Create.Settings, m.Create.Seed)
 			if err != nil {
 				return fmt.Errorf("instance %d: %w", m.Instance, err)
 			}
@@ -78,7 +78,7 @@
 }
 
 // step turns a panic of the module into its text on the wire.
-func (l *link) step(instance int, r *decide.Router, now time.Duration, events []decide.Event) {
+func (l *link) step(instance int, r *routing.Router, now time.Duration, events []routing.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			l.enc.InternalError(instance, fmt.Sprint("panic: ", p))
--- a/internal/faultsim/model/discovery.go
+++ b/internal/faultsim/model/discovery.go
@@ -6,9 +6,9 @@
 	"strconv"
 	"time"
 
-	"merlinjunction/decide"
 	"merlinjunction/fleet"
 	"merlinjunction/internal/state"
+	"merlinjunction/routing"
 )
 
 // Discovery tells gateways the list of hosts. It answers so many first calls a second, and turns the others away.
@@ -34,16 +34,16 @@
 		if !h.Up {
 			continue
 		}
-		phase, started := decide.Ready, time.Duration(0)
+		phase, started := routing.Ready, time.Duration(0)
 		if !math.IsNaN(h.DrainAt) {
-			if phase = decide.Draining; math.IsNaN(h.ToldAt) {
+			if phase = routing.Draining; math.IsNaN(h.ToldAt) {
 				h.ToldAt = d.world.Now()
 			}
 		}
 		if !math.IsNaN(h.Started) && !d.Blind {
 			started = time.Duration((Epoch + h.Started) * float64(time.Millisecond))
 		}
-		d.entries = append(d.entries, state.Host{Addr: strconv.Itoa(h.Index), Member: decide.Member{ID: h.ID, Group: h.Group.Index, Zone: h.Zone,
+		d.entries = append(d.entries, state.Host{Addr: strconv.Itoa(h.Index), Member: routing.Member{ID: h.ID, Group: h.Group.Index, Zone: h.Zone,
 			Primary: h.Group.Primary == h, State: phase, Started: started}})
 	}
 	list := d.waiting
@@ -64,7 +64,7 @@
 	turn  int // of the call that is out
 }
 
-func (d *Discovery) watch(g *Gateway, set decide.Settings, seed uint64) *Watch {
+func (d *Discovery) watch(g *Gateway, set routing.Settings, seed uint64) *Watch {
 	w := &Watch{d: d, g: g, rng: rand.New(rand.NewPCG(seed, 5)), since: -1, life: g.life,
 		calls: fleet.Calls{Turns: set.Turns(), GraceMs: float64(set.DrainGrace / time.Millisecond)}}
 	w.after(0, w.ask)
--- a/internal/faultsim/model/gateway.go
+++ b/internal/faultsim/model/gateway.go
@@ -12,10 +12,10 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/decide"
 	"merlinjunction/fleet"
 	"merlinjunction/internal/loop"
 	"merlinjunction/internal/state"
+	"merlinjunction/routing"
 )
 
 var (
@@ -56,7 +56,7 @@
 func (g *Gateway) Links() int { return g.links }
 
 // Start starts its process. It knows no hosts until discovery has told it some.
-func (g *Gateway) Start(set decide.Settings, d *Discovery, seed uint64) error {
+func (g *Gateway) Start(set routing.Settings, d *Discovery, seed uint64) error {
 	g.life++
 	g.paused, g.heard, g.due, g.links, g.asked = false, nil, math.Inf(1), 0, 0
 	g.wrote, g.ends = map[int]float64{}, map[uint64]func(){}
@@ -74,7 +74,7 @@
 }
 
 // report reads a probe's answer, of which all stands beside it.
-func report([]byte) (decide.Role, float64, bool) { return 0, 0, false }
+func report([]byte) (routing.Role, float64, bool) { return 0, 0, false }
 
 // Kill ends its process: all its connections are reset, and what it has in hand gets no answer.
 func (g *Gateway) Kill() {
@@ -262,16 +262,16 @@
 }
 
 // Settings are a deployment's, as the gateways are told them.
-func Settings(w *Warmth, h *HostConfig, gateways int) decide.Settings {
+func Settings(w *Warmth, h *HostConfig, gateways int) routing.Settings {
 	ms := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
-	return decide.Settings{
-		Classes: []decide.Class{
-			{Name: "view", Need: decide.NeedAny, Effect: decide.EffectSafe, Aim: ms(200), Deadline: ms(1000), Worth: 1},
-			{Name: "own", Need: decide.NeedSession, Effect: decide.EffectSafe, Aim: ms(200), Deadline: ms(600), Worth: 3},
-			{Name: "write", Need: decide.NeedPrimary, Effect: decide.EffectKeyed, RepeatWindow: ms(h.KeyMs), Aim: ms(600), Deadline: ms(2000),
+	return routing.Settings{
+		Classes: []routing.Class{
+			{Name: "view", Need: routing.NeedAny, Effect: routing.EffectSafe, Aim: ms(200), Deadline: ms(1000), Worth: 1},
+			{Name: "own", Need: routing.NeedSession, Effect: routing.EffectSafe, Aim: ms(200), Deadline: ms(600), Worth: 3},
+			{Name: "write", Need: routing.NeedPrimary, Effect: routing.EffectKeyed, RepeatWindow: ms(h.KeyMs), Aim: ms(600), Deadline: ms(2000),
 				Worth: 6, LateWorth: 0.3},
 		},
-		Routers: gateways, Tick: ms(5), Check: decide.CheckNone, MayCancel: true, MayProbe: true, MaxAttempts: 4,
+		Routers: gateways, Tick: ms(5), Check: routing.CheckNone, MayCancel: true, MayProbe: true, MaxAttempts: 4,
 		DrainGrace: ms(h.GraceMs), ColdShare: w.Share, ColdTime: ms(w.Ms), TipMultiple: w.Tip, FallTime: ms(w.FallMs),
 	}
 }
--- a/internal/faultsim/model/host.go
+++ b/internal/faultsim/model/host.go
@@ -4,8 +4,8 @@
 	"encoding/binary"
 	"math"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/state"
+	"merlinjunction/routing"
 )
 
 // HostConfig is what all hosts are like.
@@ -126,7 +126,7 @@
 	now := w.Now()
 	if s.Probe {
 		w.Books.Probes++
-		h.enter(job{c, 0.05, func() { c.answer(h.result(decide.OK)) }})
+		h.enter(job{c, 0.05, func() { c.answer(h.result(routing.OK)) }})
 		return
 	}
 	w.Books.Statements++
@@ -136,12 +136,12 @@
 	h.tips(now)
 	switch {
 	case now < h.fellAt+fallenMs:
-		c.answer(state.Answer{Outcome: decide.Error})
+		c.answer(state.Answer{Outcome: routing.Error})
 	case len(h.queue) >= h.Queue:
-		c.answer(h.result(decide.Full))
+		c.answer(h.result(routing.Full))
 	case s.Write && h.Group.Primary != h:
 		w.Books.Misdirected++
-		h.enter(job{c, 0.1, func() { c.answer(h.result(decide.Miss)) }})
+		h.enter(job{c, 0.1, func() { c.answer(h.result(routing.Miss)) }})
 	default:
 		mean := h.ReadMs
 		if s.Write {
@@ -178,7 +178,7 @@
 	now := h.world.Now()
 	if s.Write {
 		if h.Group.Primary != h { // it lost its office meanwhile
-			c.answer(h.result(decide.Miss))
+			c.answer(h.result(routing.Miss))
 			return
 		}
 		if before, again := h.Group.keys[s.Key]; again && now-before > h.KeyMs {
@@ -186,7 +186,7 @@
 		}
 		h.Group.keys[s.Key] = now
 	}
-	c.answer(h.result(decide.OK))
+	c.answer(h.result(routing.OK))
 }
 
 // applied is up to where it has applied the log, ms of virtual time.
@@ -206,10 +206,10 @@
 }
 
 // result is an answer with what it tells of the host; its body is up to where the host has applied the log.
-func (h *Host) result(o decide.Outcome) state.Answer {
-	role := decide.RoleReplica
+func (h *Host) result(o routing.Outcome) state.Answer {
+	role := routing.RoleReplica
 	if h.Group.Primary == h {
-		role = decide.RolePrimary
+		role = routing.RolePrimary
 	}
 	at := h.applied()
 	return state.Answer{Outcome: o, Role: role, Position: Epoch + at, Body: binary.LittleEndian.AppendUint64(nil, math.Float64bits(at))}
--- a/internal/faultsim/model/model_test.go
+++ b/internal/faultsim/model/model_test.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"testing"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/state"
+	"merlinjunction/routing"
 )
 
 // agenda is a scheduler that a test sets on.
@@ -123,7 +123,7 @@
 	c.Send(&Statement{Write: true, Key: 1}, 0)
 	d.Send(&Statement{Write: true, Key: 1}, 0)
 	a.until(200)
-	if len(p.got) != 1 || p.got[0].Outcome != decide.OK || p.got[0].Role != decide.RolePrimary || len(q.got) != 1 || q.got[0].Outcome != decide.Miss {
+	if len(p.got) != 1 || p.got[0].Outcome != routing.OK || p.got[0].Role != routing.RolePrimary || len(q.got) != 1 || q.got[0].Outcome != routing.Miss {
 		t.Fatalf("%+v, %+v", p.got, q.got)
 	}
 	if w.Books.Misdirected != 1 || w.Books.Statements != 2 {
@@ -163,7 +163,7 @@
 	a.until(60)
 	full := 0
 	for _, x := range p.got {
-		if x.Outcome == decide.Full {
+		if x.Outcome == routing.Full {
 			full++
 		}
 	}
@@ -181,7 +181,7 @@
 		}
 	}
 	a.until(3000)
-	if w.Books.Falls != 1 || p.got[len(p.got)-1].Outcome != decide.Error {
+	if w.Books.Falls != 1 || p.got[len(p.got)-1].Outcome != routing.Error {
 		t.Errorf("%d falls, at the last %+v", w.Books.Falls, p.got[len(p.got)-1])
 	}
 }
--- a/internal/faultsim/service.go
+++ b/internal/faultsim/service.go
@@ -7,11 +7,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"merlinjunction/decide"
 	"merlinjunction/fleet"
 	"merlinjunction/internal/faultsim/model"
 	"merlinjunction/internal/peer"
 	"merlinjunction/membership"
+	"merlinjunction/routing"
 )
 
 // service is what the emulator plays beside membership: hosts, discovery, the gateways' cores and the clients' load.
@@ -86,7 +86,7 @@
 	s.em.agenda.push(happening{at: max(ms, s.em.now), call: f})
 }
 
-func (s *service) settings(i int) decide.Settings {
+func (s *service) settings(i int) routing.Settings {
 	c, n := s.em.opt.Choices, s.em.Result.Gateways
 	set := model.Settings(&s.world.Warm, s.host, n)
 	if c.By != "alone" && c.By != "blind" {
--- a/internal/front/extended/extended.go
+++ b/internal/front/extended/extended.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"strings"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/state"
 	"merlinjunction/internal/wire/pg"
+	"merlinjunction/routing"
 )
 
 const (
@@ -508,11 +508,11 @@
 func (s *session) run(r *Rule, st *statement, params [][]byte, command any, then func([]byte)) {
 	c := s.front.Rules.Classes[r.Class]
 	name, key := r.names(st.bare, params, s.id)
-	if c.Effect == decide.EffectKeyed && key == "" {
+	if c.Effect == routing.EffectKeyed && key == "" {
 		s.fail(pg.Failure{State: pg.StateBadParameter, Text: "the class " + c.Name + " needs an idempotency key"})
 		return
 	}
-	if c.Need != decide.NeedPrimary && c.Need != decide.NeedSession {
+	if c.Need != routing.NeedPrimary && c.Need != routing.NeedSession {
 		name = ""
 	}
 	s.submit(r.Class, name, command, then)
--- a/internal/front/extended/rules.go
+++ b/internal/front/extended/rules.go
@@ -5,7 +5,7 @@
 	"regexp"
 	"strconv"
 
-	"merlinjunction/decide"
+	"merlinjunction/routing"
 )
 
 // Rule maps statements to a class. The first rule whose pattern matches counts.
@@ -18,7 +18,7 @@
 
 // Rules are what an operator sets up for the front.
 type Rules struct {
-	Classes   []decide.Class
+	Classes   []routing.Class
 	Rules     []Rule
 	Describe  int            // the class of a Describe: safe, and served by any host
 	Databases map[string]int // name: group of hosts
@@ -40,12 +40,12 @@
 	if len(r.Databases) == 0 {
 		return fmt.Errorf("database: none is named")
 	}
-	if d := r.Classes[r.Describe]; d.Effect != decide.EffectSafe || d.Need != decide.NeedAny {
+	if d := r.Classes[r.Describe]; d.Effect != routing.EffectSafe || d.Need != routing.NeedAny {
 		return fmt.Errorf("describe_class: %q is not a safe class that any host may answer", d.Name)
 	}
 	for i, rule := range r.Rules {
 		c := r.Classes[rule.Class]
-		if c.Effect == decide.EffectKeyed && rule.Key == 0 && rule.Pattern.SubexpIndex("key") < 0 {
+		if c.Effect == routing.EffectKeyed && rule.Key == 0 && rule.Pattern.SubexpIndex("key") < 0 {
 			return fmt.Errorf("statement %d: class %q needs key_param, or a group named key", i+1, c.Name)
 		}
 		if rule.Key < 0 || rule.Session < 0 {
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"strings"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/state"
 	"merlinjunction/internal/wire/pg"
+	"merlinjunction/routing"
 )
 
 const (
@@ -25,12 +25,12 @@
 	Ready   func() bool
 	classes map[string]int
 	tenants map[string]int
-	kinds   []decide.Class
+	kinds   []routing.Class
 	open    map[string]bool // the ids of requests without a final answer
 }
 
 // New returns a Front for the classes and tenants of the settings.
-func New(core *state.Core, set decide.Settings, ready func() bool) *Front {
+func New(core *state.Core, set routing.Settings, ready func() bool) *Front {
 	f := &Front{Core: core, Ready: ready, classes: map[string]int{}, tenants: map[string]int{},
 		kinds: set.Classes, open: map[string]bool{}}
 	for i, c := range set.Classes {
@@ -256,9 +256,9 @@
 		return state.Request{}, fmt.Errorf("unknown class %q", st.class)
 	case !member && len(f.tenants) > 0:
 		return state.Request{}, fmt.Errorf("unknown tenant %q", st.tenant)
-	case st.write != (f.kinds[class].Need == decide.NeedPrimary):
+	case st.write != (f.kinds[class].Need == routing.NeedPrimary):
 		return state.Request{}, fmt.Errorf("class %q takes no statement of this form", st.class)
-	case f.kinds[class].Effect == decide.EffectKeyed && st.once == "":
+	case f.kinds[class].Effect == routing.EffectKeyed && st.once == "":
 		return state.Request{}, fmt.Errorf("class %q needs the idempotency key k", st.class)
 	case f.open[st.id]:
 		return state.Request{}, fmt.Errorf("a request with the id %q is in hand", st.id)
@@ -267,7 +267,7 @@
 	if member {
 		r.Tenant = tenant
 	}
-	if n := f.kinds[class].Need; n == decide.NeedPrimary || n == decide.NeedSession {
+	if n := f.kinds[class].Need; n == routing.NeedPrimary || n == routing.NeedSession {
 		r.Session = st.key
 	}
 	return r, nil
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -9,10 +9,10 @@
 	"os"
 	"strconv"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/state"
 	"merlinjunction/internal/wire"
 	"merlinjunction/internal/wire/discovery"
+	"merlinjunction/routing"
 )
 
 // Config is what the program is told at its start, whichever front it serves.
@@ -23,7 +23,7 @@
 	Management              string // address of the management calls; "": none
 	Seed                    uint64
 	MemoryMB, Sockets       int
-	Settings                decide.Settings
+	Settings                routing.Settings
 	ConnectMs, IdleMs       float64
 	Known                   []state.Host
 	KnownAt                 int64     // its version
@@ -134,7 +134,7 @@
 	if c.Sockets < 64 {
 		return fmt.Errorf("limits.sockets: %d is too few, 64 are needed", c.Sockets)
 	}
-	if _, err := decide.New(c.Settings, 1); err != nil {
+	if _, err := routing.New(c.Settings, 1); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if c.Management != "" {
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -9,12 +9,12 @@
 
 	"github.com/BurntSushi/toml"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/front/extended"
 	"merlinjunction/internal/peer"
 	"merlinjunction/internal/state"
 	"merlinjunction/internal/wire/discovery"
 	"merlinjunction/internal/wire/pg"
+	"merlinjunction/routing"
 )
 
 // Operator is the part of a configuration that sets up the extended front.
@@ -107,14 +107,14 @@
 const greetMs = 1000.0
 
 var (
-	needs = map[string]decide.Need{"any": decide.NeedAny, "bounded": decide.NeedBounded,
-		"session": decide.NeedSession, "fresh": decide.NeedFresh, "write": decide.NeedPrimary}
-	effects = map[string]decide.Effect{"safe": decide.EffectSafe, "keyed": decide.EffectKeyed, "unsafe": decide.EffectUnsafe}
-	checks  = map[string]decide.Check{"": decide.CheckNone, "none": decide.CheckNone, "refuse": decide.CheckRefuse,
-		"wait": decide.CheckWait}
+	needs = map[string]routing.Need{"any": routing.NeedAny, "bounded": routing.NeedBounded,
+		"session": routing.NeedSession, "fresh": routing.NeedFresh, "write": routing.NeedPrimary}
+	effects = map[string]routing.Effect{"safe": routing.EffectSafe, "keyed": routing.EffectKeyed, "unsafe": routing.EffectUnsafe}
+	checks  = map[string]routing.Check{"": routing.CheckNone, "none": routing.CheckNone, "refuse": routing.CheckRefuse,
+		"wait": routing.CheckWait}
 	// A probe asks for a report, or only for what the greeting tells; the default.
 	probes = map[string]pg.Command{"": pg.Greeting{}, "greeting": pg.Greeting{}, "load": pg.Probe{}, "none": nil}
-	states = map[string]decide.State{"": decide.Ready, "ready": decide.Ready, "draining": decide.Draining}
+	states = map[string]routing.State{"": routing.Ready, "ready": routing.Ready, "draining": routing.Draining}
 )
 
 // LoadOperator reads an operator's file. Each error is one line that names the key.
@@ -178,7 +178,7 @@
 	if r.Probes == "" || r.Probes == "greeting" {
 		op.GreetMs = greetMs
 	}
-	c.Settings = decide.Settings{
+	c.Settings = routing.Settings{
 		Routers: r.Gateways, Index: r.Index, Subset: r.Subset, Tick: time.Millisecond, Check: check, MayCancel: true, MayProbe: r.Probes == "load",
 		MayHint: r.RetryHintMs > 0, MaxHint: millis(r.RetryHintMs), MaxAttempts: r.MaxAttempts,
 		DrainGrace: millis(r.DrainGraceMs), ColdShare: r.ColdShare, ColdTime: millis(r.ColdMs),
@@ -215,7 +215,7 @@
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func (op *Operator) class(name string) int {
-	return slices.IndexFunc(op.Rules.Classes, func(c decide.Class) bool { return c.Name == name })
+	return slices.IndexFunc(op.Rules.Classes, func(c routing.Class) bool { return c.Name == name })
 }
 
 func (f *operatorFile) classes(c *Config, op *Operator) error {
@@ -236,7 +236,7 @@
 		if l.Name == "" || !known || !also || l.AimMs <= 0 || l.DeadlineMs <= 0 {
 			return fmt.Errorf("class %d (%q): name, need, effect, aim_ms or deadline_ms is missing or wrong", i+1, l.Name)
 		}
-		c.Settings.Classes = append(c.Settings.Classes, decide.Class{
+		c.Settings.Classes = append(c.Settings.Classes, routing.Class{
 			Name: l.Name, Need: need, MaxAge: millis(l.MaxAgeMs), Effect: effect, RepeatAnyHost: l.RepeatAnyHost,
 			RepeatWindow: millis(l.RepeatWindowMs), Aim: millis(l.AimMs), Deadline: millis(l.DeadlineMs),
 			Worth: l.Worth, LateWorth: l.LateWorth,
@@ -269,7 +269,7 @@
 		op.Rules.Databases[d.Name] = d.Group
 	}
 	for i, t := range f.Tenant {
-		c.Settings.Tenants = append(c.Settings.Tenants, decide.Tenant{Name: t.User})
+		c.Settings.Tenants = append(c.Settings.Tenants, routing.Tenant{Name: t.User})
 		op.Rules.Tenants[t.User] = i
 	}
 	seen := map[string]bool{}
@@ -282,7 +282,7 @@
 		if err := checkAddr(fmt.Sprintf("host %d: address", i+1), h.Addr); err != nil {
 			return err
 		}
-		c.Known = append(c.Known, state.Host{Addr: h.Addr, Member: decide.Member{
+		c.Known = append(c.Known, state.Host{Addr: h.Addr, Member: routing.Member{
 			ID: h.ID, Group: h.Group, Primary: h.Primary, State: st,
 		}})
 	}
--- a/internal/state/departure_test.go
+++ b/internal/state/departure_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"merlinjunction/decide"
+	"merlinjunction/routing"
 )
 
 // On the bench requests whose clients had closed their connections were sent on as soon as a connection to the host was
@@ -21,7 +21,7 @@
 			t.Errorf("class %d: %d sent for a client that had left, closed %v", class, n, b.conns[0].closed)
 		}
 		b.submit(class, 900) // the connection serves whoever comes next
-		b.conns[0].owner.Answered(Answer{Outcome: decide.OK, Role: decide.RolePrimary, Body: []byte("x")})
+		b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Role: routing.RolePrimary, Body: []byte("x")})
 		b.pass(1)
 		if len(b.got) != 1 || len(b.conns) != 1 || len(b.requests) != 0 {
 			t.Errorf("class %d: got %q on %d connections, %d requests are kept", class, b.got, len(b.conns), len(b.requests))
@@ -35,7 +35,7 @@
 		if len(b.conns[0].sent) != 1 || b.conns[0].closed {
 			t.Errorf("class %d: what is written does not stay out: %d sent, closed %v", class, len(b.conns[0].sent), b.conns[0].closed)
 		}
-		b.conns[0].owner.Answered(Answer{Outcome: decide.OK, Role: decide.RolePrimary, Body: []byte("x")})
+		b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Role: routing.RolePrimary, Body: []byte("x")})
 		b.pass(1)
 		if len(b.got) != 0 || len(b.requests) != 0 {
 			t.Errorf("class %d: got %q, %d requests are kept", class, b.got, len(b.requests))
@@ -74,7 +74,7 @@
 	if len(first.sent) != 1 {
 		t.Fatalf("%d sent", len(first.sent))
 	}
-	first.owner.Answered(Answer{Outcome: decide.OK, Body: []byte("x")})
+	first.owner.Answered(Answer{Outcome: routing.OK, Body: []byte("x")})
 	b.pass(1)
 	if len(b.got) != 1 || b.Open() != 0 {
 		t.Errorf("got %q, %d open", b.got, b.Open())
@@ -89,7 +89,7 @@
 	}{{0, 1}, {150, 1}, {290, 0}, {1e6, 0}} {
 		b := newBench(t, "a")
 		b.submit(0, 900)
-		b.SetHostsTold(true, []Host{{Addr: "a", Member: decide.Member{ID: "a", State: decide.Draining}}}, b.now-c.told)
+		b.SetHostsTold(true, []Host{{Addr: "a", Member: routing.Member{ID: "a", State: routing.Draining}}}, b.now-c.told)
 		b.pass(100)
 		b.conns[0].owner.Up()
 		if n := len(b.conns[0].sent); n != c.sent {
@@ -171,7 +171,7 @@
 	b := newBench(t, "a")
 	b.submit(0, 900)
 	b.sendProbe("a")
-	b.list(decide.Ready)
+	b.list(routing.Ready)
 	b.pass(285)
 	for _, c := range b.conns {
 		if !c.closed {
@@ -185,7 +185,7 @@
 	if len(b.got) != 1 || len(b.hosts) != 1 { // the next list forgets it
 		t.Errorf("got %q, %d hosts", b.got, len(b.hosts))
 	}
-	if b.list(decide.Ready); len(b.hosts) != 0 {
+	if b.list(routing.Ready); len(b.hosts) != 0 {
 		t.Errorf("%d hosts are kept", len(b.hosts))
 	}
 }
@@ -206,7 +206,7 @@
 // or the module would take the host for busy with it for good.
 func TestAClientThatLeavesWhileItsAttemptIsDecided(t *testing.T) {
 	b := newBench(t)
-	b.SetHosts(true, []Host{{Addr: "a", Member: decide.Member{ID: "a", Group: 1, State: decide.Ready}}})
+	b.SetHosts(true, []Host{{Addr: "a", Member: routing.Member{ID: "a", Group: 1, State: routing.Ready}}})
 	b.Step()
 	l := &leaver{b, 2}
 	if _, ok := b.Submit(Request{Tenant: -1, LeftMs: 600, Command: "command", Reply: l}); !ok { // of a group without hosts
--- a/internal/state/hosts.go
+++ b/internal/state/hosts.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/loop"
+	"merlinjunction/routing"
 )
 
 // host is a database host with its connections from here.
@@ -42,7 +42,7 @@
 // nothing once the grace from then is over.
 func (c *Core) SetHostsTold(full bool, list []Host, told float64) {
 	told = max(1, min(told, c.Now())) // 0 would be a host that is ready
-	e := decide.List{Full: full, At: span(told)}
+	e := routing.List{Full: full, At: span(told)}
 	seen := map[string]bool{}
 	for _, l := range list {
 		seen[l.ID] = true
@@ -50,7 +50,7 @@
 		h := c.hosts[l.ID]
 		added := h == nil
 		if added {
-			if l.State == decide.Gone {
+			if l.State == routing.Gone {
 				continue
 			}
 			h = &host{core: c}
@@ -67,10 +67,10 @@
 	}
 	for _, h := range c.inOrder() {
 		if full && !seen[h.ID] {
-			h.State = decide.Gone
+			h.State = routing.Gone
 			h.mark(told)
 		}
-		if h.State == decide.Gone && h.unused() {
+		if h.State == routing.Gone && h.unused() {
 			delete(c.hosts, h.ID)
 		}
 	}
@@ -85,12 +85,12 @@
 // mark takes down when a host went off, and closes what no request will use any more.
 func (h *host) mark(told float64) {
 	switch {
-	case h.State == decide.Ready:
+	case h.State == routing.Ready:
 		h.offAt = 0
 	case h.offAt == 0:
 		h.offAt = told
 	}
-	if h.State == decide.Gone {
+	if h.State == routing.Gone {
 		h.closeIdle()
 	}
 }
@@ -117,7 +117,7 @@
 // that came up so late that the module's own look at the drain no longer holds.
 func (h *host) barred() bool {
 	off := h.offAt
-	if h.core.set.ListedOnly && h.State == decide.Gone {
+	if h.core.set.ListedOnly && h.State == routing.Gone {
 		off = 0
 	}
 	if at, banned := h.core.bans[h.ID]; banned && (off == 0 || at < off) {
@@ -129,7 +129,7 @@
 // inUse tells whether a host is listed as ready and not taken out by hand.
 func (h *host) inUse() bool {
 	_, banned := h.core.bans[h.ID]
-	return h.State == decide.Ready && !banned
+	return h.State == routing.Ready && !banned
 }
 
 // assign gives an attempt an idle connection, or lets it wait for the next one that is free.
@@ -155,7 +155,7 @@
 		h.core.log.Debug("dial", zap.String("host", h.ID), zap.Error(err))
 		t := h.waiting[len(h.waiting)-1]
 		h.drop(t)
-		h.core.result(t, decide.NoConnection, Answer{})
+		h.core.result(t, routing.NoConnection, Answer{})
 	}
 }
 
@@ -260,7 +260,7 @@
 	late := t.before > 0 && c.timers.Clock.Now() >= t.before
 	if l.host.barred() || late || left < 1 { // checked again here: the connection may have been long in coming
 		l.rest(0)
-		c.result(t, decide.Moot, Answer{})
+		c.result(t, routing.Moot, Answer{})
 		return
 	}
 	l.attempt, t.link = t, l
@@ -275,7 +275,7 @@
 func (l *link) rest(ms float64) {
 	h := l.host
 	l.attempt = nil
-	if h.State == decide.Gone && len(h.waiting) == 0 {
+	if h.State == routing.Gone && len(h.waiting) == 0 {
 		l.close()
 		return
 	}
@@ -345,9 +345,9 @@
 		l.host.core.log.Debug("connect", zap.String("host", l.host.ID), zap.Error(err))
 		l.dialFailed()
 	case t != nil && t.written:
-		l.host.core.result(t, decide.Broken, Answer{})
+		l.host.core.result(t, routing.Broken, Answer{})
 	case t != nil:
-		l.host.core.result(t, decide.NoConnection, Answer{})
+		l.host.core.result(t, routing.NoConnection, Answer{})
 	default:
 		l.host.provide()
 	}
@@ -360,6 +360,6 @@
 	if len(h.dialing)+len(h.idle) < len(h.waiting) {
 		t := h.waiting[0]
 		h.waiting = h.waiting[1:]
-		h.core.result(t, decide.NoConnection, Answer{})
+		h.core.result(t, routing.NoConnection, Answer{})
 	}
 }
--- a/internal/state/manage.go
+++ b/internal/state/manage.go
@@ -1,6 +1,6 @@
 package state
 
-import "merlinjunction/decide"
+import "merlinjunction/routing"
 
 // What operators ask of the core: its figures, and hosts out of use and back.
 
@@ -23,7 +23,7 @@
 func (c *Core) Figures() Figures {
 	f := Figures{Dispatches: c.written, Concurrent: c.Open(), TargetsDisabled: c.router.Avoided(span(c.Now()))}
 	for _, h := range c.hosts {
-		if h.State != decide.Gone {
+		if h.State != routing.Gone {
 			f.Targets++
 		}
 	}
@@ -48,7 +48,7 @@
 func (c *Core) Restore(id string, atMs float64) {
 	if at, banned := c.bans[id]; !banned || atMs < at {
 		c.bans[id] = atMs
-		c.events = append(c.events, decide.Exclude{Member: id, At: span(atMs)})
+		c.events = append(c.events, routing.Exclude{Member: id, At: span(atMs)})
 	}
 }
 
@@ -57,7 +57,7 @@
 	_, banned := c.bans[id]
 	if banned {
 		delete(c.bans, id)
-		c.events = append(c.events, decide.Include{Member: id})
+		c.events = append(c.events, routing.Include{Member: id})
 	}
 	return banned || c.hosts[id] != nil
 }
@@ -71,5 +71,5 @@
 	c.limits.Conns = conns
 	for c.conns > conns && c.closeOldestIdle() {
 	}
-	c.events = append(c.events, decide.Beside{Live: live})
+	c.events = append(c.events, routing.Beside{Live: live})
 }
--- a/internal/state/repeat_test.go
+++ b/internal/state/repeat_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"merlinjunction/decide"
+	"merlinjunction/routing"
 )
 
 // A keyed command that may have run may be sent again while hosts drop repeats of its key. The decision to do so is made in
@@ -61,7 +61,7 @@
 			t.Errorf("%s: %d commands may run on the second connection, want %d", c.name, runs, c.runs)
 		}
 		if c.runs > 0 {
-			second.owner.Answered(Answer{Outcome: decide.OK, Role: decide.RolePrimary, Body: []byte("x")})
+			second.owner.Answered(Answer{Outcome: routing.OK, Role: routing.RolePrimary, Body: []byte("x")})
 		}
 		b.pass(900)
 		if len(b.got) != 1 || len(b.requests) != 0 {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,5 @@
 // Package state is the core: the requests that were taken, their attempts, the host list and the connections to
-// hosts. It feeds package decide with what happened and carries out what comes back. It knows no wire: clients
+// hosts. It feeds package routing with what happened and carries out what comes back. It knows no wire: clients
 // and hosts are behind small interfaces.
 package state
 
@@ -9,16 +9,16 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/decide"
 	"merlinjunction/fleet"
 	"merlinjunction/internal/loop"
+	"merlinjunction/routing"
 )
 
 // Answer is what a host said to a command.
 type Answer struct {
-	Outcome  decide.Outcome
+	Outcome  routing.Outcome
 	Final    bool // an error of the statement's own, for the client
-	Role     decide.Role
+	Role     routing.Role
 	Position float64 // in milliseconds since 1970; 0: unknown
 	Body     []byte  // for whoever sent the command
 	Last     bool    // the connection takes no more commands
@@ -74,7 +74,7 @@
 
 // Host is an entry of the host list.
 type Host struct {
-	decide.Member
+	routing.Member
 	Addr string
 }
 
@@ -104,14 +104,14 @@
 type Core struct {
 	timers *loop.Timers
 	log    *zap.Logger
-	router *decide.Router
-	set    decide.Settings
+	router *routing.Router
+	set    routing.Settings
 	limits Limits
 	dialer Dialer
 	probe  any // the command
-	report func(body []byte) (decide.Role, float64, bool)
+	report func(body []byte) (routing.Role, float64, bool)
 
-	events   []decide.Event
+	events   []routing.Event
 	wake     *loop.Timer
 	woken    bool
 	hosts    map[string]*host
@@ -154,9 +154,9 @@
 }
 
 // New returns a Core. probe is the command that asks for a report, which report reads.
-func New(t *loop.Timers, log *zap.Logger, set decide.Settings, seed uint64, limits Limits, d Dialer, probe any,
-	report func([]byte) (decide.Role, float64, bool)) (*Core, error) {
-	r, err := decide.New(set, seed)
+func New(t *loop.Timers, log *zap.Logger, set routing.Settings, seed uint64, limits Limits, d Dialer, probe any,
+	report func([]byte) (routing.Role, float64, bool)) (*Core, error) {
+	r, err := routing.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -188,7 +188,7 @@
 	c.requests[q.id] = q
 	q.lastWord = q.deadline - min(answerEarlyMs, answerEarly*r.LeftMs)
 	q.timer = c.timers.At(q.lastWord, func() { c.expire(q) })
-	c.events = append(c.events, decide.Request{
+	c.events = append(c.events, routing.Request{
 		ID: q.id, Class: r.Class, Tenant: r.Tenant, Group: r.Group, Session: r.Session,
 		Left: span(r.LeftMs), Repeat: r.Repeat,
 	})
@@ -202,7 +202,7 @@
 // SetPeers takes in the gateways that share the hosts.
 func (c *Core) SetPeers(r *fleet.Roster) {
 	c.turns = r.Turns()
-	c.events = append(c.events, decide.Peers{Roster: r})
+	c.events = append(c.events, routing.Peers{Roster: r})
 }
 
 // Taken is how many requests were taken in all.
@@ -214,9 +214,9 @@
 func (c *Core) Gone(id uint64) {
 	if q := c.requests[id]; q != nil && !q.answered {
 		q.answered = true
-		c.events = append(c.events, decide.ClientGone{Request: id})
+		c.events = append(c.events, routing.ClientGone{Request: id})
 		if t := q.open; t != nil && (!t.written || q.stream != nil) { // of a large answer nobody takes the rest
-			c.giveUp(t, decide.Cancelled)
+			c.giveUp(t, routing.Cancelled)
 		}
 		if c.stepping { // an attempt of it may be among what is still to be carried out, and needs its result
 			c.left = append(c.left, q)
@@ -231,7 +231,7 @@
 	q := c.requests[id]
 	c.Gone(id)
 	if q != nil && q.open != nil {
-		c.giveUp(q.open, decide.Cancelled)
+		c.giveUp(q.open, routing.Cancelled)
 	}
 }
 
@@ -263,7 +263,7 @@
 	}
 	events := c.events
 	if c.woken {
-		events = append(events, decide.Woken{})
+		events = append(events, routing.Woken{})
 	}
 	c.events, c.woken = nil, false
 	c.stepping = true
@@ -280,29 +280,29 @@
 	}
 }
 
-func (c *Core) carryOut(a decide.Action) {
+func (c *Core) carryOut(a routing.Action) {
 	switch a := a.(type) {
-	case decide.Attempt:
+	case routing.Attempt:
 		c.attempt(a)
-	case decide.Cancel:
+	case routing.Cancel:
 		if q := c.requests[a.Request]; q != nil && q.open != nil && q.open.number == a.Attempt {
-			c.giveUp(q.open, decide.Cancelled)
+			c.giveUp(q.open, routing.Cancelled)
 		}
-	case decide.Refuse:
+	case routing.Refuse:
 		if q := c.final(a.Request); q != nil {
 			c.replies[q.Class].Overload++
 			q.Reply.Refused(a.After.Seconds() * 1000)
 		}
-	case decide.Fail:
+	case routing.Fail:
 		if q := c.final(a.Request); q != nil {
 			c.replies[q.Class].Error++
 			q.Reply.Failed(q.words)
 		}
-	case decide.Probe:
+	case routing.Probe:
 		c.sendProbe(a.Member)
-	case decide.Wake:
+	case routing.Wake:
 		c.wakeAfter(a.In.Seconds() * 1000)
-	case decide.Log:
+	case routing.Log:
 		c.log.Info("decided", zap.String("text", a.Text))
 	}
 }
@@ -334,7 +334,7 @@
 // expire ends what is out when the client's time is over; the module then gives the last word.
 func (c *Core) expire(q *request) {
 	if q.open != nil {
-		c.giveUp(q.open, decide.Timeout)
+		c.giveUp(q.open, routing.Timeout)
 	}
 	if late := c.timers.Clock.Now() - q.lastWord; late > answerEarlyMs {
 		c.log.Warn("the loop was held up at a deadline", zap.Float64("ms", late))
@@ -350,7 +350,7 @@
 	}
 }
 
-func (c *Core) attempt(a decide.Attempt) {
+func (c *Core) attempt(a routing.Attempt) {
 	q := c.requests[a.Request]
 	if q == nil || q.open != nil {
 		return
@@ -361,17 +361,17 @@
 	h := c.hosts[a.Member]
 	// Once the timer has fired nothing else would end it; and nobody waits for one whose client has left since it was decided.
 	if h == nil || q.answered || c.timers.Clock.Now() >= q.lastWord {
-		c.result(t, decide.Moot, Answer{})
+		c.result(t, routing.Moot, Answer{})
 		return
 	}
 	t.host = h
 	if a.GiveUp > 0 {
-		t.timer = c.timers.At(a.GiveUp.Seconds()*1000, func() { c.giveUp(t, decide.Timeout) })
+		t.timer = c.timers.At(a.GiveUp.Seconds()*1000, func() { c.giveUp(t, routing.Timeout) })
 	}
 	if t.before = a.Before.Seconds() * 1000; t.before > 0 {
 		c.timers.At(t.before, func() {
 			if !t.written { // it waits for a connection, or for room on one
-				c.giveUp(t, decide.Moot)
+				c.giveUp(t, routing.Moot)
 			}
 		})
 	}
@@ -381,10 +381,10 @@
 func (c *Core) sendProbe(member string) {
 	t := &attempt{host: c.hosts[member]}
 	if t.host == nil {
-		c.events = append(c.events, decide.Probed{Member: member, Outcome: decide.Moot})
+		c.events = append(c.events, routing.Probed{Member: member, Outcome: routing.Moot})
 		return
 	}
-	t.timer = c.timers.After(probeMs, func() { c.giveUp(t, decide.Timeout) })
+	t.timer = c.timers.After(probeMs, func() { c.giveUp(t, routing.Timeout) })
 	c.assign(t)
 }
 
@@ -408,12 +408,12 @@
 
 // giveUp ends an attempt from this side. Closing its connection is what tells the host. One whose last byte is
 // not out can not run: it was never sent.
-func (c *Core) giveUp(t *attempt, o decide.Outcome) {
+func (c *Core) giveUp(t *attempt, o routing.Outcome) {
 	if t.over {
 		return
 	}
 	if !t.written {
-		o = decide.Moot
+		o = routing.Moot
 	}
 	if l := t.link; l != nil {
 		l.close()
@@ -424,7 +424,7 @@
 }
 
 // result ends an attempt and tells the module.
-func (c *Core) result(t *attempt, o decide.Outcome, a Answer) {
+func (c *Core) result(t *attempt, o routing.Outcome, a Answer) {
 	if t.over {
 		return
 	}
@@ -436,22 +436,22 @@
 	}
 	q := t.request
 	q.open = nil
-	e := decide.Result{
+	e := routing.Result{
 		Request: q.id, Attempt: t.number, Outcome: o, Role: a.Role, Position: c.position(a.Position),
 	}
 	if t.host != nil {
 		e.Member = t.host.ID
 	}
-	if !q.answered && q.stream != nil && o != decide.OK {
+	if !q.answered && q.stream != nil && o != routing.OK {
 		q.answered = true
 		c.replies[q.Class].Error++
 		c.log.Warn("a large answer broke off", zap.String("host", e.Member), zap.Int("outcome", int(o)),
 			zap.Float64("ms since a part moved", c.Now()-q.movedAt))
 		q.stream.Cut()
 	}
-	if !q.answered && (o == decide.OK || a.Final) {
+	if !q.answered && (o == routing.OK || a.Final) {
 		q.answered = true
-		if o == decide.OK {
+		if o == routing.OK {
 			c.replies[q.Class].Success++
 			q.Reply.Served(a.Body)
 		} else {
@@ -459,35 +459,35 @@
 			q.Reply.Failed(a.Body)
 		}
 	}
-	if o == decide.Error {
+	if o == routing.Error {
 		q.words = a.Body
 	}
-	if o == decide.OK && e.Position == 0 && c.set.Classes[q.Class].Need == decide.NeedPrimary {
+	if o == routing.OK && e.Position == 0 && c.set.Classes[q.Class].Need == routing.NeedPrimary {
 		e.Position = c.position(c.timers.Clock.Now()) // a commit that is told nowhere is no later
 	}
 	e.Done = q.answered
 	if a.Final { // the statement's own error: the host did its part, and nothing was written
-		e.Outcome = decide.OK
+		e.Outcome = routing.OK
 	}
 	c.events = append(c.events, e)
 	c.forget(q)
 }
 
-func (c *Core) probed(t *attempt, o decide.Outcome, a Answer) {
-	e := decide.Probed{Member: t.host.ID, Outcome: o, Role: a.Role, Position: c.position(a.Position)}
-	if o == decide.OK {
+func (c *Core) probed(t *attempt, o routing.Outcome, a Answer) {
+	e := routing.Probed{Member: t.host.ID, Outcome: o, Role: a.Role, Position: c.position(a.Position)}
+	if o == routing.OK {
 		if role, position, ok := c.report(a.Body); ok {
 			e.Role, e.Position = role, c.position(position)
 		}
 	}
-	if e.Role == decide.RolePrimary && e.Position == 0 { // it stands at the present
+	if e.Role == routing.RolePrimary && e.Position == 0 { // it stands at the present
 		e.Position = c.position(c.timers.Clock.Now())
 	}
 	c.events = append(c.events, e)
 }
 
 // position turns a time since 1970 into a position of the module's.
-func (c *Core) position(unixMs float64) decide.Position {
+func (c *Core) position(unixMs float64) routing.Position {
 	if !(unixMs > 0 && unixMs < math.MaxInt64/1e6) {
 		return 0
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -9,8 +9,8 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/loop"
+	"merlinjunction/routing"
 )
 
 // bench drives a Core on a clock of its own, with connections that do what the test says.
@@ -55,28 +55,28 @@
 	t.Helper()
 	b := &bench{now: 1000}
 	b.timers = &loop.Timers{Clock: loop.ManualClock(&b.now)}
-	set := decide.Settings{
-		Classes: []decide.Class{
-			{Name: "read", Need: decide.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
-			{Name: "write", Need: decide.NeedPrimary, Effect: decide.EffectUnsafe, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
-			{Name: "keyed", Need: decide.NeedPrimary, Effect: decide.EffectKeyed, Aim: 400 * time.Millisecond, Deadline: time.Second,
+	set := routing.Settings{
+		Classes: []routing.Class{
+			{Name: "read", Need: routing.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
+			{Name: "write", Need: routing.NeedPrimary, Effect: routing.EffectUnsafe, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
+			{Name: "keyed", Need: routing.NeedPrimary, Effect: routing.EffectKeyed, Aim: 400 * time.Millisecond, Deadline: time.Second,
 				RepeatWindow: 200 * time.Millisecond, Worth: 1, LateWorth: 0.5},
 		},
-		Routers: 1, MaxAttempts: 4, MayCancel: true, DrainGrace: 300 * time.Millisecond, Check: decide.CheckRefuse,
+		Routers: 1, MaxAttempts: 4, MayCancel: true, DrainGrace: 300 * time.Millisecond, Check: routing.CheckRefuse,
 	}
 	var err error
 	b.Core, err = New(b.timers, zap.NewNop(), set, 1, Limits{ConnectMs: 250, IdleMs: 3000, Conns: 4, Requests: 3}, b, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.list(decide.Ready, hosts...)
+	b.list(routing.Ready, hosts...)
 	return b
 }
 
-func (b *bench) list(s decide.State, ids ...string) {
+func (b *bench) list(s routing.State, ids ...string) {
 	var list []Host
 	for _, id := range ids {
-		list = append(list, Host{Addr: id, Member: decide.Member{ID: id, State: s}})
+		list = append(list, Host{Addr: id, Member: routing.Member{ID: id, State: s}})
 	}
 	b.SetHosts(true, list)
 	b.Step()
@@ -130,7 +130,7 @@
 	if !b.conns[0].closed {
 		t.Error("giving up did not close the connection")
 	}
-	b.conns[0].owner.Answered(Answer{Outcome: decide.OK}) // too late
+	b.conns[0].owner.Answered(Answer{Outcome: routing.OK}) // too late
 	b.pass(10)
 	b.want(t, "1495 failed ")
 }
@@ -153,7 +153,7 @@
 func TestSlowConnectIsCheckedAgainstTheDrain(t *testing.T) {
 	b := newBench(t, "a")
 	b.submit(0, 900)
-	b.list(decide.Draining, "a")
+	b.list(routing.Draining, "a")
 	b.now += 290
 	b.conns[0].owner.Up()
 	if len(b.conns[0].sent) != 0 {
@@ -172,7 +172,7 @@
 		if i == 0 {
 			b.conns[0].owner.Up()
 		}
-		b.conns[0].owner.Answered(Answer{Outcome: decide.OK, Body: []byte("x")})
+		b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Body: []byte("x")})
 		b.pass(settleMs)
 	}
 	b.want(t, "1000 served x", "1002 served x")
@@ -192,7 +192,7 @@
 		b := newBench(t, "a")
 		b.submit(0, 500)
 		b.conns[0].owner.Up()
-		b.conns[0].owner.Answered(Answer{Outcome: decide.OK, Body: []byte("x")})
+		b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Body: []byte("x")})
 		b.submit(0, 500)
 		if len(b.conns[0].sent) != 1 {
 			t.Error("sent in the round of the answer before")
@@ -215,7 +215,7 @@
 	b := newBench(t, "a")
 	b.submit(0, 500)
 	b.conns[0].owner.Up()
-	b.conns[0].owner.Answered(Answer{Outcome: decide.OK, Body: []byte("x"), Last: true})
+	b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Body: []byte("x"), Last: true})
 	b.submit(0, 500)
 	if !b.conns[0].closed || len(b.conns) != 2 {
 		t.Errorf("closed %v, %d connections", b.conns[0].closed, len(b.conns))
@@ -253,14 +253,14 @@
 	for _, c := range []struct{ gateways, least, most int }{{1, 9, 11}, {300, 3, 5}} {
 		b := &bench{now: 1000}
 		b.timers = &loop.Timers{Clock: loop.ManualClock(&b.now)}
-		set := decide.Settings{Classes: []decide.Class{{Name: "read", Need: decide.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1}},
-			Routers: c.gateways, MaxAttempts: 4, Check: decide.CheckRefuse}
+		set := routing.Settings{Classes: []routing.Class{{Name: "read", Need: routing.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1}},
+			Routers: c.gateways, MaxAttempts: 4, Check: routing.CheckRefuse}
 		var err error
 		b.Core, err = New(b.timers, zap.NewNop(), set, 1, Limits{ConnectMs: 250, IdleMs: 60_000, Conns: 4, Requests: 3, GreetMs: 1000}, b, "greeting", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.list(decide.Ready, "a")
+		b.list(routing.Ready, "a")
 		for range 1000 {
 			for _, conn := range b.conns {
 				conn := conn
--- a/internal/state/stream.go
+++ b/internal/state/stream.go
@@ -1,6 +1,6 @@
 package state
 
-import "merlinjunction/decide"
+import "merlinjunction/routing"
 
 // Begin hands a large answer to its client as it comes, if the front can take it so.
 func (l *link) Begin(resume func()) bool {
@@ -17,7 +17,7 @@
 	q.timer.Stop()
 	t.timer.Stop()
 	q.stream, q.movedAt = stream, c.Now()
-	c.events = append(c.events, decide.Started{Request: q.id})
+	c.events = append(c.events, routing.Started{Request: q.id})
 	c.watchStream(t)
 	return true
 }
@@ -40,7 +40,7 @@
 func (c *Core) watchStream(t *attempt) {
 	t.timer = c.timers.At(t.request.movedAt+stallMs, func() {
 		if c.Now() >= t.request.movedAt+stallMs {
-			c.giveUp(t, decide.Timeout)
+			c.giveUp(t, routing.Timeout)
 			return
 		}
 		c.watchStream(t)
--- a/internal/state/stream_test.go
+++ b/internal/state/stream_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"merlinjunction/decide"
+	"merlinjunction/routing"
 )
 
 // streamed is a reply that takes large answers, as far as there is room.
@@ -28,7 +28,7 @@
 	}{
 		{"whole", func(b *bench, _ uint64) {
 			b.pass(3000)
-			b.conns[0].owner.Answered(Answer{Outcome: decide.OK, Body: []byte("end")})
+			b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Body: []byte("end")})
 		}, []string{"1000 begins", "4000 served end"}, Replies{Success: 1}},
 		{"broken", func(b *bench, _ uint64) { b.conns[0].owner.Down(nil) }, []string{"1000 begins", "1000 cut"}, Replies{Error: 1}},
 		{"stalled", func(b *bench, _ uint64) { b.pass(2 * stallMs) }, []string{"1000 begins", "7000 cut"}, Replies{Error: 1}},
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
 // Package wire reads and writes the simulator's text protocol and turns it into the events and actions of
-// package decide. It decides nothing.
+// package routing. It decides nothing.
 package wire
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"merlinjunction/decide"
+	"merlinjunction/routing"
 )
 
 const (
@@ -31,13 +31,13 @@
 	Instance int
 	Create   *Create
 	Kill     bool
-	Event    decide.Event
+	Event    routing.Event
 }
 
 // Create starts an instance.
 type Create struct {
 	Seed     uint64
-	Settings decide.Settings
+	Settings routing.Settings
 }
 
 // instance is what the decoder must know of one to read its lines.
@@ -50,7 +50,7 @@
 type Decoder struct {
 	scan      *bufio.Scanner
 	line      int
-	sheets    [sheetSlots][]decide.Member
+	sheets    [sheetSlots][]routing.Member
 	filled    [sheetSlots]bool
 	instances map[int]*instance
 	current   int
@@ -177,7 +177,7 @@
 	if err := f.close(); err != nil {
 		return fmt.Errorf("sheet: %w", err)
 	}
-	var members []decide.Member
+	var members []routing.Member
 	for range n {
 		line, err := d.read()
 		if err == io.EOF {
@@ -190,12 +190,12 @@
 		if w := f.word(); w != "member" {
 			return fmt.Errorf("sheet: expected member, not %q", w)
 		}
-		m := decide.Member{ID: f.text()}
+		m := routing.Member{ID: f.text()}
 		m.Zone = f.word()
 		f.word() // kind
 		m.Primary = f.optional() == "1"
 		m.Group = f.integer(0, math.MaxInt32)
-		m.State = map[int]decide.State{0: decide.Gone, 1: decide.Ready, 2: decide.Draining}[f.integer(0, 2)]
+		m.State = map[int]routing.State{0: routing.Gone, 1: routing.Ready, 2: routing.Draining}[f.integer(0, 2)]
 		f.word() // weight
 		m.Started = f.millis()
 		if err := f.close(); err != nil {
@@ -208,33 +208,33 @@
 }
 
 // readers has the events that need an instance.
-var readers = map[string]func(*Decoder, *instance, *fields) decide.Event{
+var readers = map[string]func(*Decoder, *instance, *fields) routing.Event{
 	"view":                readView,
 	"demand":              readDemand,
 	"result":              readResult,
 	"sampled":             readSampled,
 	"first_byte":          readFirstByte,
-	"cancelled_by_client": func(_ *Decoder, _ *instance, f *fields) decide.Event { return decide.ClientGone{Request: f.id()} },
+	"cancelled_by_client": func(_ *Decoder, _ *instance, f *fields) routing.Event { return routing.ClientGone{Request: f.id()} },
 	"wake":                readWake,
 	"datagram":            readDatagram,
 }
 
-func readView(d *Decoder, _ *instance, f *fields) decide.Event {
+func readView(d *Decoder, _ *instance, f *fields) routing.Event {
 	f.unsigned()
 	slot, scope := f.optional(), f.integer(0, 3)
 	if scope == 3 {
-		return decide.List{Failed: true}
+		return routing.List{Failed: true}
 	}
 	n, err := strconv.Atoi(slot)
 	if err != nil || n < 0 || n >= sheetSlots || !d.filled[n] {
 		f.fail(fmt.Errorf("sheet %s was never filled", slot))
 		return nil
 	}
-	return decide.List{Full: scope != 0, Members: d.sheets[n]}
+	return routing.List{Full: scope != 0, Members: d.sheets[n]}
 }
 
-func readDemand(_ *Decoder, in *instance, f *fields) decide.Event {
-	e := decide.Request{ID: f.id(), Tenant: -1}
+func readDemand(_ *Decoder, in *instance, f *fields) routing.Event {
+	e := routing.Request{ID: f.id(), Tenant: -1}
 	if tenant := f.optional(); tenant != "" && tenant != "0" {
 		i, ok := in.tenants[tenant]
 		if !ok {
@@ -257,8 +257,8 @@
 	return e
 }
 
-func readResult(_ *Decoder, _ *instance, f *fields) decide.Event {
-	e := decide.Result{Request: f.id(), Attempt: f.integer(0, math.MaxInt32), Member: f.text(), Outcome: f.outcome()}
+func readResult(_ *Decoder, _ *instance, f *fields) routing.Event {
+	e := routing.Result{Request: f.id(), Attempt: f.integer(0, math.MaxInt32), Member: f.text(), Outcome: f.outcome()}
 	f.millis()
 	e.Done = f.flag()
 	mark := f.number()
@@ -272,55 +272,55 @@
 	return e
 }
 
-func readSampled(_ *Decoder, _ *instance, f *fields) decide.Event {
+func readSampled(_ *Decoder, _ *instance, f *fields) routing.Event {
 	f.millis()
-	e := decide.Probed{Member: f.text(), Outcome: f.outcome()}
+	e := routing.Probed{Member: f.text(), Outcome: f.outcome()}
 	report := f.report()
 	if x, ok := report["x0"]; ok {
 		e.Position = max(0, time.Duration(math.Floor(x*1e6))*time.Microsecond)
 	}
 	if x, ok := report["x1"]; ok {
-		e.Role = decide.RoleReplica
+		e.Role = routing.RoleReplica
 		if x == 1 {
-			e.Role = decide.RolePrimary
+			e.Role = routing.RolePrimary
 		}
 	}
 	return e
 }
 
-func readFirstByte(_ *Decoder, _ *instance, f *fields) decide.Event {
-	e := decide.Started{Request: f.id()}
+func readFirstByte(_ *Decoder, _ *instance, f *fields) routing.Event {
+	e := routing.Started{Request: f.id()}
 	f.millis()
 	f.text()
 	f.integer(0, math.MaxInt32)
 	return e
 }
 
-func readWake(_ *Decoder, _ *instance, f *fields) decide.Event {
+func readWake(_ *Decoder, _ *instance, f *fields) routing.Event {
 	f.unsigned()
-	return decide.Woken{}
+	return routing.Woken{}
 }
 
 // readDatagram skips a peer's message: the module sends none and listens to none.
-func readDatagram(_ *Decoder, _ *instance, f *fields) decide.Event {
+func readDatagram(_ *Decoder, _ *instance, f *fields) routing.Event {
 	f.unsigned()
 	f.optional()
 	return nil
 }
 
-func role(n int64) decide.Role {
+func role(n int64) routing.Role {
 	switch n {
 	case 1:
-		return decide.RolePrimary
+		return routing.RolePrimary
 	case 2:
-		return decide.RoleReplica
+		return routing.RoleReplica
 	}
-	return decide.RoleUnknown
+	return routing.RoleUnknown
 }
 
-var outcomes = map[string]decide.Outcome{
-	"200": decide.OK, "204": decide.Miss, "429": decide.Full, "521": decide.NoConnection, "409": decide.Moot,
-	"502": decide.Error, "408": decide.Timeout, "520": decide.Broken, "444": decide.Cancelled,
+var outcomes = map[string]routing.Outcome{
+	"200": routing.OK, "204": routing.Miss, "429": routing.Full, "521": routing.NoConnection, "409": routing.Moot,
+	"502": routing.Error, "408": routing.Timeout, "520": routing.Broken, "444": routing.Cancelled,
 }
 
 // fields takes a line apart, value by value, and keeps the first thing that was wrong with it.
@@ -432,7 +432,7 @@
 
 func (f *fields) flag() bool { return f.integer(0, 1) == 1 }
 
-func (f *fields) outcome() decide.Outcome {
+func (f *fields) outcome() routing.Outcome {
 	w := f.word()
 	o, ok := outcomes[w]
 	if !ok {
--- a/internal/wire/discovery/discovery.go
+++ b/internal/wire/discovery/discovery.go
@@ -16,10 +16,10 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/decide"
 	"merlinjunction/fleet"
 	"merlinjunction/internal/loop"
 	"merlinjunction/internal/state"
+	"merlinjunction/routing"
 )
 
 const (
@@ -42,7 +42,7 @@
 	} `json:"members"`
 }
 
-var phases = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Gone}
+var phases = map[string]routing.State{"active": routing.Ready, "leaving": routing.Draining, "left": routing.Gone}
 
 // Hosts turns the entries into the core's. The error names the first one that can't be used; all others are returned.
 func (d *Document) Hosts() (hosts []state.Host, bad error) {
@@ -55,7 +55,7 @@
 			err = fmt.Errorf("host list: the entry with host_port %q has no id", m.HostPort)
 		case !known:
 			err = fmt.Errorf("host list: entry %q: unknown phase %q", m.ID, m.Phase)
-		case noAddr != nil && phase == decide.Ready: // one that is to be left alone needs none
+		case noAddr != nil && phase == routing.Ready: // one that is to be left alone needs none
 			err = fmt.Errorf("host list: entry %q: host_port %q is no address and port", m.ID, m.HostPort)
 		case !(m.UpSinceMs >= 0 && m.UpSinceMs < math.MaxInt64/1e6):
 			err = fmt.Errorf("host list: entry %q: up_since_ms is out of range", m.ID)
@@ -64,7 +64,7 @@
 			bad = cmp.Or(bad, err)
 			continue
 		}
-		hosts = append(hosts, state.Host{Addr: m.HostPort, Member: decide.Member{
+		hosts = append(hosts, state.Host{Addr: m.HostPort, Member: routing.Member{
 			ID: m.ID, Group: m.Cell, Zone: m.Locality, Primary: m.Role == "leader", State: phase,
 			Started: time.Duration(m.UpSinceMs*1000) * time.Microsecond,
 		}})
--- a/internal/wire/discovery/silence_test.go
+++ b/internal/wire/discovery/silence_test.go
@@ -8,9 +8,9 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/loop"
 	"merlinjunction/internal/state"
+	"merlinjunction/routing"
 )
 
 // agent is a stand-in for discovery on the test's own loop: what it does with each call follows a list of words, the last
@@ -150,7 +150,7 @@
 					}
 					w := Watch(l, zap.NewNop(), ln.Addr(), Fleet{Size: 300, Grace: grace, Seed: 7, Pushed: pushed, Since: 4},
 						func(_ bool, hosts []state.Host, told float64) {
-							if hosts[0].State == decide.Draining && heard == 0 {
+							if hosts[0].State == routing.Draining && heard == 0 {
 								heard, toldAt = now, told
 							}
 						})
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"merlinjunction/decide"
+	"merlinjunction/routing"
 )
 
 // Encoder writes replies.
@@ -22,7 +22,7 @@
 }
 
 // Actions writes one instance's actions.
-func (e *Encoder) Actions(instance int, actions []decide.Action) {
+func (e *Encoder) Actions(instance int, actions []routing.Action) {
 	for _, a := range actions {
 		e.from(instance)
 		e.line(words(a)...)
@@ -60,23 +60,23 @@
 	e.w.WriteByte('\n')
 }
 
-func words(a decide.Action) []string {
+func words(a routing.Action) []string {
 	switch a := a.(type) {
-	case decide.Attempt:
+	case routing.Attempt:
 		return []string{"attempt", id(a.Request), a.Member, millis(a.GiveUp)}
-	case decide.Cancel:
+	case routing.Cancel:
 		return []string{"drop_attempt", id(a.Request), strconv.Itoa(a.Attempt)}
-	case decide.Refuse:
+	case routing.Refuse:
 		return []string{"refuse", id(a.Request), millis(a.After)}
-	case decide.Fail:
+	case routing.Fail:
 		return []string{"lose", id(a.Request)}
-	case decide.Probe:
+	case routing.Probe:
 		return []string{"touch", a.Member}
-	case decide.Subscribe:
+	case routing.Subscribe:
 		return []string{"listen", "1"}
-	case decide.Wake:
+	case routing.Wake:
 		return []string{"sleep", millis(a.In), "0"}
-	case decide.Log:
+	case routing.Log:
 		return []string{"log", oneLine(a.Text)}
 	}
 	panic("wire: unknown action")
--- a/internal/wire/pg/host.go
+++ b/internal/wire/pg/host.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"strings"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/loop"
 	"merlinjunction/internal/state"
+	"merlinjunction/routing"
 )
 
 // MaxMessage bounds a message in either direction: a value of 64 KiB as hexadecimal text, with room to spare.
@@ -84,13 +84,13 @@
 	busy    Command
 	written bool
 	answer  state.Answer
-	failed  string      // SQLSTATE of the answer's first error
-	role    decide.Role // as last told, where that holds until it changes
-	stream  bool        // a large row is, or was, passed on as it comes
-	ahead   []byte      // what goes to the client before the rest of that row
-	left    int         // of the row
-	row     rowCheck    // what is passed on of it
-	ended   bool        // the host sends no more; what it has sent is still passed on
+	failed  string       // SQLSTATE of the answer's first error
+	role    routing.Role // as last told, where that holds until it changes
+	stream  bool         // a large row is, or was, passed on as it comes
+	ahead   []byte       // what goes to the client before the rest of that row
+	left    int          // of the row
+	row     rowCheck     // what is passed on of it
+	ended   bool         // the host sends no more; what it has sent is still passed on
 }
 
 // A Streamed command can have a large row passed on before its answer is whole.
@@ -293,9 +293,9 @@
 		name, value := f.Text(), f.Text()
 		switch name {
 		case c.hosts.Role:
-			role := map[string]decide.Role{
-				c.hosts.Primary: decide.RolePrimary, c.hosts.Replica: decide.RoleReplica}[value]
-			if role != decide.RoleUnknown { // what can't be read tells nothing
+			role := map[string]routing.Role{
+				c.hosts.Primary: routing.RolePrimary, c.hosts.Replica: routing.RoleReplica}[value]
+			if role != routing.RoleUnknown { // what can't be read tells nothing
 				c.answer.Role = role
 			}
 			if c.hosts.Sticky {
@@ -361,7 +361,7 @@
 	a.Last = more || c.ended
 	a.Outcome = outcomeOf(c.failed)
 	a.Final = final(c.failed)
-	if a.Role == decide.RoleUnknown {
+	if a.Role == routing.RoleUnknown {
 		a.Role = c.role
 	}
 	c.busy, c.answer = nil, state.Answer{}
@@ -370,16 +370,16 @@
 }
 
 // outcomeOf tells what an answer's SQLSTATE says of the attempt.
-func outcomeOf(sqlstate string) decide.Outcome {
+func outcomeOf(sqlstate string) routing.Outcome {
 	switch sqlstate {
 	case "":
-		return decide.OK
+		return routing.OK
 	case stateReadOnly, stateTooOld:
-		return decide.Miss
+		return routing.Miss
 	case StateTooManyConnections, StateCannotConnectNow:
-		return decide.Full
+		return routing.Full
 	}
-	return decide.Error
+	return routing.Error
 }
 
 // final tells whether an error is the statement's own: any host would give it, and the client is to see it.
@@ -423,7 +423,7 @@
 func (Greeting) Whole(answer []byte) bool { return Shape(answer) == "I" }
 
 // ReadReport reads the row that answers a Probe: the position in seconds since 1970 becomes milliseconds.
-func ReadReport(answer []byte) (role decide.Role, position float64, ok bool) {
+func ReadReport(answer []byte) (role routing.Role, position float64, ok bool) {
 	if !(Probe{}).Whole(answer) {
 		return 0, 0, false
 	}
@@ -433,7 +433,7 @@
 	if f.Int16() != 1 {
 		return 0, 0, false
 	}
-	role = decide.RoleReplica
+	role = routing.RoleReplica
 	for part := range strings.SplitSeq(string(f.Value()), ",") {
 		name, text, _ := strings.Cut(part, "=")
 		v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
@@ -445,7 +445,7 @@
 			position, ok = v*1000, true
 		case "x1":
 			if v == 1 {
-				role = decide.RolePrimary
+				role = routing.RolePrimary
 			}
 		}
 	}
--- a/internal/wire/pg/pg_test.go
+++ b/internal/wire/pg/pg_test.go
@@ -8,8 +8,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"merlinjunction/decide"
 	"merlinjunction/internal/loop"
+	"merlinjunction/routing"
 )
 
 // The bytes are written out by hand from PostgreSQL's documentation of message formats.
@@ -54,9 +54,9 @@
 }
 
 func TestWhatAnAnswerSaysOfTheAttempt(t *testing.T) {
-	for state, want := range map[string]decide.Outcome{
-		"": decide.OK, "25006": decide.Miss, "72000": decide.Miss, "53300": decide.Full, "57P03": decide.Full,
-		"XX000": decide.Error, "57P01": decide.Error, "42601": decide.Error,
+	for state, want := range map[string]routing.Outcome{
+		"": routing.OK, "25006": routing.Miss, "72000": routing.Miss, "53300": routing.Full, "57P03": routing.Full,
+		"XX000": routing.Error, "57P01": routing.Error, "42601": routing.Error,
 	} {
 		if got := outcomeOf(state); got != want {
 			t.Errorf("%s: %v", state, got)
@@ -219,10 +219,10 @@
 		return Texts(row, MsgComplete, "SHOW")
 	}
 	role, position, ok := ReadReport(row("x0=1767225600.125,x1=1,inflight=7"))
-	if !ok || role != decide.RolePrimary || position != 1767225600125 {
+	if !ok || role != routing.RolePrimary || position != 1767225600125 {
 		t.Errorf("%v %v %v", role, position, ok)
 	}
-	if role, _, ok := ReadReport(row("x0=5,x1=0")); !ok || role != decide.RoleReplica {
+	if role, _, ok := ReadReport(row("x0=5,x1=0")); !ok || role != routing.RoleReplica {
 		t.Errorf("%v %v", role, ok)
 	}
 	for _, bad := range [][]byte{nil, row(""), row("x0=NaN"), row("x1=1"), row("x0=1,x1=1")[:26], {'D', 0, 0, 0, 4}} {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"merlinjunction/decide"
+	"merlinjunction/routing"
 )
 
 // profile is the settings object of a create line. Keys that are not named here are skipped.
@@ -47,15 +47,15 @@
 }
 
 var (
-	needs = map[string]decide.Need{
-		"any": decide.NeedAny, "bounded": decide.NeedBounded, "session": decide.NeedSession,
-		"fresh": decide.NeedFresh, "write": decide.NeedPrimary,
+	needs = map[string]routing.Need{
+		"any": routing.NeedAny, "bounded": routing.NeedBounded, "session": routing.NeedSession,
+		"fresh": routing.NeedFresh, "write": routing.NeedPrimary,
 	}
-	effects = map[string]decide.Effect{
-		"read_like": decide.EffectSafe, "idempotency_key": decide.EffectKeyed, "non_idempotent": decide.EffectUnsafe,
+	effects = map[string]routing.Effect{
+		"read_like": routing.EffectSafe, "idempotency_key": routing.EffectKeyed, "non_idempotent": routing.EffectUnsafe,
 	}
-	checks = map[string]decide.Check{
-		"silent": decide.CheckNone, "refuse": decide.CheckRefuse, "wait": decide.CheckWait,
+	checks = map[string]routing.Check{
+		"silent": routing.CheckNone, "refuse": routing.CheckRefuse, "wait": routing.CheckWait,
 	}
 	modes  = map[string]bool{"automatic": false, "subscribe": true}
 	tokens = map[string]bool{"remembered": false, "carried": true}
@@ -90,9 +90,9 @@
 }
 
 // DecodeSettings reads the settings object of a create line, which a real gateway has in its configuration.
-func DecodeSettings(text string) (decide.Settings, error) {
+func DecodeSettings(text string) (routing.Settings, error) {
 	var p profile
-	var s decide.Settings
+	var s routing.Settings
 	if err := json.Unmarshal([]byte(text), &p); err != nil {
 		return s, fmt.Errorf("settings: %w", err)
 	}
@@ -122,7 +122,7 @@
 			return s, fmt.Errorf("setting Services[] %q: HardLimitMs or AimMs is not above 0", c.Name)
 		}
 		names[c.Name] = true
-		class := decide.Class{
+		class := routing.Class{
 			Name: c.Name, MaxAge: duration(f.MaxAgeMs[i]), RepeatAnyHost: c.Group == "all",
 			RepeatWindow: duration(c.DedupWindowMs), Aim: duration(c.AimMs), Deadline: duration(c.HardLimitMs),
 			Worth: c.Worth, LateWorth: c.LateWorth,
@@ -141,7 +141,7 @@
 			return s, fmt.Errorf("setting Tenants[].Name: %q is empty or stands there twice", t.Name)
 		}
 		names[t.Name] = true
-		s.Tenants = append(s.Tenants, decide.Tenant{Name: t.Name, Quota: t.QuotaRps})
+		s.Tenants = append(s.Tenants, routing.Tenant{Name: t.Name, Quota: t.QuotaRps})
 	}
 	s.OverShareWorth, s.Routers, s.Tick = p.OverShareWorth, *p.Balancers, duration(p.TickMs)
 	s.Zone = p.Zone
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"merlinjunction/decide"
+	"merlinjunction/routing"
 )
 
 const profileText = `{"Balancers": 3, "Unknown": [1], "Services": [{"Name": "read", "Effect": "read_like", "Group": "all",` +
@@ -62,34 +62,34 @@
 	}
 	c := got[0].Create
 	if c == nil || c.Seed != 42 || c.Settings.Epoch != 1000500*time.Microsecond || c.Settings.Routers != 3 ||
-		c.Settings.Classes[1].Need != decide.NeedPrimary || c.Settings.Classes[1].RepeatWindow != 1200*time.Millisecond {
+		c.Settings.Classes[1].Need != routing.NeedPrimary || c.Settings.Classes[1].RepeatWindow != 1200*time.Millisecond {
 		t.Fatalf("create: %+v", c)
 	}
-	list := got[1].Event.(decide.List)
-	if !list.Full || len(list.Members) != 2 || !list.Members[0].Primary || list.Members[1].State != decide.Draining ||
+	list := got[1].Event.(routing.List)
+	if !list.Full || len(list.Members) != 2 || !list.Members[0].Primary || list.Members[1].State != routing.Draining ||
 		list.Members[1].Started != 6100*time.Millisecond {
 		t.Fatalf("view: %+v", list)
 	}
-	want := []decide.Event{
-		decide.Request{
+	want := []routing.Event{
+		routing.Request{
 			ID: 930016602526148, Class: 1, Tenant: 0, Group: 11, Session: "91f03b7c55d20a64",
 			WroteAgo: 240 * time.Millisecond, Left: 412500 * time.Microsecond, Repeat: true,
 		},
-		decide.Result{
+		routing.Result{
 			Request: 930016602526148, Attempt: 1, Member: "10.18.74.7:9003", Done: true,
-			Role: decide.RoleReplica, Position: 6371 * time.Millisecond,
+			Role: routing.RoleReplica, Position: 6371 * time.Millisecond,
 		},
-		decide.Probed{Member: "10.144.17.242:9044", Role: decide.RoleReplica, Position: 6204 * time.Millisecond},
-		decide.Started{Request: 930016602526148},
-		decide.ClientGone{Request: 1819816540187417},
-		decide.Woken{},
+		routing.Probed{Member: "10.144.17.242:9044", Role: routing.RoleReplica, Position: 6204 * time.Millisecond},
+		routing.Started{Request: 930016602526148},
+		routing.ClientGone{Request: 1819816540187417},
+		routing.Woken{},
 	}
 	for i, w := range want {
 		if got[2+i].Event != w {
 			t.Errorf("event %d: got %+v, want %+v", i, got[2+i].Event, w)
 		}
 	}
-	if l := got[8].Event.(decide.List); !l.Failed {
+	if l := got[8].Event.(routing.List); !l.Failed {
 		t.Errorf("failed view: %+v", l)
 	}
 	if !got[9].Kill || got[9].Instance != 3 {
@@ -130,10 +130,10 @@
 func TestEncodeActions(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
-	e.Actions(3, []decide.Action{
-		decide.Attempt{Request: 1, Member: "m:1", GiveUp: 8492250 * time.Microsecond}, decide.Cancel{Request: 1},
-		decide.Refuse{Request: 2, After: 250 * time.Millisecond}, decide.Fail{Request: 3}, decide.Probe{Member: "m:1"},
-		decide.Subscribe{}, decide.Wake{In: 500 * time.Microsecond}, decide.Log{Text: "two\nlines"},
+	e.Actions(3, []routing.Action{
+		routing.Attempt{Request: 1, Member: "m:1", GiveUp: 8492250 * time.Microsecond}, routing.Cancel{Request: 1},
+		routing.Refuse{Request: 2, After: 250 * time.Millisecond}, routing.Fail{Request: 3}, routing.Probe{Member: "m:1"},
+		routing.Subscribe{}, routing.Wake{In: 500 * time.Microsecond}, routing.Log{Text: "two\nlines"},
 	})
 	e.InternalError(5, "broke\nhere")
 	if err := e.Flush(); err != nil {
@@ -208,7 +208,7 @@
 	}
 	f := file.Settings["FamilyInfo"].(map[string]any)
 	lists := [][]any{file.Settings["Services"].([]any), f["NeedsByClass"].([]any), f["MaxAgeMs"].([]any)}
-	decode := func() map[string]decide.Class {
+	decode := func() map[string]routing.Class {
 		text, err := json.Marshal(file.Settings)
 		if err != nil {
 			t.Fatal(err)
@@ -217,7 +217,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		classes := map[string]decide.Class{}
+		classes := map[string]routing.Class{}
 		for _, c := range s.Classes {
 			classes[c.Name] = c
 		}
--- a/decide/api.go
+++ b/routing/api.go
@@ -10,7 +10,7 @@
 // with. Events about requests, attempts or members that the Router doesn't know,
 // or that come twice or late, are ignored; a clock that goes back stands still.
 // A Router that holds nothing asks for no Wake.
-package decide
+package routing
 
 import (
 	"time"
--- a/decide/decide.go
+++ b/routing/decide.go
@@ -1,7 +1,7 @@
 // The interface (Settings, events, actions) is api.go. This file holds every decision, top to bottom: tuned
 // values, Step, sessions, choosing a member, the primary, health, ends, upkeep. The mechanism is Harmonia's,
 // kept per router and per session; docs/design.md tells what was changed and when.
-package decide
+package routing
 
 import (
 	"cmp"
--- a/decide/named_test.go
+++ b/routing/named_test.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 import (
 	"testing"
--- a/decide/validate.go
+++ b/routing/validate.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 import "fmt"
 
@@ -6,22 +6,22 @@
 func (s *Settings) validate() error {
 	switch {
 	case len(s.Classes) == 0:
-		return fmt.Errorf("decide: Classes is empty")
+		return fmt.Errorf("routing: Classes is empty")
 	case s.MaxAttempts < 1 || s.Routers < 1:
-		return fmt.Errorf("decide: MaxAttempts or Routers is below 1")
+		return fmt.Errorf("routing: MaxAttempts or Routers is below 1")
 	case s.Index < 0 || s.Subset < 0:
-		return fmt.Errorf("decide: Index or Subset is below 0")
+		return fmt.Errorf("routing: Index or Subset is below 0")
 	case min(s.ColdTime, s.DrainGrace, s.Tick, s.MaxHint) < 0 || min(s.ColdShare, s.TipMultiple) < 0:
-		return fmt.Errorf("decide: a time, ColdShare or TipMultiple is out of range")
+		return fmt.Errorf("routing: a time, ColdShare or TipMultiple is out of range")
 	}
 	for _, c := range s.Classes {
 		switch {
 		case c.Deadline <= 0 || c.Aim <= 0:
-			return fmt.Errorf("decide: class %q: Aim or Deadline is not above 0", c.Name)
+			return fmt.Errorf("routing: class %q: Aim or Deadline is not above 0", c.Name)
 		case c.Need == NeedBounded && c.MaxAge <= 0:
-			return fmt.Errorf("decide: class %q: MaxAge is not above 0", c.Name)
+			return fmt.Errorf("routing: class %q: MaxAge is not above 0", c.Name)
 		case c.Need < NeedAny || c.Need > NeedPrimary || c.Effect < EffectSafe || c.Effect > EffectUnsafe:
-			return fmt.Errorf("decide: class %q: Need or Effect is unknown", c.Name)
+			return fmt.Errorf("routing: class %q: Need or Effect is unknown", c.Name)
 		}
 	}
 	return nil
