--- a/internal/faultsim/model/discovery.go
+++ b/internal/faultsim/model/discovery.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"merlinjunction/fleet"
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
 
@@ -17,7 +17,7 @@
 	Rate    float64 // whole lists a second; 0: any number
 	Blind   bool    // it does not tell when hosts started
 	version int
-	entries []state.Host
+	entries []proxy.Host
 	left    float64 // whole lists that it can still write
 	at      float64
 	waiting []*Watch
@@ -43,7 +43,7 @@
 		if !math.IsNaN(h.Started) && !d.Blind {
 			started = time.Duration((Epoch + h.Started) * float64(time.Millisecond))
 		}
-		d.entries = append(d.entries, state.Host{Addr: strconv.Itoa(h.Index), Member: routing.Member{ID: h.ID, Group: h.Group.Index, Zone: h.Zone,
+		d.entries = append(d.entries, proxy.Host{Addr: strconv.Itoa(h.Index), Member: routing.Member{ID: h.ID, Group: h.Group.Index, Zone: h.Zone,
 			Primary: h.Group.Primary == h, State: phase, Started: started}})
 	}
 	list := d.waiting
@@ -136,7 +136,7 @@
 	w.turn++
 	changed := w.d.version > w.since
 	version := w.d.version
-	list := append([]state.Host(nil), w.d.entries...)
+	list := append([]proxy.Host(nil), w.d.entries...)
 	w.after(w.d.world.Link, func() {
 		_, told := w.calls.Answered(w.d.world.Now())
 		w.since = version
--- a/internal/faultsim/model/gateway.go
+++ b/internal/faultsim/model/gateway.go
@@ -14,7 +14,7 @@
 
 	"merlinjunction/fleet"
 	"merlinjunction/internal/loop"
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
 
@@ -29,7 +29,7 @@
 	Zone  string
 
 	world  *World
-	core   *state.Core
+	core   *proxy.Core
 	timers *loop.Timers
 	life   int  // of the process; what belongs to an earlier one is void
 	paused bool // nothing of it runs
@@ -62,9 +62,9 @@
 	g.wrote, g.ends = map[int]float64{}, map[uint64]func(){}
 	g.timers = &loop.Timers{Clock: loop.VirtualClock(func() float64 { return Epoch + g.world.Now() })}
 	set.Zone = g.Zone
-	limits := state.Limits{ConnectMs: 250, IdleMs: 10_000, Conns: 400, Requests: 600}
+	limits := proxy.Limits{ConnectMs: 250, IdleMs: 10_000, Conns: 400, Requests: 600}
 	var err error
-	g.core, err = state.New(g.timers, zap.NewNop(), set, seed, limits, dialer{g}, &Statement{Probe: true}, report)
+	g.core, err = proxy.New(g.timers, zap.NewNop(), set, seed, limits, dialer{g}, &Statement{Probe: true}, report)
 	if err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 type dialer struct{ *Gateway }
 
 // Dial dials.
-func (d dialer) Dial(addr string, owner state.ConnOwner) (state.Conn, error) {
+func (d dialer) Dial(addr string, owner proxy.ConnOwner) (proxy.Conn, error) {
 	index, err := strconv.Atoi(addr)
 	if err != nil || index >= len(d.world.Hosts) {
 		return nil, fmt.Errorf("nobody is at %q", addr)
@@ -252,7 +252,7 @@
 		end(e, ms, stale)
 	}
 	g.hear(func() {
-		_, ok := g.core.Submit(state.Request{Class: class, Tenant: -1, Group: group, Session: fmt.Sprint(s.Session), LeftMs: leftMs,
+		_, ok := g.core.Submit(proxy.Request{Class: class, Tenant: -1, Group: group, Session: fmt.Sprint(s.Session), LeftMs: leftMs,
 			Command: s, Reply: p})
 		if !ok {
 			p.finish(Refused, 0)
--- a/internal/faultsim/model/host.go
+++ b/internal/faultsim/model/host.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"math"
 
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
 
@@ -136,7 +136,7 @@
 	h.tips(now)
 	switch {
 	case now < h.fellAt+fallenMs:
-		c.answer(state.Answer{Outcome: routing.Error})
+		c.answer(proxy.Answer{Outcome: routing.Error})
 	case len(h.queue) >= h.Queue:
 		c.answer(h.result(routing.Full))
 	case s.Write && h.Group.Primary != h:
@@ -206,23 +206,23 @@
 }
 
 // result is an answer with what it tells of the host; its body is up to where the host has applied the log.
-func (h *Host) result(o routing.Outcome) state.Answer {
+func (h *Host) result(o routing.Outcome) proxy.Answer {
 	role := routing.RoleReplica
 	if h.Group.Primary == h {
 		role = routing.RolePrimary
 	}
 	at := h.applied()
-	return state.Answer{Outcome: o, Role: role, Position: Epoch + at, Body: binary.LittleEndian.AppendUint64(nil, math.Float64bits(at))}
+	return proxy.Answer{Outcome: o, Role: role, Position: Epoch + at, Body: binary.LittleEndian.AppendUint64(nil, math.Float64bits(at))}
 }
 
 // Epoch is second 0 of virtual time, in ms since 1970.
 const Epoch = 1_764_000_000_000.0
 
-// conn is a connection between a gateway and a host: state.Conn at one end.
+// conn is a connection between a gateway and a host: proxy.Conn at one end.
 type conn struct {
 	gateway *Gateway
 	host    *Host
-	owner   state.ConnOwner
+	owner   proxy.ConnOwner
 	gone    bool // closed at either end
 }
 
@@ -253,7 +253,7 @@
 
 func (c *conn) welcome() { c.toGateway(func() { c.owner.Up() }) }
 
-func (c *conn) answer(a state.Answer) { c.toGateway(func() { c.owner.Answered(a) }) }
+func (c *conn) answer(a proxy.Answer) { c.toGateway(func() { c.owner.Answered(a) }) }
 
 // drop resets it from the host's side.
 func (c *conn) drop() {
--- a/internal/faultsim/model/model.go
+++ b/internal/faultsim/model/model.go
@@ -1,6 +1,6 @@
 // Package model has the laboratory's models of what surrounds a gateway on virtual time: database hosts with cores, a
 // queue, a connection table, a log and a warm-up; discovery with a bounded rate; and a driver that plays the program's
-// own core (package state, with the decisions in routing and fleet) against them. It is written from the protocol pages.
+// own core (package proxy, with the decisions in routing and fleet) against them. It is written from the protocol pages.
 // All times are milliseconds, all rates a second.
 package model
 
--- a/internal/faultsim/model/model_test.go
+++ b/internal/faultsim/model/model_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
 
@@ -56,17 +56,17 @@
 // peer is the gateway's end of a connection.
 type peer struct {
 	ups, downs, written int
-	got                 []state.Answer
+	got                 []proxy.Answer
 }
 
 func (p *peer) Up()                     { p.ups++ }
 func (p *peer) Written()                { p.written++ }
 func (p *peer) Begin(func()) bool       { return false }
 func (p *peer) Part([]byte) int         { return 0 }
-func (p *peer) Answered(a state.Answer) { p.got = append(p.got, a) }
+func (p *peer) Answered(a proxy.Answer) { p.got = append(p.got, a) }
 func (p *peer) Down(error)              { p.downs++ }
 
-func dial(t *testing.T, w *World, to string) (*peer, state.Conn) {
+func dial(t *testing.T, w *World, to string) (*peer, proxy.Conn) {
 	t.Helper()
 	p, g := &peer{}, w.NewGateway(0, "")
 	if err := g.Start(Settings(&w.Warm, config(), 1), w.NewDiscovery(0), 1); err != nil {
--- a/internal/front/extended/command.go
+++ b/internal/front/extended/command.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"strings"
 
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/internal/wire/pg"
 )
 
@@ -16,7 +16,7 @@
 var (
 	_ pg.Streamed    = executeCommand{}
 	_ pg.Streamed    = queryCommand("")
-	_ state.Streamer = (*session)(nil)
+	_ proxy.Streamer = (*session)(nil)
 	_ pg.Flusher     = (*session)(nil)
 )
 
--- a/internal/front/extended/extended.go
+++ b/internal/front/extended/extended.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/internal/wire/pg"
 	"merlinjunction/routing"
 )
@@ -25,7 +25,7 @@
 
 // Front turns executes into requests to the core.
 type Front struct {
-	Core  *state.Core
+	Core  *proxy.Core
 	Rules *Rules
 	Ready func() bool
 
@@ -519,7 +519,7 @@
 }
 
 func (s *session) submit(class int, name string, command any, then func([]byte)) {
-	r := state.Request{
+	r := proxy.Request{
 		Class: class, Tenant: -1, Group: s.group, Session: name, Command: command, Reply: s,
 		LeftMs: s.front.Rules.Classes[class].Deadline.Seconds() * 1000,
 	}
--- a/internal/front/management/management.go
+++ b/internal/front/management/management.go
@@ -10,7 +10,7 @@
 	"net/http"
 
 	"merlinjunction/internal/loop"
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/internal/wire/httpd"
 )
 
@@ -62,8 +62,8 @@
 
 // Telemetry are the figures.
 type Telemetry struct {
-	Replies map[string]state.Replies `json:"replies"` // by class
-	state.Figures
+	Replies map[string]proxy.Replies `json:"replies"` // by class
+	proxy.Figures
 	ReloadSuccess int    `json:"reload_success"`
 	ReloadFailure int    `json:"reload_failure"`
 	Fleet         *Fleet `json:"fleet,omitempty"` // without members
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/internal/wire/pg"
 	"merlinjunction/routing"
 )
@@ -21,7 +21,7 @@
 
 // Front turns queries into requests to the core.
 type Front struct {
-	Core    *state.Core
+	Core    *proxy.Core
 	Ready   func() bool
 	classes map[string]int
 	tenants map[string]int
@@ -30,7 +30,7 @@
 }
 
 // New returns a Front for the classes and tenants of the settings.
-func New(core *state.Core, set routing.Settings, ready func() bool) *Front {
+func New(core *proxy.Core, set routing.Settings, ready func() bool) *Front {
 	f := &Front{Core: core, Ready: ready, classes: map[string]int{}, tenants: map[string]int{},
 		kinds: set.Classes, open: map[string]bool{}}
 	for i, c := range set.Classes {
@@ -44,7 +44,7 @@
 
 var (
 	_ pg.Streamed    = (*statement)(nil)
-	_ state.Streamer = (*turn)(nil)
+	_ proxy.Streamer = (*turn)(nil)
 	_ pg.Flusher     = (*session)(nil)
 )
 
@@ -64,7 +64,7 @@
 type turn struct {
 	session *session
 	st      *statement // nil where no host is asked
-	request state.Request
+	request proxy.Request
 	since   float64
 	number  uint64 // in the core, once it is submitted
 	sent    bool
@@ -248,22 +248,22 @@
 // request checks a query against the settings and turns it into a request to the core. Guards hosts against what
 // they turn away as 08P01 or close the connection on, and other clients' requests against a second one of their id:
 // an answer to either could be taken for the other's.
-func (f *Front) request(st *statement) (state.Request, error) {
+func (f *Front) request(st *statement) (proxy.Request, error) {
 	class, known := f.classes[st.class]
 	tenant, member := f.tenants[st.tenant]
 	switch {
 	case !known:
-		return state.Request{}, fmt.Errorf("unknown class %q", st.class)
+		return proxy.Request{}, fmt.Errorf("unknown class %q", st.class)
 	case !member && len(f.tenants) > 0:
-		return state.Request{}, fmt.Errorf("unknown tenant %q", st.tenant)
+		return proxy.Request{}, fmt.Errorf("unknown tenant %q", st.tenant)
 	case st.write != (f.kinds[class].Need == routing.NeedPrimary):
-		return state.Request{}, fmt.Errorf("class %q takes no statement of this form", st.class)
+		return proxy.Request{}, fmt.Errorf("class %q takes no statement of this form", st.class)
 	case f.kinds[class].Effect == routing.EffectKeyed && st.once == "":
-		return state.Request{}, fmt.Errorf("class %q needs the idempotency key k", st.class)
+		return proxy.Request{}, fmt.Errorf("class %q needs the idempotency key k", st.class)
 	case f.open[st.id]:
-		return state.Request{}, fmt.Errorf("a request with the id %q is in hand", st.id)
+		return proxy.Request{}, fmt.Errorf("a request with the id %q is in hand", st.id)
 	}
-	r := state.Request{Class: class, Tenant: -1, Group: st.cluster, LeftMs: st.left, Repeat: st.repeat, Command: st}
+	r := proxy.Request{Class: class, Tenant: -1, Group: st.cluster, LeftMs: st.left, Repeat: st.repeat, Command: st}
 	if member {
 		r.Tenant = tenant
 	}
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -9,7 +9,7 @@
 	"os"
 	"strconv"
 
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/internal/wire"
 	"merlinjunction/internal/wire/discovery"
 	"merlinjunction/routing"
@@ -25,7 +25,7 @@
 	MemoryMB, Sockets       int
 	Settings                routing.Settings
 	ConnectMs, IdleMs       float64
-	Known                   []state.Host
+	Known                   []proxy.Host
 	KnownAt                 int64     // its version
 	Operator                *Operator // nil: the platform's front
 	Path                    string    // of the file, to be read again at SIGHUP
--- a/internal/lifecycle/manage.go
+++ b/internal/lifecycle/manage.go
@@ -4,7 +4,7 @@
 	"go.uber.org/zap"
 
 	"merlinjunction/internal/front/management"
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 )
 
 // A front hears that clients are sent away when it asks next, and sends new ones for a while yet.
@@ -16,7 +16,7 @@
 // Telemetry is what has been counted since this process started.
 func (p *Program) Telemetry() management.Telemetry {
 	t := management.Telemetry{
-		Replies: map[string]state.Replies{}, Figures: p.core.Figures(),
+		Replies: map[string]proxy.Replies{}, Figures: p.core.Figures(),
 		ReloadFailure: p.reloads[0], ReloadSuccess: p.reloads[1],
 	}
 	for i, n := range p.core.Replies() {
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -11,7 +11,7 @@
 
 	"merlinjunction/internal/front/extended"
 	"merlinjunction/internal/peer"
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/internal/wire/discovery"
 	"merlinjunction/internal/wire/pg"
 	"merlinjunction/routing"
@@ -282,7 +282,7 @@
 		if err := checkAddr(fmt.Sprintf("host %d: address", i+1), h.Addr); err != nil {
 			return err
 		}
-		c.Known = append(c.Known, state.Host{Addr: h.Addr, Member: routing.Member{
+		c.Known = append(c.Known, proxy.Host{Addr: h.Addr, Member: routing.Member{
 			ID: h.ID, Group: h.Group, Primary: h.Primary, State: st,
 		}})
 	}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -15,7 +15,7 @@
 	"merlinjunction/internal/front/platform"
 	"merlinjunction/internal/loop"
 	"merlinjunction/internal/peer"
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/internal/wire/discovery"
 	"merlinjunction/internal/wire/health"
 	"merlinjunction/internal/wire/pg"
@@ -55,7 +55,7 @@
 	cfg       *Config
 	loop      *loop.Loop
 	log       *zap.Logger
-	core      *state.Core
+	core      *proxy.Core
 	clients   *pg.Clients
 	listener  *loop.Listener
 	agent     *loop.Listener // nil where not set up
@@ -130,7 +130,7 @@
 	}
 	p.free = sockets - ownDescriptors
 	p.conns = p.free * 2 / 5
-	limits := state.Limits{ConnectMs: cfg.ConnectMs, IdleMs: cfg.IdleMs, Conns: p.conns, Requests: p.free}
+	limits := proxy.Limits{ConnectMs: cfg.ConnectMs, IdleMs: cfg.IdleMs, Conns: p.conns, Requests: p.free}
 	hosts, probe := pg.NewHosts(l), pg.Command(pg.Probe{})
 	if op := cfg.Operator; op != nil {
 		probe, limits.GreetMs = op.Probe, op.GreetMs
@@ -140,7 +140,7 @@
 		}
 	}
 	var err error
-	p.core, err = state.New(l.Timers, p.log, cfg.Settings, cfg.Seed, limits, hosts, probe, pg.ReadReport)
+	p.core, err = proxy.New(l.Timers, p.log, cfg.Settings, cfg.Seed, limits, hosts, probe, pg.ReadReport)
 	if err != nil {
 		return err
 	}
@@ -282,7 +282,7 @@
 	if p.cfg.Operator != nil { // the platform's rules count how long a watch may wait
 		fleet.Seat = set.Index
 	}
-	p.watch = discovery.Watch(p.loop, p.log, p.cfg.Discovery, fleet, func(full bool, hosts []state.Host, told float64) {
+	p.watch = discovery.Watch(p.loop, p.log, p.cfg.Discovery, fleet, func(full bool, hosts []proxy.Host, told float64) {
 		p.told = true
 		p.core.SetHostsTold(full, hosts, told)
 	})
@@ -292,7 +292,7 @@
 func (p *Program) Stop() { p.loop.Notify(p.stop) }
 
 // SetHosts replaces the host list; any goroutine may call it.
-func (p *Program) SetHosts(list []state.Host) {
+func (p *Program) SetHosts(list []proxy.Host) {
 	p.loop.Notify(func() { p.core.SetHosts(true, list) })
 }
 
--- a/internal/state/hosts.go
+++ b/internal/proxy/hosts.go
@@ -1,4 +1,4 @@
-package state
+package proxy
 
 import (
 	"cmp"
--- a/internal/state/state.go
+++ b/internal/proxy/state.go
@@ -1,7 +1,7 @@
-// Package state is the core: the requests that were taken, their attempts, the host list and the connections to
+// Package proxy is the core: the requests that were taken, their attempts, the host list and the connections to
 // hosts. It feeds package routing with what happened and carries out what comes back. It knows no wire: clients
 // and hosts are behind small interfaces.
-package state
+package proxy
 
 import (
 	"math"
--- a/internal/wire/discovery/discovery.go
+++ b/internal/wire/discovery/discovery.go
@@ -18,7 +18,7 @@
 
 	"merlinjunction/fleet"
 	"merlinjunction/internal/loop"
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
 
@@ -45,7 +45,7 @@
 var phases = map[string]routing.State{"active": routing.Ready, "leaving": routing.Draining, "left": routing.Gone}
 
 // Hosts turns the entries into the core's. The error names the first one that can't be used; all others are returned.
-func (d *Document) Hosts() (hosts []state.Host, bad error) {
+func (d *Document) Hosts() (hosts []proxy.Host, bad error) {
 	for _, m := range d.Members {
 		phase, known := phases[m.Phase]
 		_, noAddr := netip.ParseAddrPort(m.HostPort)
@@ -64,7 +64,7 @@
 			bad = cmp.Or(bad, err)
 			continue
 		}
-		hosts = append(hosts, state.Host{Addr: m.HostPort, Member: routing.Member{
+		hosts = append(hosts, proxy.Host{Addr: m.HostPort, Member: routing.Member{
 			ID: m.ID, Group: m.Cell, Zone: m.Locality, Primary: m.Role == "leader", State: phase,
 			Started: time.Duration(m.UpSinceMs*1000) * time.Microsecond,
 		}})
@@ -73,7 +73,7 @@
 }
 
 // News takes in the whole list, or changes of it, that count as told since some time.
-type News func(full bool, hosts []state.Host, told float64)
+type News func(full bool, hosts []proxy.Host, told float64)
 
 // Watcher keeps asking.
 type Watcher struct {
--- a/internal/wire/discovery/discovery_test.go
+++ b/internal/wire/discovery/discovery_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"merlinjunction/internal/loop"
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 )
 
 func TestReadAnswer(t *testing.T) {
@@ -86,7 +86,7 @@
 	}
 	defer l.Close()
 	var got []string
-	Watch(l, zap.NewNop(), ln.Addr().String(), Fleet{Size: 4, Since: None}, func(full bool, hosts []state.Host, _ float64) {
+	Watch(l, zap.NewNop(), ln.Addr().String(), Fleet{Size: 4, Since: None}, func(full bool, hosts []proxy.Host, _ float64) {
 		got = append(got, fmt.Sprint(full, " ", hosts[0].ID))
 		if hosts[0].ID == "c" {
 			l.Stop()
@@ -150,7 +150,7 @@
 	}
 	defer l.Close()
 	for seed := range uint64(40) {
-		w := Watch(l, zap.NewNop(), "127.0.0.1:1", Fleet{Size: 300, Grace: 2000, Seed: seed, Since: 41}, func(bool, []state.Host, float64) {})
+		w := Watch(l, zap.NewNop(), "127.0.0.1:1", Fleet{Size: 300, Grace: 2000, Seed: seed, Since: 41}, func(bool, []proxy.Host, float64) {})
 		body := `{"revision":42,"complete":true,"members":[]}`
 		if err := w.take(&answer{status: 200, body: []byte(body)}); err != nil {
 			t.Fatal(err)
@@ -187,7 +187,7 @@
 			t.Errorf("%d of 80 in tenth of a second %d", n, s)
 		}
 	}
-	w := Watch(l, zap.NewNop(), "127.0.0.1:1", Fleet{Size: 80, Grace: 2000, Since: None}, func(bool, []state.Host, float64) {})
+	w := Watch(l, zap.NewNop(), "127.0.0.1:1", Fleet{Size: 80, Grace: 2000, Since: None}, func(bool, []proxy.Host, float64) {})
 	if w.conn == nil {
 		t.Error("one that knows no list waits")
 	}
@@ -219,7 +219,7 @@
 		core, seen := observer.New(zap.WarnLevel)
 		var got []string
 		w := &Watcher{log: zap.New(core), loop: &loop.Loop{Timers: &loop.Timers{Clock: loop.SystemClock()}},
-			news: func(full bool, hosts []state.Host, _ float64) {
+			news: func(full bool, hosts []proxy.Host, _ float64) {
 				got = append(got, fmt.Sprint(full, " ", len(hosts), " ", hosts[0].ID))
 			}}
 		body := `{"revision":7,"complete":true,"members":[` + c.bad + `,{"id":"a","cell":0,"phase":"leaving"}]}`
--- a/internal/wire/discovery/silence_test.go
+++ b/internal/wire/discovery/silence_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"merlinjunction/internal/loop"
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
 
@@ -149,7 +149,7 @@
 						fail()
 					}
 					w := Watch(l, zap.NewNop(), ln.Addr(), Fleet{Size: 300, Grace: grace, Seed: 7, Pushed: pushed, Since: 4},
-						func(_ bool, hosts []state.Host, told float64) {
+						func(_ bool, hosts []proxy.Host, told float64) {
 							if hosts[0].State == routing.Draining && heard == 0 {
 								heard, toldAt = now, told
 							}
--- a/internal/wire/pg/host.go
+++ b/internal/wire/pg/host.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"merlinjunction/internal/loop"
-	"merlinjunction/internal/state"
+	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
 
@@ -60,7 +60,7 @@
 }
 
 // Dial starts a connection to a host.
-func (h *Hosts) Dial(addr string, o state.ConnOwner) (state.Conn, error) {
+func (h *Hosts) Dial(addr string, o proxy.ConnOwner) (proxy.Conn, error) {
 	c := &hostConn{hosts: h, owner: o}
 	var err error
 	if c.conn, err = h.Loop.Dial(addr, maxAnswer, c); err != nil {
@@ -78,12 +78,12 @@
 // hostConn is one connection to a database host, with one command on it at a time.
 type hostConn struct {
 	hosts   *Hosts
-	owner   state.ConnOwner
+	owner   proxy.ConnOwner
 	conn    *loop.Conn
 	up      bool // the greeting is over
 	busy    Command
 	written bool
-	answer  state.Answer
+	answer  proxy.Answer
 	failed  string       // SQLSTATE of the answer's first error
 	role    routing.Role // as last told, where that holds until it changes
 	stream  bool         // a large row is, or was, passed on as it comes
@@ -102,7 +102,7 @@
 }
 
 func (c *hostConn) Send(cmd any, leftMs float64) {
-	c.busy, c.written, c.failed, c.answer, c.stream = cmd.(Command), false, "", state.Answer{}, false
+	c.busy, c.written, c.failed, c.answer, c.stream = cmd.(Command), false, "", proxy.Answer{}, false
 	c.conn.Write(c.busy.AppendTo(nil, leftMs))
 	c.note()
 }
@@ -344,7 +344,7 @@
 	more := len(c.conn.In()) > 0
 	if !c.up {
 		c.up = !more
-		c.answer = state.Answer{}
+		c.answer = proxy.Answer{}
 		if c.up {
 			c.owner.Up()
 		}
@@ -364,7 +364,7 @@
 	if a.Role == routing.RoleUnknown {
 		a.Role = c.role
 	}
-	c.busy, c.answer = nil, state.Answer{}
+	c.busy, c.answer = nil, proxy.Answer{}
 	c.owner.Answered(a)
 	return true
 }
