--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"merlinjunction/internal/wire"
+	"merlinjunction/internal/protocol/simulator"
 	"merlinjunction/routing"
 )
 
@@ -20,7 +20,7 @@
 }
 
 func run(in io.Reader, out io.Writer) error {
-	d, e := wire.NewDecoder(in), wire.NewEncoder(out)
+	d, e := simulator.NewDecoder(in), simulator.NewEncoder(out)
 	l := link{enc: e, routers: map[int]*routing.Router{}}
 	for {
 		b, err := d.Next()
@@ -41,12 +41,12 @@
 
 // link holds the Routers of this process; they share nothing.
 type link struct {
-	enc     *wire.Encoder
+	enc     *simulator.Encoder
 	routers map[int]*routing.Router
 }
 
 // batch gives each instance its events, in the order in which the instances first appear.
-func (l *link) batch(b *wire.Batch) error {
+func (l *link) batch(b *simulator.Batch) error {
 	var order []int
 	events := map[int][]routing.Event{}
 	for _, m := range b.Messages {
--- a/internal/faultsim/database.go
+++ b/internal/faultsim/database.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"merlinjunction/internal/protocol/pg"
 	"merlinjunction/internal/standin"
-	"merlinjunction/internal/wire/pg"
 )
 
 // Databases are the stand-in hosts of one group: the first is the primary, the others apply its log a little later. They
--- a/internal/faultsim/load.go
+++ b/internal/faultsim/load.go
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"merlinjunction/internal/protocol/pg"
 	"merlinjunction/internal/standin"
-	"merlinjunction/internal/wire/pg"
 )
 
 // arrival is one request, drawn ahead.
--- a/internal/front/extended/command.go
+++ b/internal/front/extended/command.go
@@ -4,8 +4,8 @@
 	"bytes"
 	"strings"
 
+	"merlinjunction/internal/protocol/pg"
 	"merlinjunction/internal/proxy"
-	"merlinjunction/internal/wire/pg"
 )
 
 // Each command is one unit that ends in Sync: no host keeps anything between two of them, so any other can
--- a/internal/front/extended/session_test.go
+++ b/internal/front/extended/session_test.go
@@ -4,7 +4,7 @@
 	"regexp"
 	"testing"
 
-	"merlinjunction/internal/wire/pg"
+	"merlinjunction/internal/protocol/pg"
 )
 
 // Where an operator names no session, a connection is one. No other connection, at the same time or later, has its name, nor has
--- a/internal/front/management/management.go
+++ b/internal/front/management/management.go
@@ -10,8 +10,8 @@
 	"net/http"
 
 	"merlinjunction/internal/loop"
+	"merlinjunction/internal/protocol/httpd"
 	"merlinjunction/internal/proxy"
-	"merlinjunction/internal/wire/httpd"
 )
 
 // Gateway is what the calls act on.
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
+	"merlinjunction/internal/protocol/pg"
 	"merlinjunction/internal/proxy"
-	"merlinjunction/internal/wire/pg"
 	"merlinjunction/routing"
 )
 
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -9,9 +9,9 @@
 	"os"
 	"strconv"
 
+	"merlinjunction/internal/protocol/discovery"
+	"merlinjunction/internal/protocol/simulator"
 	"merlinjunction/internal/proxy"
-	"merlinjunction/internal/wire"
-	"merlinjunction/internal/wire/discovery"
 	"merlinjunction/routing"
 )
 
@@ -77,7 +77,7 @@
 		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Path: path, Watched: watched,
 		KnownAt: discovery.None,
 	}
-	if c.Settings, err = wire.DecodeSettings(string(f.Settings)); err != nil {
+	if c.Settings, err = simulator.DecodeSettings(string(f.Settings)); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	var more struct {
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -11,9 +11,9 @@
 
 	"merlinjunction/internal/front/extended"
 	"merlinjunction/internal/peer"
+	"merlinjunction/internal/protocol/discovery"
+	"merlinjunction/internal/protocol/pg"
 	"merlinjunction/internal/proxy"
-	"merlinjunction/internal/wire/discovery"
-	"merlinjunction/internal/wire/pg"
 	"merlinjunction/routing"
 )
 
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -15,10 +15,10 @@
 	"merlinjunction/internal/front/platform"
 	"merlinjunction/internal/loop"
 	"merlinjunction/internal/peer"
+	"merlinjunction/internal/protocol/discovery"
+	"merlinjunction/internal/protocol/health"
+	"merlinjunction/internal/protocol/pg"
 	"merlinjunction/internal/proxy"
-	"merlinjunction/internal/wire/discovery"
-	"merlinjunction/internal/wire/health"
-	"merlinjunction/internal/wire/pg"
 )
 
 const (
--- a/internal/wire/health/health.go
+++ b/internal/protocol/health/health.go
@@ -5,7 +5,7 @@
 	"net/http"
 
 	"merlinjunction/internal/loop"
-	"merlinjunction/internal/wire/httpd"
+	"merlinjunction/internal/protocol/httpd"
 )
 
 // State is what a balancer is told.
--- a/internal/wire/decode.go
+++ b/internal/protocol/simulator/decode.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the simulator's text protocol and turns it into the events and actions of
+// Package simulator reads and writes the simulator's text protocol and turns it into the events and actions of
 // package routing. It decides nothing.
-package wire
+package simulator
 
 import (
 	"bufio"
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
 // Package standin holds what stand-ins for clients, hosts and discovery speak alike, in the tests and in the laboratory. It
-// blocks; the gateway's own side of the protocol is internal/wire.
+// blocks; the gateway's own side of the protocol is internal/protocol.
 package standin
 
 import (
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"merlinjunction/internal/wire/pg"
+	"merlinjunction/internal/protocol/pg"
 )
 
 // ReadMessage reads one message of the PostgreSQL wire protocol with a body of at most so many bytes.
--- a/internal/testkit/scenario.go
+++ b/internal/testkit/scenario.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"merlinjunction/internal/wire/pg"
+	"merlinjunction/internal/protocol/pg"
 )
 
 const patience = 10 * time.Second // generous: a slow machine must not turn a verdict
--- a/internal/testkit/standin.go
+++ b/internal/testkit/standin.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
+	"merlinjunction/internal/protocol/pg"
 	"merlinjunction/internal/standin"
-	"merlinjunction/internal/wire/pg"
 )
 
 // Cluster is one group of stand-in hosts that share their data: a list of what ran where.
