--- a/cmd/merlinjunction/fleet_test.go
+++ b/cmd/merlinjunction/fleet_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"merlinjunction/internal/front/management"
+	"merlinjunction/internal/frontend/management"
 	"merlinjunction/internal/testkit"
 )
 
--- a/cmd/merlinjunction/members.go
+++ b/cmd/merlinjunction/members.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"merlinjunction/internal/front/management"
+	"merlinjunction/internal/frontend/management"
 	"merlinjunction/internal/lifecycle"
 )
 
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -11,7 +11,7 @@
 	"go4.org/netipx"
 
 	"merlinjunction/fleet"
-	"merlinjunction/internal/front/management"
+	"merlinjunction/internal/frontend/management"
 	"merlinjunction/internal/peer"
 	"merlinjunction/membership"
 )
--- a/internal/lifecycle/manage.go
+++ b/internal/lifecycle/manage.go
@@ -3,7 +3,7 @@
 import (
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/front/management"
+	"merlinjunction/internal/frontend/management"
 	"merlinjunction/internal/proxy"
 )
 
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -9,7 +9,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"merlinjunction/internal/front/extended"
+	"merlinjunction/internal/frontend/extended"
 	"merlinjunction/internal/peer"
 	"merlinjunction/internal/protocol/discovery"
 	"merlinjunction/internal/protocol/pg"
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -10,9 +10,9 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"merlinjunction/internal/front/extended"
-	"merlinjunction/internal/front/management"
-	"merlinjunction/internal/front/platform"
+	"merlinjunction/internal/frontend/extended"
+	"merlinjunction/internal/frontend/management"
+	"merlinjunction/internal/frontend/platform"
 	"merlinjunction/internal/loop"
 	"merlinjunction/internal/peer"
 	"merlinjunction/internal/protocol/discovery"
