--- a/internal/loop/clock.go
+++ b/internal/eventloop/clock.go
@@ -1,6 +1,6 @@
-// Package loop is the program's one event loop: epoll, the clock, timers and buffered connections that never
+// Package eventloop is the program's one event loop: epoll, the clock, timers and buffered connections that never
 // block. It knows nothing of what is spoken on them.
-package loop
+package eventloop
 
 import (
 	"container/heap"
--- a/internal/faultsim/model/gateway.go
+++ b/internal/faultsim/model/gateway.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"merlinjunction/fleet"
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
@@ -30,7 +30,7 @@
 
 	world  *World
 	core   *proxy.Core
-	timers *loop.Timers
+	timers *eventloop.Timers
 	life   int  // of the process; what belongs to an earlier one is void
 	paused bool // nothing of it runs
 	heard  []func()
@@ -60,7 +60,7 @@
 	g.life++
 	g.paused, g.heard, g.due, g.links, g.asked = false, nil, math.Inf(1), 0, 0
 	g.wrote, g.ends = map[int]float64{}, map[uint64]func(){}
-	g.timers = &loop.Timers{Clock: loop.VirtualClock(func() float64 { return Epoch + g.world.Now() })}
+	g.timers = &eventloop.Timers{Clock: eventloop.VirtualClock(func() float64 { return Epoch + g.world.Now() })}
 	set.Zone = g.Zone
 	limits := proxy.Limits{ConnectMs: 250, IdleMs: 10_000, Conns: 400, Requests: 600}
 	var err error
--- a/internal/frontend/management/management.go
+++ b/internal/frontend/management/management.go
@@ -9,7 +9,7 @@
 	"io"
 	"net/http"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/protocol/httpd"
 	"merlinjunction/internal/proxy"
 )
@@ -70,7 +70,7 @@
 }
 
 // Serve answers the calls that come to an address.
-func Serve(l *loop.Loop, addr string, g Gateway, full func(error)) (*loop.Listener, error) {
+func Serve(l *eventloop.Loop, addr string, g Gateway, full func(error)) (*eventloop.Listener, error) {
 	return httpd.Serve(l, addr, func(r httpd.Request) httpd.Response { return respond(g, r) }, full)
 }
 
--- a/internal/lifecycle/crossings_test.go
+++ b/internal/lifecycle/crossings_test.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/testkit"
 )
 
@@ -99,7 +99,7 @@
 	}
 	g := &played{}
 	g.us.Store(time.Now().UnixMicro())
-	p, err := New(cfg, zap.NewNop(), loop.VirtualClock(func() float64 { return float64(g.us.Load()) / 1000 }))
+	p, err := New(cfg, zap.NewNop(), eventloop.VirtualClock(func() float64 { return float64(g.us.Load()) / 1000 }))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lifecycle/fleet_test.go
+++ b/internal/lifecycle/fleet_test.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/testkit"
 )
 
@@ -69,7 +69,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return New(c, zap.NewNop(), loop.SystemClock())
+		return New(c, zap.NewNop(), eventloop.SystemClock())
 	}
 	p, err := open(goodFleet)
 	if err != nil {
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -10,10 +10,10 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/frontend/extended"
 	"merlinjunction/internal/frontend/management"
 	"merlinjunction/internal/frontend/platform"
-	"merlinjunction/internal/loop"
 	"merlinjunction/internal/peer"
 	"merlinjunction/internal/protocol/discovery"
 	"merlinjunction/internal/protocol/health"
@@ -53,38 +53,38 @@
 // Program is the running gateway.
 type Program struct {
 	cfg       *Config
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	log       *zap.Logger
 	core      *proxy.Core
 	clients   *pg.Clients
-	listener  *loop.Listener
-	agent     *loop.Listener // nil where not set up
-	http      *loop.Listener
-	manage    *loop.Listener
+	listener  *eventloop.Listener
+	agent     *eventloop.Listener // nil where not set up
+	http      *eventloop.Listener
+	manage    *eventloop.Listener
 	watch     *discovery.Watcher // nil without discovery
-	reloading *loop.Timer        // the next try
+	reloading *eventloop.Timer   // the next try
 	newsByMs  float64            // discovery has had its time for a first word
 	told      bool               // and has spoken
 	sharing   sharing
 	stopping  bool
-	stoppedAt float64     // when it was told to stop
-	away      bool        // clients are sent away
-	leaving   *loop.Timer // until those that still come are
-	reloads   [2]int      // that failed, that were taken in
-	peer      *peer.Peer  // nil: no fleet is set up
-	shared    *shared     // with other processes of this gateway; nil where no listener was handed down
-	held      bool        // the listener accepts nobody yet
-	beside    bool        // another process of this gateway lives
-	free      int         // descriptors for clients and hosts
-	conns     int         // of them for hosts
-	abandoned int         // client connections that were left when the time was over
+	stoppedAt float64          // when it was told to stop
+	away      bool             // clients are sent away
+	leaving   *eventloop.Timer // until those that still come are
+	reloads   [2]int           // that failed, that were taken in
+	peer      *peer.Peer       // nil: no fleet is set up
+	shared    *shared          // with other processes of this gateway; nil where no listener was handed down
+	held      bool             // the listener accepts nobody yet
+	beside    bool             // another process of this gateway lives
+	free      int              // descriptors for clients and hosts
+	conns     int              // of them for hosts
+	abandoned int              // client connections that were left when the time was over
 }
 
 // Serve runs the gateway until it has been told to stop and has finished what it had taken.
 func Serve(cfg *Config, log *zap.Logger) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // first of all: they would end the program
-	p, err := New(cfg, log, loop.SystemClock())
+	p, err := New(cfg, log, eventloop.SystemClock())
 	if err != nil {
 		return err
 	}
@@ -94,9 +94,9 @@
 }
 
 // New sets the gateway up; Run starts it.
-func New(cfg *Config, log *zap.Logger, clock *loop.Clock) (*Program, error) {
+func New(cfg *Config, log *zap.Logger, clock *eventloop.Clock) (*Program, error) {
 	debug.SetMemoryLimit(int64(heapShare * float64(cfg.MemoryMB) * (1 << 20)))
-	l, err := loop.New(clock)
+	l, err := eventloop.New(clock)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lifecycle/scenario_test.go
+++ b/internal/lifecycle/scenario_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/testkit"
 )
 
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := New(cfg, zap.NewNop(), loop.SystemClock())
+	p, err := New(cfg, zap.NewNop(), eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 )
 
 // A new version takes over from an old one while both serve: they hold the same listening socket and share bans and each
@@ -116,7 +116,7 @@
 	}
 }
 
-func addrOf(l *loop.Listener) string {
+func addrOf(l *eventloop.Listener) string {
 	if l == nil {
 		return ""
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 	"go4.org/netipx"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/membership"
 )
 
@@ -34,15 +34,15 @@
 
 // Peer drives a membership.View on a loop. It decides nothing.
 type Peer struct {
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	log      *zap.Logger
-	socket   *loop.Packet
+	socket   *eventloop.Packet
 	sealer   *Sealer
 	replays  Replays
 	allowed  *netipx.IPSet
 	view     *membership.View
 	events   []membership.Event
-	wake     *loop.Timer
+	wake     *eventloop.Timer
 	loggedMs float64
 	unsaid   map[string]int // dropped and not logged, by reason
 	set      *metrics.Set
@@ -60,7 +60,7 @@
 }
 
 // New opens the socket and makes the View; Step starts it. The errors name the key that is wrong.
-func New(l *loop.Loop, log *zap.Logger, cfg Config) (*Peer, error) {
+func New(l *eventloop.Loop, log *zap.Logger, cfg Config) (*Peer, error) {
 	sealer, err := NewSealer(cfg.Fleet, cfg.Keys)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.keys: %w", err)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,7 +16,7 @@
 
 	_ "merlinjunction/internal/testkit/seed" // the same draws each time
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/membership"
 )
 
@@ -243,9 +243,9 @@
 }
 
 // rig is one Peer on a loop that a test runs, and its log.
-func rig(t *testing.T, cfg Config) (*loop.Loop, *Peer, *observer.ObservedLogs) {
+func rig(t *testing.T, cfg Config) (*eventloop.Loop, *Peer, *observer.ObservedLogs) {
 	t.Helper()
-	l, err := loop.New(loop.SystemClock())
+	l, err := eventloop.New(eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -263,7 +263,7 @@
 }
 
 // runUntil runs a loop for some rounds until a condition holds.
-func runUntil(t *testing.T, l *loop.Loop, p *Peer, ok func() bool) {
+func runUntil(t *testing.T, l *eventloop.Loop, p *Peer, ok func() bool) {
 	t.Helper()
 	rounds := 0
 	l.Soon(func() {})
@@ -285,7 +285,7 @@
 	cfg := peerConfig("a")
 	cfg.Networks, _ = set.IPSet()
 	l, p, logs := rig(t, cfg)
-	other, err := loop.New(loop.SystemClock())
+	other, err := eventloop.New(eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"merlinjunction/fleet"
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
@@ -77,20 +77,20 @@
 
 // Watcher keeps asking.
 type Watcher struct {
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	log     *zap.Logger
 	addr    string
 	news    News
 	rng     *rand.Rand
 	calls   fleet.Calls // when to call
-	conn    *loop.Conn
-	timer   *loop.Timer
-	moving  *loop.Timer // to another address
-	firstAt float64     // when the first call is made
-	askedAt float64     // and the last one was
-	since   int64       // the version that is held; None: none
-	lines   bool        // an answer is awaited
-	bad     string      // what was wrong with the last bad list, logged once
+	conn    *eventloop.Conn
+	timer   *eventloop.Timer
+	moving  *eventloop.Timer // to another address
+	firstAt float64          // when the first call is made
+	askedAt float64          // and the last one was
+	since   int64            // the version that is held; None: none
+	lines   bool             // an answer is awaited
+	bad     string           // what was wrong with the last bad list, logged once
 }
 
 // None is the version of a list that is not there.
@@ -109,7 +109,7 @@
 
 // Watch starts to follow the list at an address. A gateway that knows a list waits for its turn: guards discovery
 // against a whole fleet that starts, or is killed, at one moment. One that has been overrun so serves nobody for long.
-func Watch(l *loop.Loop, log *zap.Logger, addr string, f Fleet, news News) *Watcher {
+func Watch(l *eventloop.Loop, log *zap.Logger, addr string, f Fleet, news News) *Watcher {
 	w := &Watcher{loop: l, log: log, addr: addr, news: news, since: f.Since,
 		calls: fleet.Calls{Turns: fleet.Turns{Size: f.Size, Seat: f.Seat - 1}, GraceMs: f.Grace, Pushed: f.Pushed},
 		rng:   rand.New(rand.NewPCG(f.Seed, f.Seed))}
--- a/internal/protocol/discovery/discovery_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/proxy"
 )
 
@@ -80,7 +80,7 @@
 			conn.Close()
 		}
 	}()
-	l, err := loop.New(loop.SystemClock())
+	l, err := eventloop.New(eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 // the whole list again ten times a second, all in step.
 func TestOneThatIsShortOfRoomIsAskedLessAndLess(t *testing.T) {
 	now := 1000.0
-	l, err := loop.New(loop.ManualClock(&now))
+	l, err := eventloop.New(eventloop.ManualClock(&now))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 // and went on sending to hosts that drained meanwhile: what it tells counts as told, whether or not a call is out.
 func TestOneThatGetsNoAnswerAsksWithinTheGrace(t *testing.T) {
 	now := 1000.0
-	l, err := loop.New(loop.ManualClock(&now))
+	l, err := eventloop.New(eventloop.ManualClock(&now))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +168,7 @@
 // A fleet that starts, or is killed, at one moment made 80 first calls in one millisecond; 48 were told 503.
 func TestAFleetSpreadsItsFirstCalls(t *testing.T) {
 	now := 1000.0
-	l, err := loop.New(loop.ManualClock(&now))
+	l, err := eventloop.New(eventloop.ManualClock(&now))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 	} {
 		core, seen := observer.New(zap.WarnLevel)
 		var got []string
-		w := &Watcher{log: zap.New(core), loop: &loop.Loop{Timers: &loop.Timers{Clock: loop.SystemClock()}},
+		w := &Watcher{log: zap.New(core), loop: &eventloop.Loop{Timers: &eventloop.Timers{Clock: eventloop.SystemClock()}},
 			news: func(full bool, hosts []proxy.Host, _ float64) {
 				got = append(got, fmt.Sprint(full, " ", len(hosts), " ", hosts[0].ID))
 			}}
--- a/internal/protocol/discovery/silence_test.go
+++ b/internal/protocol/discovery/silence_test.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
@@ -16,7 +16,7 @@
 // agent is a stand-in for discovery on the test's own loop: what it does with each call follows a list of words, the last
 // of which holds from then on.
 type agent struct {
-	l     *loop.Loop
+	l     *eventloop.Loop
 	fates []string
 	calls []string  // as they came
 	at    []float64 // and when
@@ -26,7 +26,7 @@
 
 type agentConn struct {
 	a     *agent
-	conn  *loop.Conn
+	conn  *eventloop.Conn
 	waits bool // a watch is out on it
 	till  float64
 	ends  float64 // it is reset then; 0: it is not
@@ -119,7 +119,7 @@
 				for times := 1; times <= 2; times++ {
 					name := fmt.Sprintf("pushed %v, %s call, %s, %d times", pushed, when, how, times)
 					now := 1e6
-					l, err := loop.New(loop.ManualClock(&now))
+					l, err := eventloop.New(eventloop.ManualClock(&now))
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/internal/protocol/health/health.go
+++ b/internal/protocol/health/health.go
@@ -4,7 +4,7 @@
 import (
 	"net/http"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/protocol/httpd"
 )
 
@@ -37,7 +37,7 @@
 )
 
 // ServeHTTP answers HTTP checks on an address.
-func ServeHTTP(l *loop.Loop, addr string, state func() State, full func(error)) (*loop.Listener, error) {
+func ServeHTTP(l *eventloop.Loop, addr string, state func() State, full func(error)) (*eventloop.Listener, error) {
 	return httpd.Serve(l, addr, func(r httpd.Request) httpd.Response { return respond(r, state()) }, full)
 }
 
@@ -54,7 +54,7 @@
 }
 
 // ServeAgent answers agent checks on an address. The agent speaks without being asked.
-func ServeAgent(l *loop.Loop, addr string, state func() State, full func(error)) (*loop.Listener, error) {
+func ServeAgent(l *eventloop.Loop, addr string, state func() State, full func(error)) (*eventloop.Listener, error) {
 	open := 0
 	return l.Listen(addr, func(fd int) {
 		conn, err := l.Adopt(fd, maxUnasked)
@@ -75,8 +75,8 @@
 
 // check is one connection of a balancer's agent check.
 type check struct {
-	conn  *loop.Conn
-	timer *loop.Timer
+	conn  *eventloop.Conn
+	timer *eventloop.Timer
 	open  *int
 	left  bool
 }
--- a/internal/protocol/httpd/httpd.go
+++ b/internal/protocol/httpd/httpd.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 )
 
 const (
@@ -36,13 +36,13 @@
 
 // Server answers the calls of one listener.
 type Server struct {
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	handle func(Request) Response
 	calls  []*call // oldest first
 }
 
 // Serve answers the calls that come to an address. full hears when no connection can be accepted.
-func Serve(l *loop.Loop, addr string, handle func(Request) Response, full func(error)) (*loop.Listener, error) {
+func Serve(l *eventloop.Loop, addr string, handle func(Request) Response, full func(error)) (*eventloop.Listener, error) {
 	s := &Server{loop: l, handle: handle}
 	return l.Listen(addr, s.accept, full)
 }
@@ -66,8 +66,8 @@
 // call is one connection.
 type call struct {
 	server *Server
-	conn   *loop.Conn
-	timer  *loop.Timer
+	conn   *eventloop.Conn
+	timer  *eventloop.Timer
 	said   bool
 	left   bool
 }
--- a/internal/protocol/httpd/httpd_test.go
+++ b/internal/protocol/httpd/httpd_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 )
 
 func TestParse(t *testing.T) {
@@ -49,7 +49,7 @@
 // the end.
 func TestHalfCallsHoldUpNobody(t *testing.T) {
 	now := 1000.0
-	l, err := loop.New(loop.ManualClock(&now))
+	l, err := eventloop.New(eventloop.ManualClock(&now))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/pg/client.go
+++ b/internal/protocol/pg/client.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"strings"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 )
 
 const (
@@ -49,7 +49,7 @@
 
 // Clients are the clients of one listener.
 type Clients struct {
-	Loop *loop.Loop
+	Loop *eventloop.Loop
 	Most int
 	Open func(*Client) Session
 	// IdleMs is how long a connection may have nothing in hand; 0: until its place is needed.
@@ -66,19 +66,19 @@
 	key            uint64 // with which another connection may call off what this one has in hand
 
 	set      *Clients
-	conn     *loop.Conn
-	session  Session     // nil until it has said who it is
-	timer    *loop.Timer // while it is ending
-	ending   bool        // the last words are out; what still comes in is passed over
-	half     bool        // the client sends no more, but may still read
-	narrow   bool        // the system holds little for it
-	asked    bool        // a message of it was taken
-	inside   bool        // its messages are being worked on, further up
-	lastUsed float64     // a message of it was whole then, or some of what it was sent was taken
-	unread   int         // what it had not taken then
-	owes     float64     // since when it owes its first message, or the rest of one; 0: it does not
-	knocking *loop.Timer // until the next look whether it is still there
-	partway  bool        // what it was sent last is a part of a message, whose rest is to follow
+	conn     *eventloop.Conn
+	session  Session          // nil until it has said who it is
+	timer    *eventloop.Timer // while it is ending
+	ending   bool             // the last words are out; what still comes in is passed over
+	half     bool             // the client sends no more, but may still read
+	narrow   bool             // the system holds little for it
+	asked    bool             // a message of it was taken
+	inside   bool             // its messages are being worked on, further up
+	lastUsed float64          // a message of it was whole then, or some of what it was sent was taken
+	unread   int              // what it had not taken then
+	owes     float64          // since when it owes its first message, or the rest of one; 0: it does not
+	knocking *eventloop.Timer // until the next look whether it is still there
+	partway  bool             // what it was sent last is a part of a message, whose rest is to follow
 }
 
 // Accept takes over a descriptor of the listener.
--- a/internal/protocol/pg/host.go
+++ b/internal/protocol/pg/host.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
@@ -42,7 +42,7 @@
 
 // Hosts dials database hosts.
 type Hosts struct {
-	Loop           *loop.Loop
+	Loop           *eventloop.Loop
 	User, Database string
 	// The names of the parameters that tell role and position, and the values of the role.
 	Role, Primary, Replica, Position string
@@ -52,7 +52,7 @@
 }
 
 // NewHosts returns a dialer with the parameter names of the platform.
-func NewHosts(l *loop.Loop) *Hosts {
+func NewHosts(l *eventloop.Loop) *Hosts {
 	return &Hosts{
 		Loop: l, User: "svc", Database: "main",
 		Role: "node_role", Primary: "leader", Replica: "follower", Position: "replay_position",
@@ -79,7 +79,7 @@
 type hostConn struct {
 	hosts   *Hosts
 	owner   proxy.ConnOwner
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	up      bool // the greeting is over
 	busy    Command
 	written bool
--- a/internal/protocol/pg/pg_test.go
+++ b/internal/protocol/pg/pg_test.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/routing"
 )
 
@@ -99,7 +99,7 @@
 // before its first request had come.
 func TestWhoMakesRoom(t *testing.T) {
 	now := 1000.0
-	l, err := loop.New(loop.ManualClock(&now))
+	l, err := eventloop.New(eventloop.ManualClock(&now))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,7 +179,7 @@
 // query came in just before it was closed. What has been read in part must not be closed on.
 func TestAnIdleConnectionThatBeginsToAskIsKept(t *testing.T) {
 	now := 1000.0
-	l, err := loop.New(loop.ManualClock(&now))
+	l, err := eventloop.New(eventloop.ManualClock(&now))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/hosts.go
+++ b/internal/proxy/hosts.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/routing"
 )
 
@@ -30,7 +30,7 @@
 	up      bool
 	closed  bool
 	attempt *attempt
-	timer   *loop.Timer // while it is dialled
+	timer   *eventloop.Timer // while it is dialled
 	idleAt  float64
 	restsTo float64 // it gets no command before
 }
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"merlinjunction/fleet"
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/routing"
 )
 
@@ -102,7 +102,7 @@
 
 // Core is the part between fronts and hosts.
 type Core struct {
-	timers *loop.Timers
+	timers *eventloop.Timers
 	log    *zap.Logger
 	router *routing.Router
 	set    routing.Settings
@@ -112,7 +112,7 @@
 	report func(body []byte) (routing.Role, float64, bool)
 
 	events   []routing.Event
-	wake     *loop.Timer
+	wake     *eventloop.Timer
 	woken    bool
 	hosts    map[string]*host
 	requests map[uint64]*request
@@ -132,7 +132,7 @@
 	id       uint64
 	deadline float64
 	lastWord float64 // what is out then is ended, so that the answer comes by the deadline
-	timer    *loop.Timer
+	timer    *eventloop.Timer
 	answered bool
 	attempts int
 	open     *attempt
@@ -150,11 +150,11 @@
 	before  float64 // it is not begun then or later; 0: there is no such time
 	written bool
 	over    bool
-	timer   *loop.Timer
+	timer   *eventloop.Timer
 }
 
 // New returns a Core. probe is the command that asks for a report, which report reads.
-func New(t *loop.Timers, log *zap.Logger, set routing.Settings, seed uint64, limits Limits, d Dialer, probe any,
+func New(t *eventloop.Timers, log *zap.Logger, set routing.Settings, seed uint64, limits Limits, d Dialer, probe any,
 	report func([]byte) (routing.Role, float64, bool)) (*Core, error) {
 	r, err := routing.New(set, seed)
 	if err != nil {
--- a/internal/proxy/state_test.go
+++ b/internal/proxy/state_test.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/loop"
+	"merlinjunction/internal/eventloop"
 	"merlinjunction/routing"
 )
 
@@ -17,7 +17,7 @@
 type bench struct {
 	*Core
 	now    float64
-	timers *loop.Timers
+	timers *eventloop.Timers
 	conns  []*fakeConn
 	got    []string // final answers, with their time
 }
@@ -54,7 +54,7 @@
 func newBench(t *testing.T, hosts ...string) *bench {
 	t.Helper()
 	b := &bench{now: 1000}
-	b.timers = &loop.Timers{Clock: loop.ManualClock(&b.now)}
+	b.timers = &eventloop.Timers{Clock: eventloop.ManualClock(&b.now)}
 	set := routing.Settings{
 		Classes: []routing.Class{
 			{Name: "read", Need: routing.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
@@ -252,7 +252,7 @@
 func TestGreetingsOfAFleetAreBounded(t *testing.T) {
 	for _, c := range []struct{ gateways, least, most int }{{1, 9, 11}, {300, 3, 5}} {
 		b := &bench{now: 1000}
-		b.timers = &loop.Timers{Clock: loop.ManualClock(&b.now)}
+		b.timers = &eventloop.Timers{Clock: eventloop.ManualClock(&b.now)}
 		set := routing.Settings{Classes: []routing.Class{{Name: "read", Need: routing.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1}},
 			Routers: c.gateways, MaxAttempts: 4, Check: routing.CheckRefuse}
 		var err error
