--- a/cmd/merlinjunction/main.go
+++ b/cmd/merlinjunction/main.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"merlinjunction/internal/lifecycle"
+	"merlinjunction/internal/server"
 )
 
 // version is set at build time for a release.
@@ -34,13 +34,13 @@
 }
 
 // load reads the operator's file where one is named, else the platform's configuration.
-func load(path string) (*lifecycle.Config, error) {
-	var cfg *lifecycle.Config
+func load(path string) (*server.Config, error) {
+	var cfg *server.Config
 	var err error
 	if path != "" {
-		cfg, err = lifecycle.LoadOperator(path)
+		cfg, err = server.LoadOperator(path)
 	} else {
-		cfg, err = lifecycle.LoadPlatform(os.Getenv("LB_CONFIG"), os.Getenv)
+		cfg, err = server.LoadPlatform(os.Getenv("LB_CONFIG"), os.Getenv)
 	}
 	if err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 			if err != nil {
 				return err
 			}
-			return lifecycle.Serve(cfg, log)
+			return server.Serve(cfg, log)
 		},
 	}
 	cmd.Flags().StringVarP(&path, "config", "c", "", configUsage)
--- a/cmd/merlinjunction/members.go
+++ b/cmd/merlinjunction/members.go
@@ -17,7 +17,7 @@
 	"github.com/spf13/cobra"
 
 	"merlinjunction/internal/frontend/management"
-	"merlinjunction/internal/lifecycle"
+	"merlinjunction/internal/server"
 )
 
 const (
@@ -65,7 +65,7 @@
 // managementOf finds the management address.
 func managementOf(address, config string) (string, error) {
 	if address == "" && config != "" {
-		cfg, err := lifecycle.LoadOperator(config)
+		cfg, err := server.LoadOperator(config)
 		if err != nil {
 			return "", err
 		}
--- a/internal/protocol/simulator/wire_test.go
+++ b/internal/protocol/simulator/wire_test.go
@@ -163,7 +163,7 @@
 
 // Each bad settings object gets one line that names the key.
 func TestBadSettingsAreNamed(t *testing.T) {
-	text, err := os.ReadFile("../../lifecycle/testdata/deployments/short.json")
+	text, err := os.ReadFile("../../server/testdata/deployments/short.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 // A class's settings stand in two places, one of them by number. In whatever order a customer lists its classes, each has its
 // own need, age, effect and times: no class gets another's, and none is known by its place.
 func TestClassesGoByNameInAnyOrder(t *testing.T) {
-	text, err := os.ReadFile("../../lifecycle/testdata/deployments/short.json")
+	text, err := os.ReadFile("../../server/testdata/deployments/short.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lifecycle/config.go
+++ b/internal/server/config.go
@@ -1,5 +1,5 @@
-// Package lifecycle starts the program and stops it: configuration, listeners, the drain at SIGTERM.
-package lifecycle
+// Package server starts the program and stops it: configuration, listeners, the drain at SIGTERM.
+package server
 
 import (
 	"encoding/json"
--- a/internal/lifecycle/operator.go
+++ b/internal/server/operator.go
@@ -1,4 +1,4 @@
-package lifecycle
+package server
 
 import (
 	"errors"
