--- a/internal/faultsim/cost_test.go
+++ b/internal/faultsim/cost_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"merlinjunction/internal/peer"
+	"merlinjunction/internal/transport"
 	"merlinjunction/membership"
 )
 
@@ -15,8 +15,8 @@
 type timed struct {
 	Node
 	t      testing.TB
-	sealer *peer.Sealer
-	others *peer.Sealer
+	sealer *transport.Sealer
+	others *transport.Sealer
 	took   time.Duration
 	steps  int
 }
@@ -68,8 +68,8 @@
 						return v, err
 					}
 					one = &timed{Node: v, t: b}
-					one.sealer, _ = peer.NewSealer("f", keys)
-					one.others, _ = peer.NewSealer("f", keys)
+					one.sealer, _ = transport.NewSealer("f", keys)
+					one.others, _ = transport.NewSealer("f", keys)
 					return one, nil
 				}, Progress: func(s float64, _ int, _ float64, _ int) {
 					if s <= 0 && one != nil {
--- a/internal/faultsim/emulate.go
+++ b/internal/faultsim/emulate.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"merlinjunction/internal/peer"
+	"merlinjunction/internal/transport"
 	"merlinjunction/membership"
 )
 
@@ -378,16 +378,16 @@
 }
 
 func (em *Emulation) send(n *emulated, a *membership.Send) {
-	text, err := peer.Encode(em.buf[:0], &a.Message)
-	if err == nil && len(text)+peer.SealSize > membership.MaxBytes {
-		err = fmt.Errorf("a %s of %d bytes is too large", a.Message.Kind, len(text)+peer.SealSize)
+	text, err := transport.Encode(em.buf[:0], &a.Message)
+	if err == nil && len(text)+transport.SealSize > membership.MaxBytes {
+		err = fmt.Errorf("a %s of %d bytes is too large", a.Message.Kind, len(text)+transport.SealSize)
 	}
 	if err != nil {
 		em.err = err
 		return
 	}
 	em.buf = text
-	n.sent += len(text) + peer.SealSize + headers
+	n.sent += len(text) + transport.SealSize + headers
 	em.Result.Datagrams++
 	to := em.byAddr[a.To]
 	if to == nil {
--- a/internal/faultsim/service.go
+++ b/internal/faultsim/service.go
@@ -9,7 +9,7 @@
 
 	"merlinjunction/fleet"
 	"merlinjunction/internal/faultsim/model"
-	"merlinjunction/internal/peer"
+	"merlinjunction/internal/transport"
 	"merlinjunction/membership"
 	"merlinjunction/routing"
 )
@@ -155,7 +155,7 @@
 		if !ok {
 			return
 		}
-		r := peer.Roster(fleet.Peer{Name: n.name, Zone: s.em.e.Fleet.zone(i), Load: s.tellers[i].told}, view.Members())
+		r := transport.Roster(fleet.Peer{Name: n.name, Zone: s.em.e.Fleet.zone(i), Load: s.tellers[i].told}, view.Members())
 		if s.known[i] == nil || !s.known[i].Same(r) {
 			s.known[i] = r
 			s.gates[i].SetPeers(r)
@@ -179,7 +179,7 @@
 		t := s.tellers[i]
 		if load := t.Look(s.Now(), g.Second()); load != t.told {
 			t.told = load
-			s.em.run(n, []membership.Event{membership.Tell{Payload: peer.Payload{Load: load}.Bytes()}})
+			s.em.run(n, []membership.Event{membership.Tell{Payload: transport.Payload{Load: load}.Bytes()}})
 		}
 		if int(s.Now()/1000)%5 == i%5 {
 			s.viewChanged(n)
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -12,7 +12,7 @@
 
 	"merlinjunction/fleet"
 	"merlinjunction/internal/frontend/management"
-	"merlinjunction/internal/peer"
+	"merlinjunction/internal/transport"
 	"merlinjunction/membership"
 )
 
@@ -29,11 +29,11 @@
 }
 
 // config checks a [fleet]; the error names the key.
-func (f *fleetTable) config(gateway string, seed uint64) (*peer.Config, error) {
+func (f *fleetTable) config(gateway string, seed uint64) (*transport.Config, error) {
 	if f == nil {
 		return nil, nil
 	}
-	c := &peer.Config{Name: gateway, Fleet: f.Name, Listen: f.Listen, Zone: f.Zone, Seed: seed}
+	c := &transport.Config{Name: gateway, Fleet: f.Name, Listen: f.Listen, Zone: f.Zone, Seed: seed}
 	if gateway == "" || len(gateway) > membership.MaxName {
 		return nil, fmt.Errorf("name: a gateway of a fleet needs one of 1 to %d bytes", membership.MaxName)
 	}
@@ -66,7 +66,7 @@
 	for _, k := range f.Keys {
 		c.Keys = append(c.Keys, []byte(k))
 	}
-	if _, err := peer.NewSealer(f.Name, c.Keys); err != nil {
+	if _, err := transport.NewSealer(f.Name, c.Keys); err != nil {
 		return nil, fmt.Errorf("fleet.keys: %w", err)
 	}
 	if len(f.Networks) == 0 {
@@ -92,7 +92,7 @@
 	if p.cfg.Operator == nil || p.cfg.Operator.Fleet == nil {
 		return nil
 	}
-	if p.peer, err = peer.New(p.loop, p.log, *p.cfg.Operator.Fleet); err == nil {
+	if p.peer, err = transport.New(p.loop, p.log, *p.cfg.Operator.Fleet); err == nil {
 		p.loop.Soon(func() {}) // it has something to do in the first round
 	}
 	return err
@@ -145,11 +145,11 @@
 		taken := p.core.Taken()
 		s.load = s.teller.Look(now, float64(taken-s.taken)*1000/passed)
 		s.taken, s.at = taken, now
-		p.peer.Tell(peer.Payload{Load: s.load})
+		p.peer.Tell(transport.Payload{Load: s.load})
 	}
 	s.edition = p.peer.Edition()
 	members, _ := p.peer.Members()
-	r := peer.Roster(fleet.Peer{Name: p.cfg.Name, Zone: p.cfg.Operator.Fleet.Zone, Load: s.load}, members)
+	r := transport.Roster(fleet.Peer{Name: p.cfg.Name, Zone: p.cfg.Operator.Fleet.Zone, Load: s.load}, members)
 	if s.roster != nil && s.roster.Same(r) {
 		return
 	}
--- a/internal/server/operator.go
+++ b/internal/server/operator.go
@@ -10,10 +10,10 @@
 	"github.com/BurntSushi/toml"
 
 	"merlinjunction/internal/frontend/extended"
-	"merlinjunction/internal/peer"
 	"merlinjunction/internal/protocol/discovery"
 	"merlinjunction/internal/protocol/pg"
 	"merlinjunction/internal/proxy"
+	"merlinjunction/internal/transport"
 	"merlinjunction/routing"
 )
 
@@ -24,7 +24,7 @@
 	Login            login
 	Probe            pg.Command // nil: none
 	GreetMs          float64
-	Fleet            *peer.Config // nil: this gateway talks to no other
+	Fleet            *transport.Config // nil: this gateway talks to no other
 }
 
 // login is how hosts are greeted, and what they tell of themselves.
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -14,11 +14,11 @@
 	"merlinjunction/internal/frontend/extended"
 	"merlinjunction/internal/frontend/management"
 	"merlinjunction/internal/frontend/platform"
-	"merlinjunction/internal/peer"
 	"merlinjunction/internal/protocol/discovery"
 	"merlinjunction/internal/protocol/health"
 	"merlinjunction/internal/protocol/pg"
 	"merlinjunction/internal/proxy"
+	"merlinjunction/internal/transport"
 )
 
 const (
@@ -71,7 +71,7 @@
 	away      bool             // clients are sent away
 	leaving   *eventloop.Timer // until those that still come are
 	reloads   [2]int           // that failed, that were taken in
-	peer      *peer.Peer       // nil: no fleet is set up
+	peer      *transport.Peer  // nil: no fleet is set up
 	shared    *shared          // with other processes of this gateway; nil where no listener was handed down
 	held      bool             // the listener accepts nobody yet
 	beside    bool             // another process of this gateway lives
--- a/internal/peer/codec.go
+++ b/internal/transport/codec.go
@@ -1,6 +1,6 @@
-// Package peer carries a fleet's messages: it encodes them, proves where they come from, and drives a membership.View on
+// Package transport carries a fleet's messages: it encodes them, proves where they come from, and drives a membership.View on
 // the program's loop. What the messages say is decided in membership.
-package peer
+package transport
 
 import (
 	"errors"
--- a/internal/peer/seal.go
+++ b/internal/transport/seal.go
@@ -1,4 +1,4 @@
-package peer
+package transport
 
 import (
 	"crypto/hmac"
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Sizes in bytes that Send keeps to: upper bounds for the encoding in internal/peer, whose tests hold them against it.
+// Sizes in bytes that Send keeps to: upper bounds for the encoding in internal/transport, whose tests hold them against it.
 const (
 	Overhead    = 170 // all but rumors, records and digests
 	rumorSize   = 34
