--- a/internal/faultsim/database.go
+++ b/internal/faultsim/database.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"merlinjunction/internal/protocol/pg"
-	"merlinjunction/internal/standin"
+	"merlinjunction/internal/stubserver"
 )
 
 // Databases are the stand-in hosts of one group: the first is the primary, the others apply its log a little later. They
@@ -152,7 +152,7 @@
 // discovery is the list as one gateway sees it: each host at the address of its own relay.
 func (d *Databases) discovery(addr func(host int) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		standin.AwaitNews(r, func(since int) (bool, <-chan struct{}) {
+		stubserver.AwaitNews(r, func(since int) (bool, <-chan struct{}) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			return d.told > since, d.changed
@@ -181,14 +181,14 @@
 		delete(h.conns, conn)
 		h.all.mu.Unlock()
 	}()
-	out, err := standin.Welcome(conn)
+	out, err := stubserver.Welcome(conn)
 	if err != nil {
 		return
 	}
 	s := &databaseSession{host: h, conn: conn, out: out}
 	for s.ready() {
 		for {
-			kind, body, err := standin.ReadMessage(conn, mostMessage)
+			kind, body, err := stubserver.ReadMessage(conn, mostMessage)
 			if err != nil || kind == pg.MsgEnd {
 				return
 			}
@@ -323,9 +323,9 @@
 			}
 		}
 		if simple {
-			s.out = standin.Column(s.out)
+			s.out = stubserver.Column(s.out)
 		}
-		s.out = standin.Row(s.out, strconv.Itoa(seen))
+		s.out = stubserver.Row(s.out, strconv.Itoa(seen))
 		s.out = pg.Texts(s.out, pg.MsgComplete, "SELECT 1")
 	default:
 		s.fail("42601")
--- a/internal/faultsim/load.go
+++ b/internal/faultsim/load.go
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"merlinjunction/internal/protocol/pg"
-	"merlinjunction/internal/standin"
+	"merlinjunction/internal/stubserver"
 )
 
 // arrival is one request, drawn ahead.
@@ -154,7 +154,7 @@
 // answer reads up to ReadyForQuery, or a fatal error.
 func answer(conn net.Conn) (r reply, err error) {
 	for {
-		kind, body, err := standin.ReadMessage(conn, mostMessage)
+		kind, body, err := stubserver.ReadMessage(conn, mostMessage)
 		if err != nil {
 			return r, err
 		}
--- a/internal/standin/standin.go
+++ b/internal/stubserver/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds what stand-ins for clients, hosts and discovery speak alike, in the tests and in the laboratory. It
+// Package stubserver holds what stand-ins for clients, hosts and discovery speak alike, in the tests and in the laboratory. It
 // blocks; the gateway's own side of the protocol is internal/protocol.
-package standin
+package stubserver
 
 import (
 	"encoding/binary"
--- a/internal/testkit/standin.go
+++ b/internal/testkit/standin.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"merlinjunction/internal/protocol/pg"
-	"merlinjunction/internal/standin"
+	"merlinjunction/internal/stubserver"
 )
 
 // Cluster is one group of stand-in hosts that share their data: a list of what ran where.
@@ -154,7 +154,7 @@
 
 // ServeHTTP is discovery: the whole list, or a watch.
 func (c *Cluster) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	standin.AwaitNews(r, func(since int) (bool, <-chan struct{}) {
+	stubserver.AwaitNews(r, func(since int) (bool, <-chan struct{}) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.revision > since, c.changed
@@ -179,7 +179,7 @@
 
 func (h *StandIn) serve(conn net.Conn) {
 	defer conn.Close()
-	out, err := standin.Welcome(conn)
+	out, err := stubserver.Welcome(conn)
 	if err != nil {
 		return
 	}
@@ -202,7 +202,7 @@
 // mostMessage is far above what any test sends.
 const mostMessage = 64 << 20
 
-func readMessage(r io.Reader) (byte, []byte, error) { return standin.ReadMessage(r, mostMessage) }
+func readMessage(r io.Reader) (byte, []byte, error) { return stubserver.ReadMessage(r, mostMessage) }
 
 // hostSession is one connection to a stand-in. It keeps one statement and one portal, both unnamed.
 type hostSession struct {
@@ -301,7 +301,7 @@
 
 var literal = regexp.MustCompile(`'([^']*)'`)
 
-func (s *hostSession) columns() { s.out = standin.Column(s.out) }
+func (s *hostSession) columns() { s.out = stubserver.Column(s.out) }
 
 // execute runs the statement once and takes it down; false where the connection is to end.
 func (s *hostSession) execute() bool {
@@ -357,7 +357,7 @@
 		rows, _ = strconv.Atoi(n[:1])
 	}
 	for i := range rows {
-		s.out = standin.Row(s.out, fmt.Sprintf("%s%d", s.host.Name, i))
+		s.out = stubserver.Row(s.out, fmt.Sprintf("%s%d", s.host.Name, i))
 	}
 	s.out = pg.Texts(s.out, pg.MsgComplete, "SELECT "+strconv.Itoa(rows))
 	return true
