--- a/cmd/merlinjunction/fleet_test.go
+++ b/cmd/merlinjunction/fleet_test.go
@@ -169,7 +169,7 @@
 	b := startFleet(t, fleetConfig(t, "b", freeUDP(t), addr, "the second key, long enough"))
 	time.Sleep(time.Second)
 	membersUntil(t, a, "alone", func(f *management.Fleet) bool { return f.Alive == 1 && len(f.Members) == 1 })
-	membersUntil(t, b, "kept out", func(f *management.Fleet) bool { return f.Standing == "joining" })
+	membersUntil(t, b, "kept out", func(f *management.Fleet) bool { return f.Status == "joining" })
 }
 
 func TestMembersCommandFails(t *testing.T) {
--- a/cmd/merlinjunction/main.go
+++ b/cmd/merlinjunction/main.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return cfg, cfg.Inherit(os.Getenv)
+	return cfg, cfg.ApplyInheritedListener(os.Getenv)
 }
 
 const configUsage = "an operator's TOML file, which turns on the extended-query front" +
@@ -68,7 +68,7 @@
 			case subset > 0 && path != "":
 				return errors.New("--subset: an operator's file has rules.subset instead")
 			case subset > 0:
-				cfg.Settings.Subset = subset
+				cfg.Settings.SubsetSize = subset
 			}
 			log, err := logger(verbose)
 			if err != nil {
@@ -102,7 +102,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d classes, %d hosts, listening on %s: fine\n",
-				len(cfg.Settings.Classes), len(cfg.Known), cfg.Listen)
+				len(cfg.Settings.Classes), len(cfg.KnownHosts), cfg.Listen)
 			return nil
 		},
 	}
--- a/cmd/merlinjunction/members.go
+++ b/cmd/merlinjunction/members.go
@@ -112,11 +112,11 @@
 		return err
 	}
 	part := ""
-	if f.Part {
+	if f.Partial {
 		part = ", sees only a part"
 	}
 	fmt.Fprintf(out, "fleet %s, seen by %s (%s%s): %d alive, %d suspect, %d unreachable, %d dead, %d left\n",
-		f.Name, f.Self, f.Standing, part, f.Alive, f.Suspect, f.Unreachable, f.Dead, f.Left)
+		f.Name, f.Self, f.Status, part, f.Alive, f.Suspect, f.Unreachable, f.Dead, f.Left)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tSTATE\tFOR\tZONE\tADDRESS\tINCARNATION\tVERSION")
 	for _, m := range f.Members {
@@ -164,7 +164,7 @@
 			say("away", map[string]string{"cause": err.Error()})
 		case err == nil:
 			away = false
-			if now := fmt.Sprintf("%s part=%v", f.Standing, f.Part); now != stands {
+			if now := fmt.Sprintf("%s part=%v", f.Status, f.Partial); now != stands {
 				stands = now
 				say("standing", map[string]string{"member": f.Self, "state": now})
 			}
--- a/fleet/aperture.go
+++ b/fleet/aperture.go
@@ -20,9 +20,9 @@
 	narrowMs = 1_000.0  // more for each further host, so that not all are let go at a time
 )
 
-// Set takes in a new dealing. Hosts that were needed stay in use for their time.
-func (a *Aperture) Set(d *Dealing) {
-	a.hosts, a.order, a.size = d.hosts, d.Order(), d.Size()
+// Update takes in a new dealing. Hosts that were needed stay in use for their time.
+func (a *Aperture) Update(d *SubsetAssignment) {
+	a.hosts, a.order, a.size = d.hosts, d.PreferenceOrder(), d.SubsetSize()
 	if a.until == nil {
 		a.until = map[string]float64{}
 	}
@@ -31,10 +31,10 @@
 	})
 }
 
-// Use tells which hosts, by index, are in use at a time. capacity is what each can do here and now: 0 for one that
+// InUse tells which hosts, by index, are in use at a time. capacity is what each can do here and now: 0 for one that
 // fails or has no room, its warmth for one that is cold, 1 for a sound one. Hosts are taken in order until they have the
 // capacity of a subset of sound ones, so a group in which any host can do anything is never left without one.
-func (a *Aperture) Use(now float64, capacity func(host int) float64) []bool {
+func (a *Aperture) InUse(now float64, capacity func(host int) float64) []bool {
 	use, have := make([]bool, len(a.order)), 0.0
 	for i, h := range a.order {
 		id := a.hosts[h].ID
--- a/fleet/calls_test.go
+++ b/fleet/calls_test.go
@@ -13,19 +13,19 @@
 // primary for the whole grace from then: a request went out 2.42 s after the drain counted as told.
 func TestAnAgentIsAskedAtOnce(t *testing.T) {
 	for _, grace := range []float64{250, 600, 2000} {
-		c := Calls{Turns: Turns{300, -1}, GraceMs: grace, Pushed: true}
-		c.Began(1000)
-		if c.First(true, 0.99) != 0 || c.Move(0.99) != 0 {
-			t.Errorf("grace %v: the first call comes after %v, after a move %v", grace, c.First(true, 0.99), c.Move(0.99))
+		c := PollPolicy{SlotSchedule: SlotSchedule{300, -1}, DrainGraceMs: grace, Pushed: true}
+		c.Started(1000)
+		if c.FirstDelay(true, 0.99) != 0 || c.MoveDelay(0.99) != 0 {
+			t.Errorf("grace %v: the first call comes after %v, after a move %v", grace, c.FirstDelay(true, 0.99), c.MoveDelay(0.99))
 		}
-		if _, patience := c.Call(true); patience > 1500 {
+		if _, patience := c.NextCall(true); patience > 1500 {
 			t.Errorf("grace %v: a first call may take %v ms", grace, patience)
 		}
 		for range 12 {
 			if w := c.Failed(2000, 0.999); w > 0.4*grace {
 				t.Errorf("grace %v: asks again after %v", grace, w)
 			}
-			if w := c.Silent(2000, 3000, 0.999); w > 0.4*grace {
+			if w := c.TimedOut(2000, 3000, 0.999); w > 0.4*grace {
 				t.Errorf("grace %v: asks again after %v when nothing comes", grace, w)
 			}
 		}
@@ -42,13 +42,13 @@
 // as told 6 s after it fell silent.
 func TestASilentFirstCallIsMadeAnewInTime(t *testing.T) {
 	for _, grace := range []float64{250, 2000} {
-		c := Calls{Turns: Turns{300, -1}, GraceMs: grace}
+		c := PollPolicy{SlotSchedule: SlotSchedule{300, -1}, DrainGraceMs: grace}
 		now, asked, silences := 0.0, 0.0, 0
 		for now < toldMs+grace {
-			_, patience := c.Call(true)
+			_, patience := c.NextCall(true)
 			asked = now
 			now += patience
-			now += c.Silent(asked, now, 0.999)
+			now += c.TimedOut(asked, now, 0.999)
 			silences++
 		}
 		if silences < 3 {
@@ -65,9 +65,9 @@
 		pushed := rapid.Bool().Draw(t, "pushed")
 		grace := rapid.SampledFrom([]float64{250, 600, 2000}).Draw(t, "grace")
 		draw := func() float64 { return float64(rapid.IntRange(0, 999).Draw(t, "draw")) / 1000 }
-		c := Calls{Turns: Turns{rapid.SampledFrom([]int{1, 6, 300}).Draw(t, "gateways"), -1}, GraceMs: grace, Pushed: pushed}
+		c := PollPolicy{SlotSchedule: SlotSchedule{rapid.SampledFrom([]int{1, 6, 300}).Draw(t, "gateways"), -1}, DrainGraceMs: grace, Pushed: pushed}
 		now := 1000.0
-		c.Began(now)
+		c.Started(now)
 		newsAt := now + float64(rapid.IntRange(-3000, 20_000).Draw(t, "news")) // an agent, or discovery, has it since
 		counts := newsAt                                                       // when the rules count it as told at the latest
 		if pushed {
@@ -75,10 +75,10 @@
 		} else {
 			counts = 1e9
 		}
-		now += c.First(true, draw())
+		now += c.FirstDelay(true, draw())
 		heard := false
 		for range rapid.IntRange(0, 8).Draw(t, "calls") {
-			wait, patience := c.Call(true)
+			wait, patience := c.NextCall(true)
 			asked := now
 			switch rapid.IntRange(0, 4).Draw(t, "fate") {
 			case 0: // answered: with the news if there are any by the end of the wait
@@ -95,7 +95,7 @@
 					}
 					return
 				}
-				now += c.Idle(false, asked, now)
+				now += c.IdleDelay(false, asked, now)
 			case 1: // told no, at once or after some time
 				now += float64(rapid.IntRange(0, int(wait)).Draw(t, "after"))
 				if newsAt < now && newsAt >= asked { // it had been written by then
@@ -108,13 +108,13 @@
 				if newsAt < now {
 					counts = min(counts, max(newsAt, asked)+toldMs)
 				}
-				now += c.Broke(asked, now, draw())
+				now += c.ConnectionLost(asked, now, draw())
 			default:
 				now += patience
 				if newsAt < now {
 					counts = min(counts, max(newsAt, asked)+toldMs)
 				}
-				pause := c.Silent(asked, now, draw())
+				pause := c.TimedOut(asked, now, draw())
 				if pause > 0.4*grace {
 					t.Fatalf("asks again after %.0f ms, the grace is %.0f", pause, grace)
 				}
@@ -129,13 +129,13 @@
 // at once leaves an overrun discovery alone for longer and longer.
 func TestWhatACallMissedBeforeItBrokeCounts(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
-		c := Calls{Turns: Turns{300, -1}, GraceMs: 2000, Pushed: pushed}
-		c.Began(1000)
+		c := PollPolicy{SlotSchedule: SlotSchedule{300, -1}, DrainGraceMs: 2000, Pushed: pushed}
+		c.Started(1000)
 		c.Answered(1500)
 		now := 2000.0
 		for range 5 {
-			pause := c.Broke(now, now+1500, 0.999)
-			if pause > 0.4*c.GraceMs {
+			pause := c.ConnectionLost(now, now+1500, 0.999)
+			if pause > 0.4*c.DrainGraceMs {
 				t.Errorf("pushed %v: made anew after %.0f ms", pushed, pause)
 			}
 			now += 1500 + pause
@@ -149,7 +149,7 @@
 		}
 		last := 0.0
 		for range 6 {
-			last = c.Broke(now, now, 0.5)
+			last = c.ConnectionLost(now, now, 0.5)
 		}
 		if !pushed && last < 2000 {
 			t.Errorf("a discovery that resets all calls is called again after %.0f ms", last)
@@ -159,18 +159,18 @@
 
 // Discovery that answers each watch at once with nothing new was asked as fast as it answered.
 func TestAWatchWithoutNewsIsNoBusyLoop(t *testing.T) {
-	var c Calls
-	if n, slow := c.Idle(true, 1000, 1000), c.Idle(false, 1000, 1150); n != 0 || slow != 0 {
+	var c PollPolicy
+	if n, slow := c.IdleDelay(true, 1000, 1000), c.IdleDelay(false, 1000, 1150); n != 0 || slow != 0 {
 		t.Errorf("pauses of %v after news, %v after an answer that took long", n, slow)
 	}
-	if p := c.Idle(false, 1000, 1010); p < 50 || p >= 200 {
+	if p := c.IdleDelay(false, 1000, 1010); p < 50 || p >= 200 {
 		t.Errorf("a pause of %v", p)
 	}
 	if _, told := c.Answered(1100); told != 1010 {
 		t.Errorf("what came in the pause counts as told at %v", told)
 	}
-	for _, c := range []Calls{{Pushed: true}, {}} { // settings without a grace
-		if w := min(c.Failed(0, 0), c.Silent(0, 0, 0)); w < 5 {
+	for _, c := range []PollPolicy{{Pushed: true}, {}} { // settings without a grace
+		if w := min(c.Failed(0, 0), c.TimedOut(0, 0, 0)); w < 5 {
 			t.Errorf("pushed %v: no pause after a failure: %v", c.Pushed, w)
 		}
 	}
--- a/fleet/roster.go
+++ b/fleet/roster.go
@@ -19,8 +19,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Peer is one gateway of the fleet.
-type Peer struct {
+// Gateway is one gateway of the fleet.
+type Gateway struct {
 	Name string
 	Zone string  // "" where nobody says
 	Load float64 // requests a second that it takes; 0: not known, taken for the mean
@@ -28,7 +28,7 @@
 
 // Roster is the gateways that share the hosts. It does not change; a new view makes a new one.
 type Roster struct {
-	peers []Peer // by name
+	peers []Gateway // by name
 	keys  []uint64
 	loads []float64 // none is 0
 	order []int     // in which subsets are dealt: by key
@@ -42,15 +42,15 @@
 // mostPeers is the largest fleet that subsets are dealt to.
 const mostPeers = 10_000
 
-// Numbered is a fleet of which only the number of gateways is known, and which of them this one is: 0 to count-1, or
+// NewNumberedRoster is a fleet of which only the number of gateways is known, and which of them this one is: 0 to count-1, or
 // -1. A count under 1 is taken for 1; a number past the count for one of a fleet that is that much larger. Where this
 // gateway stands is known, where the others do isn't: it is dealt to of its own zone first, and they of any.
-func Numbered(index, count int, zone string) *Roster {
+func NewNumberedRoster(index, count int, zone string) *Roster {
 	count = max(1, count, index+1)
 	if index < 0 || count > mostPeers {
 		return &Roster{self: -1, size: count, total: 1}
 	}
-	peers := make([]Peer, count)
+	peers := make([]Gateway, count)
 	for i := range peers {
 		peers[i].Name = fmt.Sprintf("%06d", i)
 	}
@@ -58,18 +58,18 @@
 	return newRoster(index, peers)
 }
 
-// Named is a fleet whose members are known. This gateway is added where it is not among them; of two peers of one
+// NewNamedRoster is a fleet whose members are known. This gateway is added where it is not among them; of two peers of one
 // name the first counts.
-func Named(self Peer, peers []Peer) *Roster {
-	all := append([]Peer{self}, peers...)
-	slices.SortStableFunc(all, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
-	all = slices.CompactFunc(all, func(a, b Peer) bool { return a.Name == b.Name })
-	at, _ := slices.BinarySearchFunc(all, self.Name, func(p Peer, name string) int { return cmp.Compare(p.Name, name) })
+func NewNamedRoster(self Gateway, peers []Gateway) *Roster {
+	all := append([]Gateway{self}, peers...)
+	slices.SortStableFunc(all, func(a, b Gateway) int { return cmp.Compare(a.Name, b.Name) })
+	all = slices.CompactFunc(all, func(a, b Gateway) bool { return a.Name == b.Name })
+	at, _ := slices.BinarySearchFunc(all, self.Name, func(p Gateway, name string) int { return cmp.Compare(p.Name, name) })
 	all[at] = self
 	return newRoster(at, all)
 }
 
-func newRoster(self int, peers []Peer) *Roster {
+func newRoster(self int, peers []Gateway) *Roster {
 	r := &Roster{peers: peers, self: self, size: len(peers), keys: make([]uint64, len(peers)), loads: make([]float64, len(peers)), order: make([]int, len(peers))}
 	known, sum := 0, 0.0
 	for _, p := range peers {
@@ -104,36 +104,36 @@
 // Size is the number of gateways, this one among them.
 func (r *Roster) Size() int { return r.size }
 
-// Seat is this gateway's place among them, by name: 0 to Size()-1, or -1 where it isn't known.
-func (r *Roster) Seat() int { return r.self }
+// Index is this gateway's place among them, by name: 0 to Size()-1, or -1 where it isn't known.
+func (r *Roster) Index() int { return r.self }
 
-// Share is this gateway's part of the fleet's traffic: by its load, or an even part where loads aren't known.
-func (r *Roster) Share() float64 {
+// TrafficShare is this gateway's part of the fleet's traffic: by its load, or an even part where loads aren't known.
+func (r *Roster) TrafficShare() float64 {
 	if r.self < 0 {
 		return 1 / float64(r.size)
 	}
 	return r.loads[r.self] / r.total
 }
 
-// Scale is how many times its even part of a limit a gateway may take that sends times as much of its own traffic to a host
+// QuotaScale is how many times its even part of a limit a gateway may take that sends times as much of its own traffic to a host
 // as all do. Where loads aren't known it may have far more traffic than the others, and its even part is all it gets.
-func (r *Roster) Scale(times float64) float64 {
+func (r *Roster) QuotaScale(times float64) float64 {
 	if r.told {
 		return times
 	}
 	return min(1, times)
 }
 
-// Same tells whether two rosters lead to the same choices: loads within a quarter of each other are the same.
-func (r *Roster) Same(o *Roster) bool {
-	return r.self == o.self && r.size == o.size && slices.EqualFunc(r.peers, o.peers, func(a, b Peer) bool {
+// Equivalent tells whether two rosters lead to the same choices: loads within a quarter of each other are the same.
+func (r *Roster) Equivalent(o *Roster) bool {
+	return r.self == o.self && r.size == o.size && slices.EqualFunc(r.peers, o.peers, func(a, b Gateway) bool {
 		return a.Name == b.Name && a.Zone == b.Zone && (a.Load > 0) == (b.Load > 0) && a.Load <= 1.25*b.Load && b.Load <= 1.25*a.Load
 	})
 }
 
-// Teller decides when a gateway tells the others its load anew: what is told goes to all of them, so it must be seldom.
+// LoadAnnouncer decides when a gateway tells the others its load anew: what is told goes to all of them, so it must be seldom.
 // The zero value has told nothing.
-type Teller struct {
+type LoadAnnouncer struct {
 	load, told float64
 	at         float64
 	looks      int
@@ -147,8 +147,8 @@
 	loadLeast = 0.1      // requests a second; less is none
 )
 
-// Look takes in what came in the last second, and returns what the others are to be told: 0 for nothing yet.
-func (t *Teller) Look(now, load float64) float64 {
+// Observe takes in what came in the last second, and returns what the others are to be told: 0 for nothing yet.
+func (t *LoadAnnouncer) Observe(now, load float64) float64 {
 	if t.looks++; t.looks == 1 {
 		t.load = load
 	}
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// Shares tells what part of a group's traffic comes to each of its hosts over the whole fleet, by index, and what part
+// TrafficShares tells what part of a group's traffic comes to each of its hosts over the whole fleet, by index, and what part
 // of this gateway's own, from what every gateway knows alike: the dealing, how warm the hosts are and the gateways' loads.
 // Each gateway is taken to use what its Aperture opens for warmth alone, and to draw among that by warmth and zone (own
 // counts zone times as much). Both sum up to 1 where anything can be done at all.
 //
 // A host that is in few subsets gets little, however much of those gateways' traffic comes to it; each gateway may thin
 // its own traffic by a limit on the host divided by the host's part of all, and the sum is right.
-func (d *Dealing) Shares(warmth []float64, zone float64) (all, own []float64) {
+func (d *SubsetAssignment) TrafficShares(warmth []float64, zone float64) (all, own []float64) {
 	all, own = make([]float64, len(d.hosts)), make([]float64, len(d.hosts))
 	if d.orders == nil { // every gateway uses all
 		sum := 0.0
@@ -62,42 +62,42 @@
 // gateways got up to 1.8 times what was meant for them, and in two of thirteen plays one fell over.
 const surgeUneven = 1.25
 
-// Cold is a limit that a fleet keeps together on a host that warms up.
-type Cold struct {
-	Hosts  float64 // that a group's traffic is made for
-	Tip    float64 // times its warmth of an even part of that traffic, above which a host falls over
-	Use    float64 // share of it that is used: the gateways' facts differ, and traffic is uneven
-	FallMs float64 // it falls over if that lasts so long
-	Tries  float64 // of a request that was refused, in all
-	Surge  float64 // times that traffic, that there is now; 1 at the least
+// SlowStartLimit is a limit that a fleet keeps together on a host that warms up.
+type SlowStartLimit struct {
+	HostCount          float64 // that a group's traffic is made for
+	OverloadMultiple   float64 // times its warmth of an even part of that traffic, above which a host falls over
+	UsableShare        float64 // share of it that is used: the gateways' facts differ, and traffic is uneven
+	OverloadWindowMs   float64 // it falls over if that lasts so long
+	AttemptsPerRequest float64 // of a request that was refused, in all
+	LoadFactor         float64 // times that traffic, that there is now; 1 at the least
 }
 
-// Chance is the probability with which a request may go to a host that has so much warmth and gets so large a share of
+// AdmitProbability is the probability with which a request may go to a host that has so much warmth and gets so large a share of
 // its group's traffic. The group's hosts are taken to carry that traffic between them, so a cold one tips where its share
 // is over the tipping multiple of its warmth of an even share, or as much less as a surge brings more. However many
 // gateways thin by it, the sum is right. What has waited comes all at once, and what is refused comes again: both are
 // thinned the more. A surge has what comes again in it, so the stricter of the two holds. It is uneven besides: what comes
 // again finds the members that are left to it, and more of it in some groups and at some gateways than each can see.
-func (c Cold) Chance(warmth, share, waitedMs float64) float64 {
-	burst := 1 + waitedMs/max(c.FallMs, 1)
-	chance := c.Tip * c.Use * warmth / (max(1, c.Hosts) * share * burst)
-	return min(1, chance/math.Pow(max(1, c.Surge), surgeUneven), 1-math.Pow(max(0, 1-chance), 1/c.Tries))
+func (c SlowStartLimit) AdmitProbability(warmth, share, waitedMs float64) float64 {
+	burst := 1 + waitedMs/max(c.OverloadWindowMs, 1)
+	chance := c.OverloadMultiple * c.UsableShare * warmth / (max(1, c.HostCount) * share * burst)
+	return min(1, chance/math.Pow(max(1, c.LoadFactor), surgeUneven), 1-math.Pow(max(0, 1-chance), 1/c.AttemptsPerRequest))
 }
 
-// Rate is how many requests a second one gateway may send to such a host, by the rate that its group has answered this
+// AdmitRate is how many requests a second one gateway may send to such a host, by the rate that its group has answered this
 // gateway while its hosts were warm.
-func (c Cold) Rate(warmth, rate float64) float64 {
-	return c.Tip * c.Use * warmth * rate / max(1, c.Hosts)
+func (c SlowStartLimit) AdmitRate(warmth, rate float64) float64 {
+	return c.OverloadMultiple * c.UsableShare * warmth * rate / max(1, c.HostCount)
 }
 
-// Budget holds what a gateway may still send at a rate. The zero value is empty.
-type Budget struct {
+// TokenBucket holds what a gateway may still send at a rate. The zero value is empty.
+type TokenBucket struct {
 	left float64
 	at   float64
 }
 
 // Take takes one from a budget that fills at a rate a second and keeps burst seconds of it; false where it is empty.
-func (b *Budget) Take(now, rate, burst float64) bool {
+func (b *TokenBucket) Take(now, rate, burst float64) bool {
 	b.left = min(1+rate*burst, b.left+rate*(now-b.at)/1000)
 	b.at = now
 	if b.left < 1 {
--- a/fleet/subset.go
+++ b/fleet/subset.go
@@ -9,9 +9,9 @@
 // comes or goes, more lets hosts differ more.
 const slack = 0.1
 
-// Dealing holds which hosts of one group each gateway prefers: its subset, and beyond it the others for when members of
+// SubsetAssignment holds which hosts of one group each gateway prefers: its subset, and beyond it the others for when members of
 // that fail. It is worked out anew when the gateways or the hosts change.
-type Dealing struct {
+type SubsetAssignment struct {
 	roster *Roster
 	hosts  []Host
 	keys   []uint64
@@ -21,12 +21,12 @@
 	orders [][]int // by peer; nil: not worked out yet
 }
 
-// Deal deals subsets of a group's hosts: every gateway gets size of them (all, where there are no more, or size is 0),
+// AssignSubsets deals subsets of a group's hosts: every gateway gets size of them (all, where there are no more, or size is 0),
 // every host is in a tenth more of the subsets than an even part at the most. Gateways are dealt to in the order of their
 // keys, all their first picks before any second one; each takes the host it prefers most, of its own zone before others,
 // that still has room. One gateway more or less moves little: only where a bound is reached.
-func Deal(r *Roster, hosts []Host, size int) *Dealing {
-	d := &Dealing{roster: r, hosts: slices.Clone(hosts), keys: make([]uint64, len(hosts)), want: size, size: len(hosts)}
+func AssignSubsets(r *Roster, hosts []Host, size int) *SubsetAssignment {
+	d := &SubsetAssignment{roster: r, hosts: slices.Clone(hosts), keys: make([]uint64, len(hosts)), want: size, size: len(hosts)}
 	for i, h := range hosts {
 		d.keys[i] = keyOf(h.ID)
 	}
@@ -63,7 +63,7 @@
 }
 
 // prefers tells whether a peer prefers one host to another, whatever the others do.
-func (d *Dealing) prefers(p, a, b int) bool {
+func (d *SubsetAssignment) prefers(p, a, b int) bool {
 	if na, nb := d.near(p, a), d.near(p, b); na != nb {
 		return na
 	}
@@ -71,13 +71,13 @@
 	return sa > sb || sa == sb && a < b
 }
 
-func (d *Dealing) near(p, h int) bool {
+func (d *SubsetAssignment) near(p, h int) bool {
 	zone := d.roster.peers[p].Zone
 	return zone != "" && zone == d.hosts[h].Zone
 }
 
 // order is all hosts in the order in which a peer prefers them, its subset first.
-func (d *Dealing) order(p int) []int {
+func (d *SubsetAssignment) order(p int) []int {
 	if d.orders[p] == nil {
 		order := make([]int, 0, len(d.hosts))
 		for _, h := range d.picks[p*d.size:][:d.size] {
@@ -99,9 +99,9 @@
 	return d.orders[p]
 }
 
-// Order is the order in which this gateway prefers the hosts, as indices: the first Size of them are its subset. Where
+// PreferenceOrder is the order in which this gateway prefers the hosts, as indices: the first Size of them are its subset. Where
 // nobody knows which gateway this is, or all get all, all are as good.
-func (d *Dealing) Order() []int {
+func (d *SubsetAssignment) PreferenceOrder() []int {
 	if d.orders != nil {
 		return d.order(d.roster.self)
 	}
@@ -112,11 +112,11 @@
 	return order
 }
 
-// Size is how many hosts are in a subset.
-func (d *Dealing) Size() int { return d.size }
+// SubsetSize is how many hosts are in a subset.
+func (d *SubsetAssignment) SubsetSize() int { return d.size }
 
-// Holders is in how many subsets each host is.
-func (d *Dealing) Holders() []int {
+// SubsetCounts is in how many subsets each host is.
+func (d *SubsetAssignment) SubsetCounts() []int {
 	n := make([]int, len(d.hosts))
 	for _, h := range d.picks {
 		n[h]++
--- a/fleet/surge.go
+++ b/fleet/surge.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Surge tells how many times the traffic that its hosts have lately answered a gateway it is asked for now. A limit on a
+// LoadEstimator tells how many times the traffic that its hosts have lately answered a gateway it is asked for now. A limit on a
 // cold host that takes a group's usual traffic for granted is wrong by as much: clients that come again after refusals
 // and time-outs can treble what comes within a second. The zero value knows nothing.
-type Surge struct {
+type LoadEstimator struct {
 	came, done rate
 	best       float64 // answers a second, the most of late, while all hosts were warm
 	bestAt     float64
@@ -27,8 +27,8 @@
 	return r.count * 1000 / overMs
 }
 
-// Came takes in a request, at a time in milliseconds that does not go back.
-func (s *Surge) Came(now float64) {
+// RequestArrived takes in a request, at a time in milliseconds that does not go back.
+func (s *LoadEstimator) RequestArrived(now float64) {
 	if s.since == 0 {
 		s.since = now
 	}
@@ -36,8 +36,8 @@
 	s.came.count++
 }
 
-// Answered takes in an answer.
-func (s *Surge) Answered(now float64) {
+// RequestServed takes in an answer.
+func (s *LoadEstimator) RequestServed(now float64) {
 	if s.since == 0 {
 		s.since = now
 	}
@@ -45,9 +45,9 @@
 	s.done.count++
 }
 
-// Keep takes down what is answered now, once a second, where all hosts are warm. What is answered while some are cold is
+// UpdateBaseline takes down what is answered now, once a second, where all hosts are warm. What is answered while some are cold is
 // what they were sent: taken for what they can do, it would be less and less.
-func (s *Surge) Keep(now float64, warm bool) {
+func (s *LoadEstimator) UpdateBaseline(now float64, warm bool) {
 	if !warm || s.since == 0 || now < s.since+doneMs {
 		s.bestAt = now
 		return
@@ -58,7 +58,7 @@
 }
 
 // Factor is how many times what was answered is asked for, 1 at the least; 1 as well until that is known.
-func (s *Surge) Factor(now float64) float64 {
+func (s *LoadEstimator) Factor(now float64) float64 {
 	if s.best <= 0 {
 		return 1
 	}
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -11,10 +11,10 @@
 
 // ErrNoRoom ends a connection that would fill the buffers of all connections beyond Loop.Most: a few clients or
 // hosts that send much and read little must not end the whole program for want of memory.
-var ErrNoRoom = errors.New("all buffers together are full")
+var ErrBuffersFull = errors.New("all buffers together are full")
 
-// An Owner is told what happens on its connection. A call may close the connection.
-type Owner interface {
+// An Handler is told what happens on its connection. A call may close the connection.
+type Handler interface {
 	Connected()      // an outgoing connection is up
 	Data()           // In has grown
 	Flushed()        // all that was written has been handed to the system
@@ -25,7 +25,7 @@
 type Conn struct {
 	loop       *Loop
 	fd         int
-	owner      Owner
+	owner      Handler
 	in, out    []byte
 	limit      int // reading pauses while In holds this much
 	connecting bool
@@ -47,7 +47,7 @@
 }
 
 // Dial starts a connection; its owner hears Connected or Ended.
-func (l *Loop) Dial(addr string, limit int, owner Owner) (*Conn, error) {
+func (l *Loop) Dial(addr string, limit int, owner Handler) (*Conn, error) {
 	fd, sa, err := socket(addr)
 	if err != nil {
 		return nil, err
@@ -86,8 +86,8 @@
 	return fd, sockaddrOf(ap), nil
 }
 
-// SetOwner names who is told of the connection's events.
-func (c *Conn) SetOwner(o Owner) { c.owner = o }
+// SetHandler names who is told of the connection's events.
+func (c *Conn) SetHandler(o Handler) { c.owner = o }
 
 // In is what has been read and not consumed; it is valid until the next round.
 func (c *Conn) In() []byte { return c.in }
@@ -111,8 +111,8 @@
 // Pending is how much of what was written the system has not taken yet.
 func (c *Conn) Pending() int { return len(c.out) }
 
-// Untaken is how much of what was written the other side's system has not taken yet, as far as that can be told.
-func (c *Conn) Untaken() int {
+// Unacknowledged is how much of what was written the other side's system has not taken yet, as far as that can be told.
+func (c *Conn) Unacknowledged() int {
 	n, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
 	if err != nil {
 		n = 0
@@ -123,12 +123,12 @@
 // SetSendBuffer bounds what the system holds of what was written, so that Pending shows soon what the other side takes.
 func (c *Conn) SetSendBuffer(n int) { _ = unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, n) }
 
-// Open tells whether the connection can still be written to.
-func (c *Conn) Open() bool { return !c.closed && !c.broken }
+// IsOpen tells whether the connection can still be written to.
+func (c *Conn) IsOpen() bool { return !c.closed && !c.broken }
 
 // Write sends p, at once as far as the system takes it. The owner hears of errors in the next round.
 func (c *Conn) Write(p []byte) {
-	if !c.Open() || len(p) == 0 {
+	if !c.IsOpen() || len(p) == 0 {
 		return
 	}
 	if len(c.out) > 0 || c.connecting {
@@ -148,7 +148,7 @@
 // hold keeps what the system does not take yet.
 func (c *Conn) hold(p []byte) {
 	if !c.loop.room(len(p)) {
-		c.fail(ErrNoRoom)
+		c.fail(ErrBuffersFull)
 		return
 	}
 	c.loop.held += len(p)
@@ -156,10 +156,10 @@
 	c.update()
 }
 
-// Crowded tells whether the buffers of all connections together are more than half full.
-func (l *Loop) Crowded() bool { return !l.room(l.Most / 2) }
+// BuffersHalfFull tells whether the buffers of all connections together are more than half full.
+func (l *Loop) BuffersHalfFull() bool { return !l.room(l.MaxBufferedBytes / 2) }
 
-func (l *Loop) room(n int) bool { return l.Most == 0 || l.held+n <= l.Most }
+func (l *Loop) room(n int) bool { return l.MaxBufferedBytes == 0 || l.held+n <= l.MaxBufferedBytes }
 
 // push writes what the system takes now.
 func (c *Conn) push(p []byte) (int, error) {
@@ -182,7 +182,7 @@
 // fail tells the owner of an error in the next round, never inside a call of its own.
 func (c *Conn) fail(err error) {
 	c.broken = true
-	c.loop.Soon(func() {
+	c.loop.NextRound(func() {
 		if !c.closed {
 			c.owner.Ended(err)
 		}
@@ -201,7 +201,7 @@
 
 // CloseWrite ends the sending side only.
 func (c *Conn) CloseWrite() {
-	if c.Open() {
+	if c.IsOpen() {
 		_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
 }
@@ -242,9 +242,9 @@
 	}
 }
 
-// Poll reads what has come in by now, without waiting for the next round.
-func (c *Conn) Poll() {
-	if c.Open() && !c.connecting {
+// ReadNow reads what has come in by now, without waiting for the next round.
+func (c *Conn) ReadNow() {
+	if c.IsOpen() && !c.connecting {
 		c.read(false)
 	}
 }
@@ -302,7 +302,7 @@
 			break
 		}
 		if !c.loop.room(n) {
-			end = ErrNoRoom
+			end = ErrBuffersFull
 			break
 		}
 		c.loop.held += n
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -64,8 +64,8 @@
 	return ln, nil
 }
 
-// Release lets a listener from ListenOn accept.
-func (ln *Listener) Release() {
+// StartAccepting lets a listener from ListenOn accept.
+func (ln *Listener) StartAccepting() {
 	if ln.held && ln.fd >= 0 {
 		ln.held = false
 		ln.loop.change(ln.fd, unix.EPOLLIN)
@@ -84,13 +84,13 @@
 	return a.String()
 }
 
-func (ln *Listener) ready(uint32) { ln.Sweep() }
+func (ln *Listener) ready(uint32) { ln.AcceptPending() }
 
-// Sweep accepts what waits, as much of it as is good for one round.
-func (ln *Listener) Sweep() { ln.sweep(acceptsAtOnce) }
+// AcceptPending accepts what waits, as much of it as is good for one round.
+func (ln *Listener) AcceptPending() { ln.sweep(acceptsAtOnce) }
 
-// SweepAll accepts all that waits. Before Close it keeps connections in the backlog from being reset.
-func (ln *Listener) SweepAll() { ln.sweep(backlog + 1) }
+// AcceptAll accepts all that waits. Before Close it keeps connections in the backlog from being reset.
+func (ln *Listener) AcceptAll() { ln.sweep(backlog + 1) }
 
 func (ln *Listener) sweep(most int) {
 	for range most {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -29,16 +29,16 @@
 // Loop gathers what is ready, round by round. All but Notify must be called from the loop's own goroutine.
 type Loop struct {
 	*Timers
-	epoll   int
-	wake    int // eventfd
-	fds     map[int32]registration
-	stamp   int32
-	soon    []func() // for the next round
-	scratch []byte
-	stopped bool
-	held    int              // bytes in the buffers of all connections
-	Most    int              // and how many they may be; 0: any number
-	HeldUp  func(ms float64) // a round took long; may be nil
+	epoll            int
+	wake             int // eventfd
+	fds              map[int32]registration
+	stamp            int32
+	soon             []func() // for the next round
+	scratch          []byte
+	stopped          bool
+	held             int              // bytes in the buffers of all connections
+	MaxBufferedBytes int              // and how many they may be; 0: any number
+	OnDelay          func(ms float64) // a round took long; may be nil
 
 	mu     sync.Mutex
 	posted []func() // from other goroutines
@@ -83,8 +83,8 @@
 	}
 }
 
-// Soon runs fn in the next round, which starts without waiting.
-func (l *Loop) Soon(fn func()) { l.soon = append(l.soon, fn) }
+// NextRound runs fn in the next round, which starts without waiting.
+func (l *Loop) NextRound(fn func()) { l.soon = append(l.soon, fn) }
 
 // Stop ends Run after the present round.
 func (l *Loop) Stop() { l.stopped = true }
@@ -110,8 +110,8 @@
 		}
 		l.Fire()
 		step()
-		if took := l.Clock.Now() - start; took > heldUpMs && l.HeldUp != nil {
-			l.HeldUp(took)
+		if took := l.Clock.Now() - start; took > heldUpMs && l.OnDelay != nil {
+			l.OnDelay(took)
 		}
 	}
 	return nil
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -45,7 +45,7 @@
 			return
 		}
 		e.conn = c
-		c.SetOwner(e)
+		c.SetHandler(e)
 	}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
@@ -90,9 +90,9 @@
 		t.Errorf("reset: %v", e.ends)
 	}
 	l, e, conn, done = newEcho(t)
-	l.Notify(func() { l.Most = 100 })
+	l.Notify(func() { l.MaxBufferedBytes = 100 })
 	_, _ = conn.Write(make([]byte, 101))
-	if <-done; len(e.ends) != 1 || e.ends[0] != ErrNoRoom || l.held != 0 {
+	if <-done; len(e.ends) != 1 || e.ends[0] != ErrBuffersFull || l.held != 0 {
 		t.Errorf("full: %v, %d held", e.ends, l.held)
 	}
 }
@@ -153,7 +153,7 @@
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &few); err != nil {
 		t.Fatal(err)
 	}
-	ln.Sweep()
+	ln.AcceptPending()
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
@@ -190,12 +190,12 @@
 		}
 		defer conn.Close()
 	}
-	if ln.Sweep(); accepted != acceptsAtOnce {
+	if ln.AcceptPending(); accepted != acceptsAtOnce {
 		t.Errorf("%d accepted in one round", accepted)
 	}
-	if ln.SweepAll(); accepted != clients {
+	if ln.AcceptAll(); accepted != clients {
 		t.Errorf("%d of %d accepted before the end", accepted, clients)
 	}
 	ln.Close()
-	ln.SweepAll() // of a listener that is closed: nothing
+	ln.AcceptAll() // of a listener that is closed: nothing
 }
--- a/internal/faultsim/choices_test.go
+++ b/internal/faultsim/choices_test.go
@@ -88,7 +88,7 @@
 
 // How warm a host is: a part at its start, all of it after its time, and all of it where it started long ago.
 func TestWarmth(t *testing.T) {
-	w := &model.Warmth{Share: 0.2, Ms: 10_000}
+	w := &model.SlowStart{Share: 0.2, Ms: 10_000}
 	for _, c := range []struct{ started, now, want float64 }{{0, 0, 0.2}, {0, 5000, 0.2 + 0.8*0.5}, {0, 10_000, 1}, {5000, 0, 0.2}} {
 		if got := w.Of(c.started, c.now); got < c.want-1e-9 || got > c.want+1e-9 {
 			t.Errorf("started at %.0f, at %.0f: %v, want %v", c.started, c.now, got, c.want)
--- a/internal/faultsim/cost_test.go
+++ b/internal/faultsim/cost_test.go
@@ -88,7 +88,7 @@
 // A View takes at most 400 bytes for each member that it knows.
 func TestMemoryOfAMember(t *testing.T) {
 	const n = 2000
-	v, err := membership.New(membership.Config{Name: "g", Addr: netip.MustParseAddrPort("10.9.9.9:1"), Boot: 1}, 1)
+	v, err := membership.New(membership.Config{Name: "g", Addr: netip.MustParseAddrPort("10.9.9.9:1"), BootID: 1}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,15 +100,15 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	page := membership.Message{Kind: membership.Page, From: membership.IDOf("gateway-0000"), Boot: 7, Incarnation: 1}
-	first := membership.Record{Name: "gateway-0000", Addr: netip.MustParseAddrPort("10.0.0.1:7946"), Boot: 7, Incarnation: 1, State: membership.Alive}
-	v.Step(1, []membership.Event{membership.Received{Message: membership.Message{Kind: membership.Join, From: page.From, Boot: 7, Incarnation: 1,
+	page := membership.Message{Kind: membership.SyncResponse, From: membership.IDOf("gateway-0000"), BootID: 7, Incarnation: 1}
+	first := membership.Record{Name: "gateway-0000", Addr: netip.MustParseAddrPort("10.0.0.1:7946"), BootID: 7, Incarnation: 1, State: membership.Alive}
+	v.Step(1, []membership.Event{membership.Received{Message: membership.Message{Kind: membership.Join, From: page.From, BootID: 7, Incarnation: 1,
 		Records: []membership.Record{first}}}})
 	for i := 1; i < n; i++ {
 		r := first
 		r.Name, r.Zone = fmt.Sprintf("gateway-%04d", i), string([]byte("zone-a"))
 		r.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7946)
-		r.Boot = uint64(i)
+		r.BootID = uint64(i)
 		page.Records = append(page.Records, r)
 	}
 	v.Step(2, []membership.Event{membership.Received{Message: page}})
--- a/internal/faultsim/database.go
+++ b/internal/faultsim/database.go
@@ -25,7 +25,7 @@
 	ran     map[string]time.Time // keyed writes
 	told    int                  // the list's version
 	changed chan struct{}
-	books   Books
+	books   Counters
 }
 
 // version is one committed write.
@@ -34,8 +34,8 @@
 	at    time.Time
 }
 
-// Books are what the stand-in hosts saw.
-type Books struct {
+// Counters are what the stand-in hosts saw.
+type Counters struct {
 	Served           map[string]int // statements, by host
 	Doubled, Drained int
 	Cold             int // times a host that had just started was pushed over
@@ -67,7 +67,7 @@
 
 func newDatabases(n int, lag time.Duration) (*Databases, error) {
 	d := &Databases{lag: lag, rows: map[string][]version{}, ran: map[string]time.Time{}, changed: make(chan struct{}),
-		books: Books{Served: map[string]int{}, Conns: map[string]int{}}}
+		books: Counters{Served: map[string]int{}, Conns: map[string]int{}}}
 	for i := range n {
 		h := &database{id: fmt.Sprintf("h%d", i), all: d, addr: "127.0.0.1:0"}
 		d.hosts = append(d.hosts, h)
@@ -152,7 +152,7 @@
 // discovery is the list as one gateway sees it: each host at the address of its own relay.
 func (d *Databases) discovery(addr func(host int) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		stubserver.AwaitNews(r, func(since int) (bool, <-chan struct{}) {
+		stubserver.AwaitChange(r, func(since int) (bool, <-chan struct{}) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			return d.told > since, d.changed
@@ -181,7 +181,7 @@
 		delete(h.conns, conn)
 		h.all.mu.Unlock()
 	}()
-	out, err := stubserver.Welcome(conn)
+	out, err := stubserver.AcceptStartup(conn)
 	if err != nil {
 		return
 	}
@@ -226,9 +226,9 @@
 	if s.host == s.host.all.hosts[0] {
 		standby = "off"
 	}
-	s.out = pg.Texts(s.out, pg.MsgParameterStatus, "in_hot_standby", standby)
-	s.out = pg.Texts(s.out, pg.MsgParameterStatus, "replay_position", strconv.FormatInt(s.position().UnixMilli(), 10))
-	s.out = pg.Ready(s.out)
+	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "in_hot_standby", standby)
+	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "replay_position", strconv.FormatInt(s.position().UnixMilli(), 10))
+	s.out = pg.AppendReadyForQuery(s.out)
 	_, err := s.conn.Write(s.out)
 	s.out, s.failed = nil, false
 	return err == nil
@@ -238,7 +238,7 @@
 
 // message takes one in; true at the end of an answer.
 func (s *databaseSession) message(kind byte, body []byte) bool {
-	f := pg.Read(body)
+	f := pg.NewFieldReader(body)
 	switch {
 	case kind == pg.MsgSync:
 		return true
@@ -249,7 +249,7 @@
 			s.values = append(s.values, m[1])
 		}
 		if s.text == "" {
-			s.out = pg.Message(s.out, pg.MsgEmptyQuery)
+			s.out = pg.AppendMessage(s.out, pg.MsgEmptyQuery)
 		} else {
 			s.run(true)
 		}
@@ -257,7 +257,7 @@
 	case kind == pg.MsgParse:
 		f.Text()
 		s.text = f.Text()
-		s.out = pg.Message(s.out, pg.MsgParseComplete)
+		s.out = pg.AppendMessage(s.out, pg.MsgParseComplete)
 	case kind == pg.MsgBind:
 		f.Text()
 		f.Text()
@@ -266,7 +266,7 @@
 		for range f.Int16() {
 			s.values = append(s.values, string(f.Value()))
 		}
-		s.out = pg.Message(s.out, pg.MsgBindComplete)
+		s.out = pg.AppendMessage(s.out, pg.MsgBindComplete)
 	case kind == pg.MsgExecute:
 		s.run(false)
 	}
@@ -274,7 +274,7 @@
 }
 
 func (s *databaseSession) fail(state string) {
-	s.out = pg.Failure{State: state, Text: "stand-in"}.Append(s.out)
+	s.out = pg.ErrorResponse{State: state, Text: "stand-in"}.Append(s.out)
 	s.failed = true
 }
 
@@ -314,7 +314,7 @@
 			d.rows[session] = append(d.rows[session], version{value, now})
 		}
 		d.ran[key] = now
-		s.out = pg.Texts(s.out, pg.MsgComplete, "INSERT 0 1")
+		s.out = pg.AppendStrings(s.out, pg.MsgComplete, "INSERT 0 1")
 	case strings.HasPrefix(s.text, "SELECT") && len(s.values) == 1:
 		seen := 0
 		for _, v := range d.rows[s.values[0]] {
@@ -323,10 +323,10 @@
 			}
 		}
 		if simple {
-			s.out = stubserver.Column(s.out)
+			s.out = stubserver.AppendColumnDescription(s.out)
 		}
-		s.out = stubserver.Row(s.out, strconv.Itoa(seen))
-		s.out = pg.Texts(s.out, pg.MsgComplete, "SELECT 1")
+		s.out = stubserver.AppendRow(s.out, strconv.Itoa(seen))
+		s.out = pg.AppendStrings(s.out, pg.MsgComplete, "SELECT 1")
 	default:
 		s.fail("42601")
 	}
--- a/internal/faultsim/emulate.go
+++ b/internal/faultsim/emulate.go
@@ -115,7 +115,7 @@
 	opt     Options
 	rng     *rand.Rand
 	net     *Network
-	truth   *Truth
+	truth   *Oracle
 	nodes   []*emulated
 	byAddr  map[netip.AddrPort]*emulated
 	byName  map[string]int
@@ -157,7 +157,7 @@
 }
 
 // add takes a sample: what is so, what all gateways together sent a second and the busiest one.
-func (s *Series) add(seconds float64, t *Truth, bytes, busiest float64, progress func(float64, int, float64, int)) {
+func (s *Series) add(seconds float64, t *Oracle, bytes, busiest float64, progress func(float64, int, float64, int)) {
 	up, believed := t.Alive()
 	if progress != nil {
 		progress(seconds, up, believed, t.wrong)
@@ -214,7 +214,7 @@
 		byAddr: map[netip.AddrPort]*emulated{}, byName: map[string]int{}, first: math.Inf(1),
 		Result: &Result{Experiment: e.Name, Engine: "emulated", Seed: seed, Gateways: n},
 	}
-	em.truth = NewTruth(n, em.net)
+	em.truth = NewOracle(n, em.net)
 	if e.Hosts.Emulated > 0 {
 		em.service = newService(em)
 	}
@@ -337,7 +337,7 @@
 		switch a := a.(type) {
 		case membership.Send:
 			em.send(n, &a)
-		case membership.Changed:
+		case membership.MemberChanged:
 			em.trace(uint64(n.index), uint64(a.New), uint64(membership.IDOf(a.Member.Name)))
 			if em.service != nil && !n.twin {
 				em.service.viewChanged(n)
@@ -349,10 +349,10 @@
 					zap.String("state", a.New.String()), zap.String("was", a.Old.String()), zap.Uint64("incarnation", a.Member.Incarnation),
 					zap.String("cause", a.Cause), zap.Bool("false death", em.truth.FalseDeaths > before))
 			}
-		case membership.Self:
-			em.trace(uint64(n.index), uint64(a.Standing)+100, 0)
-			em.truth.Stands(n.index, a.Standing)
-			em.opt.Log.Info("stands", zap.Float64("ms", em.now), zap.String("who", n.name), zap.String("standing", a.Standing.String()),
+		case membership.StatusChanged:
+			em.trace(uint64(n.index), uint64(a.Status)+100, 0)
+			em.truth.Stands(n.index, a.Status)
+			em.opt.Log.Info("stands", zap.Float64("ms", em.now), zap.String("who", n.name), zap.String("standing", a.Status.String()),
 				zap.String("cause", a.Cause))
 		}
 	}
@@ -379,7 +379,7 @@
 
 func (em *Emulation) send(n *emulated, a *membership.Send) {
 	text, err := transport.Encode(em.buf[:0], &a.Message)
-	if err == nil && len(text)+transport.SealSize > membership.MaxBytes {
+	if err == nil && len(text)+transport.SealSize > membership.MaxDatagramBytes {
 		err = fmt.Errorf("a %s of %d bytes is too large", a.Message.Kind, len(text)+transport.SealSize)
 	}
 	if err != nil {
@@ -409,7 +409,7 @@
 	if n.twin {
 		boot = em.rng.Uint64() | 1
 	}
-	cfg := membership.Config{Name: n.name, Addr: n.addr, Zone: em.e.Fleet.zone(n.index), Boot: boot,
+	cfg := membership.Config{Name: n.name, Addr: n.addr, Zone: em.e.Fleet.zone(n.index), BootID: boot,
 		Seeds: em.seeds, Version: n.version}
 	if n.node, em.err = em.opt.Make(cfg, em.rng.Uint64()); em.err == nil {
 		em.run(n, nil)
@@ -435,7 +435,7 @@
 		n = em.nodes[s.Who]
 	}
 	if s.Do == Term && n.node != nil {
-		em.run(n, []membership.Event{membership.Goodbye{}})
+		em.run(n, []membership.Event{membership.Leave{}})
 	}
 	em.opt.Log.Info("step", zap.Float64("ms", em.now), zap.String("do", s.Do.String()), zap.Int("who", s.Who), zap.Bool("undo", s.Undo))
 	em.net.Apply(s)
@@ -466,7 +466,7 @@
 func (em *Emulation) sample() {
 	sum, busiest := 0.0, 0.0
 	for _, n := range em.nodes {
-		if n.node != nil && !n.paused && n.node.Summary().Part {
+		if n.node != nil && !n.paused && n.node.Summary().Partial {
 			em.truth.SeesPart(n.index)
 		}
 		d := float64(n.sent-n.sampled) * 1000 / sampleMs
--- a/internal/faultsim/expect.go
+++ b/internal/faultsim/expect.go
@@ -83,7 +83,7 @@
 }
 
 // Figures are what the truth has to say.
-func (t *Truth) Figures() Figures {
+func (t *Oracle) Figures() Figures {
 	var suspected, dead, everyone []float64
 	for _, f := range t.falls {
 		if math.IsNaN(f.everyone) && math.IsNaN(f.suspected) {
@@ -104,8 +104,8 @@
 		"suspect_ms": median(suspected), "first_ms": median(dead), "everyone_ms": most(everyone), "everyone_median_ms": median(everyone),
 		"agree_ms": t.AgreeMs(), "back_ms": most(t.Backs), "false_deaths": float64(t.FalseDeaths),
 		"false_doubts": float64(t.FalseDoubts), "return_blames": float64(t.ReturnBlames), "flaps": float64(t.MostFlaps()),
-		"deaf": float64(len(t.seen[membership.Deaf])), "unheard": float64(len(t.seen[membership.Unheard])),
-		"slow": float64(len(t.seen[membership.Slow])), "taken": float64(len(t.seen[membership.Taken])),
+		"deaf": float64(len(t.seen[membership.StatusIsolated])), "unheard": float64(len(t.seen[membership.StatusDisputed])),
+		"slow": float64(len(t.seen[membership.StatusSlow])), "taken": float64(len(t.seen[membership.StatusNameTaken])),
 		"part": float64(len(t.parts)),
 	}
 }
--- a/internal/faultsim/experiment.go
+++ b/internal/faultsim/experiment.go
@@ -16,18 +16,18 @@
 
 // Experiment is a file under experiments/. Times are seconds unless a key says ms.
 type Experiment struct {
-	Path    string   `toml:"-"`
-	Name    string   `toml:"name"`
-	About   string   `toml:"about"`
-	Engines []string `toml:"engines"` // "emulated", "processes"; both unless given
-	Seconds float64  `toml:"seconds"` // after the fleet is up
-	Fleet   Fleet    `toml:"fleet"`
-	Network Weather  `toml:"network"`
-	Hosts   Hosts    `toml:"hosts"`
-	Load    Load     `toml:"load"`
-	Choices Choices  `toml:"choices"`
-	Fault   []Fault  `toml:"fault"`
-	Expect  Expect   `toml:"expect"`
+	Path    string            `toml:"-"`
+	Name    string            `toml:"name"`
+	About   string            `toml:"about"`
+	Engines []string          `toml:"engines"` // "emulated", "processes"; both unless given
+	Seconds float64           `toml:"seconds"` // after the fleet is up
+	Fleet   Fleet             `toml:"fleet"`
+	Network NetworkConditions `toml:"network"`
+	Hosts   Hosts             `toml:"hosts"`
+	Load    Load              `toml:"load"`
+	Choices Choices           `toml:"choices"`
+	Fault   []Fault           `toml:"fault"`
+	Expect  Expect            `toml:"expect"`
 }
 
 // Fleet says how many gateways there are.
@@ -53,8 +53,8 @@
 	return membership.Version
 }
 
-// Weather is what the network does to datagrams.
-type Weather struct {
+// NetworkConditions is what the network does to datagrams.
+type NetworkConditions struct {
 	DelayMs   []float64 `toml:"delay_ms"` // least and most, one way; 0.2 to 1 unless given
 	FarMs     float64   `toml:"far_ms"`   // added between zones
 	Loss      float64   `toml:"loss"`     // share
@@ -105,7 +105,7 @@
 	StopMs float64 `toml:"stop_ms"`
 	RunMs  float64 `toml:"run_ms"`
 	StepMs float64 `toml:"step_ms"` // of host-slow: so many times as long as usual all takes
-	Weather
+	NetworkConditions
 }
 
 // faults are the words of Fault.Do.
@@ -255,7 +255,7 @@
 	return nil
 }
 
-func (w *Weather) check() error {
+func (w *NetworkConditions) check() error {
 	switch {
 	case len(w.DelayMs) != 0 && (len(w.DelayMs) != 2 || !(w.DelayMs[0] >= 0 && w.DelayMs[1] >= w.DelayMs[0] && w.DelayMs[1] <= 10_000)):
 		return errors.New("delay_ms: is [least, most]")
@@ -302,5 +302,5 @@
 			return fmt.Errorf("to: %w", err)
 		}
 	}
-	return f.Weather.check()
+	return f.NetworkConditions.check()
 }
--- a/internal/faultsim/experiment_test.go
+++ b/internal/faultsim/experiment_test.go
@@ -101,7 +101,7 @@
 }
 
 func TestNetwork(t *testing.T) {
-	n := NewNetwork(1, &Weather{DelayMs: []float64{1, 2}})
+	n := NewNetwork(1, &NetworkConditions{DelayMs: []float64{1, 2}})
 	rng := rand.New(rand.NewPCG(1, 1))
 	lost := func() (lost, twice int) {
 		for range 1000 {
@@ -120,7 +120,7 @@
 	if l, d := lost(); l > 0 || d > 0 {
 		t.Errorf("%d lost, %d twice in good weather", l, d)
 	}
-	bad := &Weather{Loss: 0.3, Duplicate: 0.5, DelayMs: []float64{10, 20}}
+	bad := &NetworkConditions{Loss: 0.3, Duplicate: 0.5, DelayMs: []float64{10, 20}}
 	n.Apply(&Step{Do: Change, Weather: bad})
 	if l, d := lost(); l < 250 || l > 350 || d < 300 || d > 400 {
 		t.Errorf("%d lost, %d twice", l, d)
@@ -138,8 +138,8 @@
 
 // The truth counts what is wrong, what is false and what is excused.
 func TestTruth(t *testing.T) {
-	n := NewNetwork(1, &Weather{DelayMs: []float64{1, 2}})
-	tr := NewTruth(4, n)
+	n := NewNetwork(1, &NetworkConditions{DelayMs: []float64{1, 2}})
+	tr := NewOracle(4, n)
 	for i := range 4 {
 		tr.Apply(&Step{Do: Start, Who: i}, -5000)
 	}
--- a/internal/faultsim/load.go
+++ b/internal/faultsim/load.go
@@ -164,12 +164,12 @@
 		case pg.MsgComplete:
 			r.tag = true
 		case pg.MsgDataRow:
-			f := pg.Read(body)
+			f := pg.NewFieldReader(body)
 			f.Int16()
 			r.value, _ = strconv.Atoi(string(f.Value()))
 		case pg.MsgError:
-			f := pg.Read(body)
-			for field := f.Byte(); field != 0 && !f.Bad; field = f.Byte() {
+			f := pg.NewFieldReader(body)
+			for field := f.Byte(); field != 0 && !f.Malformed; field = f.Byte() {
 				if text := f.Text(); field == 'C' {
 					r.state = text
 				}
@@ -202,7 +202,7 @@
 		var conn net.Conn
 		var fresh bool
 		if conn, fresh, err = c.connection(t, deadline); err == nil {
-			if _, err = conn.Write(pg.Texts(nil, pg.MsgQuery, text)); err == nil {
+			if _, err = conn.Write(pg.AppendStrings(nil, pg.MsgQuery, text)); err == nil {
 				r, err = answer(conn)
 			}
 			if err == nil {
--- a/internal/faultsim/model/discovery.go
+++ b/internal/faultsim/model/discovery.go
@@ -34,17 +34,17 @@
 		if !h.Up {
 			continue
 		}
-		phase, started := routing.Ready, time.Duration(0)
+		phase, started := routing.StateReady, time.Duration(0)
 		if !math.IsNaN(h.DrainAt) {
-			if phase = routing.Draining; math.IsNaN(h.ToldAt) {
+			if phase = routing.StateDraining; math.IsNaN(h.ToldAt) {
 				h.ToldAt = d.world.Now()
 			}
 		}
 		if !math.IsNaN(h.Started) && !d.Blind {
 			started = time.Duration((Epoch + h.Started) * float64(time.Millisecond))
 		}
-		d.entries = append(d.entries, proxy.Host{Addr: strconv.Itoa(h.Index), Member: routing.Member{ID: h.ID, Group: h.Group.Index, Zone: h.Zone,
-			Primary: h.Group.Primary == h, State: phase, Started: started}})
+		d.entries = append(d.entries, proxy.Host{Address: strconv.Itoa(h.Index), Endpoint: routing.Endpoint{ID: h.ID, Group: h.Group.Index, Zone: h.Zone,
+			Primary: h.Group.Primary == h, State: phase, StartedAt: started}})
 	}
 	list := d.waiting
 	d.waiting = nil
@@ -57,7 +57,7 @@
 type Watch struct {
 	d     *Discovery
 	g     *Gateway
-	calls fleet.Calls
+	calls fleet.PollPolicy
 	rng   *rand.Rand
 	since int
 	life  int
@@ -66,7 +66,7 @@
 
 func (d *Discovery) watch(g *Gateway, set routing.Settings, seed uint64) *Watch {
 	w := &Watch{d: d, g: g, rng: rand.New(rand.NewPCG(seed, 5)), since: -1, life: g.life,
-		calls: fleet.Calls{Turns: set.Turns(), GraceMs: float64(set.DrainGrace / time.Millisecond)}}
+		calls: fleet.PollPolicy{SlotSchedule: set.Schedule(), DrainGraceMs: float64(set.DrainGrace / time.Millisecond)}}
 	w.after(0, w.ask)
 	return w
 }
@@ -82,21 +82,21 @@
 
 func (w *Watch) ask() {
 	d := w.d
-	wait, patience := w.calls.Call(w.since >= 0)
+	wait, patience := w.calls.NextCall(w.since >= 0)
 	w.turn++
 	turn, asked := w.turn, d.world.Now()
-	d.world.Books.Calls++
+	d.world.Counters.Calls++
 	w.after(patience, func() {
 		if w.turn == turn {
 			w.turn++
-			w.after(w.calls.Silent(asked, d.world.Now(), w.rng.Float64()), w.ask)
+			w.after(w.calls.TimedOut(asked, d.world.Now(), w.rng.Float64()), w.ask)
 		}
 	})
 	w.after(d.world.Link, func() {
 		switch {
 		case w.turn != turn:
 		case w.since < 0 && !d.room():
-			d.world.Books.CallsRefused++
+			d.world.Counters.CallsRefused++
 			w.after(d.world.Link, w.failed)
 		case d.version > w.since:
 			w.answer()
@@ -141,7 +141,7 @@
 		_, told := w.calls.Answered(w.d.world.Now())
 		w.since = version
 		if changed {
-			w.g.hear(func() { w.g.core.SetHostsTold(true, list, told) })
+			w.g.hear(func() { w.g.core.UpdateHostsNotifiedAt(true, list, told) })
 		}
 		w.ask()
 	})
--- a/internal/faultsim/model/gateway.go
+++ b/internal/faultsim/model/gateway.go
@@ -62,7 +62,7 @@
 	g.wrote, g.ends = map[int]float64{}, map[uint64]func(){}
 	g.timers = &eventloop.Timers{Clock: eventloop.VirtualClock(func() float64 { return Epoch + g.world.Now() })}
 	set.Zone = g.Zone
-	limits := proxy.Limits{ConnectMs: 250, IdleMs: 10_000, Conns: 400, Requests: 600}
+	limits := proxy.Limits{ConnectTimeoutMs: 250, HostIdleTimeoutMs: 10_000, MaxConns: 400, MaxRequests: 600}
 	var err error
 	g.core, err = proxy.New(g.timers, zap.NewNop(), set, seed, limits, dialer{g}, &Statement{Probe: true}, report)
 	if err != nil {
@@ -106,8 +106,8 @@
 // SetPeers tells it who shares the hosts.
 func (g *Gateway) SetPeers(r *fleet.Roster) {
 	if g.core != nil {
-		g.core.SetPeers(r)
-		g.watch.calls.Turns = r.Turns()
+		g.core.SetRoster(r)
+		g.watch.calls.SlotSchedule = r.Schedule()
 		g.round()
 	}
 }
@@ -167,7 +167,7 @@
 type dialer struct{ *Gateway }
 
 // Dial dials.
-func (d dialer) Dial(addr string, owner proxy.ConnOwner) (proxy.Conn, error) {
+func (d dialer) Dial(addr string, owner proxy.UpstreamHandler) (proxy.UpstreamConn, error) {
 	index, err := strconv.Atoi(addr)
 	if err != nil || index >= len(d.world.Hosts) {
 		return nil, fmt.Errorf("nobody is at %q", addr)
@@ -228,11 +228,11 @@
 	p.end(e, p.g.world.Now()-p.at, stale)
 }
 
-func (p *reply) Served(body []byte) {
+func (p *reply) Succeed(body []byte) {
 	p.finish(Served, math.Float64frombits(binary.LittleEndian.Uint64(body)))
 }
-func (p *reply) Refused(float64) { p.finish(Refused, 0) }
-func (p *reply) Failed([]byte)   { p.finish(Failed, 0) }
+func (p *reply) Reject(float64) { p.finish(Refused, 0) }
+func (p *reply) Fail([]byte)    { p.finish(Failed, 0) }
 
 // Submit hands a client's request to the gateway, which is up. end is called once.
 func (g *Gateway) Submit(class int, s *Statement, group int, leftMs float64, end func(e Ending, ms float64, stale bool)) {
@@ -252,8 +252,8 @@
 		end(e, ms, stale)
 	}
 	g.hear(func() {
-		_, ok := g.core.Submit(proxy.Request{Class: class, Tenant: -1, Group: group, Session: fmt.Sprint(s.Session), LeftMs: leftMs,
-			Command: s, Reply: p})
+		_, ok := g.core.Submit(proxy.Request{Class: class, Tenant: -1, Group: group, Session: fmt.Sprint(s.Session), TimeLeftMs: leftMs,
+			Command: s, Responder: p})
 		if !ok {
 			p.finish(Refused, 0)
 		}
@@ -262,16 +262,16 @@
 }
 
 // Settings are a deployment's, as the gateways are told them.
-func Settings(w *Warmth, h *HostConfig, gateways int) routing.Settings {
+func Settings(w *SlowStart, h *HostConfig, gateways int) routing.Settings {
 	ms := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 	return routing.Settings{
 		Classes: []routing.Class{
-			{Name: "view", Need: routing.NeedAny, Effect: routing.EffectSafe, Aim: ms(200), Deadline: ms(1000), Worth: 1},
-			{Name: "own", Need: routing.NeedSession, Effect: routing.EffectSafe, Aim: ms(200), Deadline: ms(600), Worth: 3},
-			{Name: "write", Need: routing.NeedPrimary, Effect: routing.EffectKeyed, RepeatWindow: ms(h.KeyMs), Aim: ms(600), Deadline: ms(2000),
-				Worth: 6, LateWorth: 0.3},
+			{Name: "view", Consistency: routing.ConsistencyAny, Idempotency: routing.Idempotent, LatencyObjective: ms(200), Deadline: ms(1000), PriorityWeight: 1},
+			{Name: "own", Consistency: routing.ConsistencySession, Idempotency: routing.Idempotent, LatencyObjective: ms(200), Deadline: ms(600), PriorityWeight: 3},
+			{Name: "write", Consistency: routing.ConsistencyWrite, Idempotency: routing.IdempotentWithKey, DedupWindow: ms(h.KeyMs), LatencyObjective: ms(600), Deadline: ms(2000),
+				PriorityWeight: 6, LateWeightShare: 0.3},
 		},
-		Routers: gateways, Tick: ms(5), Check: routing.CheckNone, MayCancel: true, MayProbe: true, MaxAttempts: 4,
-		DrainGrace: ms(h.GraceMs), ColdShare: w.Share, ColdTime: ms(w.Ms), TipMultiple: w.Tip, FallTime: ms(w.FallMs),
+		GatewayCount: gateways, TickInterval: ms(5), StalenessCheck: routing.StalenessCheckNone, CancelAllowed: true, HealthChecksAllowed: true, MaxAttempts: 4,
+		DrainGrace: ms(h.GraceMs), SlowStartMinShare: w.Share, SlowStartWindow: ms(w.Ms), OverloadMultiple: w.Tip, OverloadWindow: ms(w.FallMs),
 	}
 }
--- a/internal/faultsim/model/host.go
+++ b/internal/faultsim/model/host.go
@@ -81,11 +81,11 @@
 // accept takes a new connection after a handshake, or refuses it.
 func (h *Host) accept(c *conn) {
 	if !h.Up || len(h.conns) >= h.HostConfig.Conns {
-		h.world.Books.Refusals++
+		h.world.Counters.Refusals++
 		c.refuse()
 		return
 	}
-	h.world.Books.Handshakes++
+	h.world.Counters.Handshakes++
 	h.conns[c] = true
 	h.order = append(h.order, c)
 	h.enter(job{c, h.HandshakeMs, c.welcome})
@@ -125,23 +125,23 @@
 	w := h.world
 	now := w.Now()
 	if s.Probe {
-		w.Books.Probes++
-		h.enter(job{c, 0.05, func() { c.answer(h.result(routing.OK)) }})
+		w.Counters.Probes++
+		h.enter(job{c, 0.05, func() { c.answer(h.result(routing.OutcomeOK)) }})
 		return
 	}
-	w.Books.Statements++
+	w.Counters.Statements++
 	if now > h.ToldAt+h.GraceMs+drainSlack {
-		w.Books.Drained++
+		w.Counters.Drained++
 	}
 	h.tips(now)
 	switch {
 	case now < h.fellAt+fallenMs:
-		c.answer(proxy.Answer{Outcome: routing.Error})
+		c.answer(proxy.Response{Outcome: routing.OutcomeError})
 	case len(h.queue) >= h.Queue:
-		c.answer(h.result(routing.Full))
+		c.answer(h.result(routing.OutcomeRejected))
 	case s.Write && h.Group.Primary != h:
-		w.Books.Misdirected++
-		h.enter(job{c, 0.1, func() { c.answer(h.result(routing.Miss)) }})
+		w.Counters.Misdirected++
+		h.enter(job{c, 0.1, func() { c.answer(h.result(routing.OutcomeMisdirected)) }})
 	default:
 		mean := h.ReadMs
 		if s.Write {
@@ -169,7 +169,7 @@
 	}
 	n := w.Warm.Tip * h.warmth() * w.Warm.Usual * w.Warm.FallMs / 1000
 	if float64(len(h.recent)) > n+3*math.Sqrt(n)+3 {
-		w.Books.Falls++
+		w.Counters.Falls++
 		h.fellAt, h.recent = now, nil
 	}
 }
@@ -178,15 +178,15 @@
 	now := h.world.Now()
 	if s.Write {
 		if h.Group.Primary != h { // it lost its office meanwhile
-			c.answer(h.result(routing.Miss))
+			c.answer(h.result(routing.OutcomeMisdirected))
 			return
 		}
 		if before, again := h.Group.keys[s.Key]; again && now-before > h.KeyMs {
-			h.world.Books.Doubled++
+			h.world.Counters.Doubled++
 		}
 		h.Group.keys[s.Key] = now
 	}
-	c.answer(h.result(routing.OK))
+	c.answer(h.result(routing.OutcomeOK))
 }
 
 // applied is up to where it has applied the log, ms of virtual time.
@@ -206,13 +206,13 @@
 }
 
 // result is an answer with what it tells of the host; its body is up to where the host has applied the log.
-func (h *Host) result(o routing.Outcome) proxy.Answer {
+func (h *Host) result(o routing.Outcome) proxy.Response {
 	role := routing.RoleReplica
 	if h.Group.Primary == h {
 		role = routing.RolePrimary
 	}
 	at := h.applied()
-	return proxy.Answer{Outcome: o, Role: role, Position: Epoch + at, Body: binary.LittleEndian.AppendUint64(nil, math.Float64bits(at))}
+	return proxy.Response{Outcome: o, Role: role, PositionMs: Epoch + at, Body: binary.LittleEndian.AppendUint64(nil, math.Float64bits(at))}
 }
 
 // Epoch is second 0 of virtual time, in ms since 1970.
@@ -222,7 +222,7 @@
 type conn struct {
 	gateway *Gateway
 	host    *Host
-	owner   proxy.ConnOwner
+	owner   proxy.UpstreamHandler
 	gone    bool // closed at either end
 }
 
@@ -249,22 +249,22 @@
 	c.later(func() { c.gateway.hear(f) })
 }
 
-func (c *conn) refuse() { c.toGateway(func() { c.end(); c.owner.Down(errRefused) }) }
+func (c *conn) refuse() { c.toGateway(func() { c.end(); c.owner.ConnectionClosed(errRefused) }) }
 
-func (c *conn) welcome() { c.toGateway(func() { c.owner.Up() }) }
+func (c *conn) welcome() { c.toGateway(func() { c.owner.Established() }) }
 
-func (c *conn) answer(a proxy.Answer) { c.toGateway(func() { c.owner.Answered(a) }) }
+func (c *conn) answer(a proxy.Response) { c.toGateway(func() { c.owner.ResponseReceived(a) }) }
 
 // drop resets it from the host's side.
 func (c *conn) drop() {
 	c.forget()
-	c.toGateway(func() { c.end(); c.owner.Down(errReset) })
+	c.toGateway(func() { c.end(); c.owner.ConnectionClosed(errReset) })
 }
 
 // Send sends a command; it is written at once.
 func (c *conn) Send(command any, _ float64) {
 	s := command.(*Statement)
-	c.owner.Written()
+	c.owner.RequestWritten()
 	c.later(func() {
 		if c.host.Up {
 			c.host.statement(c, s)
--- a/internal/faultsim/model/model.go
+++ b/internal/faultsim/model/model.go
@@ -15,19 +15,19 @@
 // World is what all models of one run share.
 type World struct {
 	Scheduler
-	Rng     *rand.Rand
-	Link    float64                      // one way between a gateway and a host
-	Far     float64                      // added between zones
-	IsCut   func(gateway, host int) bool // nothing goes between them
-	Groups  []*Group
-	Hosts   []*Host // all that ever were
-	Warm    Warmth
-	Books   Books
-	serving int // hosts that are not gone
+	Rng      *rand.Rand
+	Link     float64                      // one way between a gateway and a host
+	Far      float64                      // added between zones
+	IsCut    func(gateway, host int) bool // nothing goes between them
+	Groups   []*Group
+	Hosts    []*Host // all that ever were
+	Warm     SlowStart
+	Counters Counters
+	serving  int // hosts that are not gone
 }
 
-// Warmth is how hosts warm up, and what the gateways are told of it.
-type Warmth struct {
+// SlowStart is how hosts warm up, and what the gateways are told of it.
+type SlowStart struct {
 	Share  float64 // of its capacity that a host has at its start
 	Ms     float64 // until it has all
 	Tip    float64 // times its warmth of Usual, that pushes a host over that warms up
@@ -36,15 +36,15 @@
 }
 
 // Of is the share of its capacity that a host has that started at a time; NaN stands for long ago.
-func (w *Warmth) Of(started, now float64) float64 {
+func (w *SlowStart) Of(started, now float64) float64 {
 	if !(now-started < w.Ms) {
 		return 1
 	}
 	return w.Share + (1-w.Share)*max(0, now-started)/w.Ms
 }
 
-// Books are what was counted over all hosts and gateways.
-type Books struct {
+// Counters are what was counted over all hosts and gateways.
+type Counters struct {
 	Handshakes, Refusals, Probes, Calls, CallsRefused int
 	Misdirected                                       int // writes at a replica
 	Falls                                             int // cold hosts pushed over
--- a/internal/faultsim/model/model_test.go
+++ b/internal/faultsim/model/model_test.go
@@ -46,7 +46,7 @@
 func world() (*World, *agenda) {
 	a := &agenda{}
 	return &World{Scheduler: a, Rng: rand.New(rand.NewPCG(1, 1)), Link: 0.3, IsCut: func(int, int) bool { return false },
-		Warm: Warmth{Share: 0.2, Ms: 10_000, Tip: 2.5, FallMs: 1000, Usual: 50}, Groups: []*Group{{}}}, a
+		Warm: SlowStart{Share: 0.2, Ms: 10_000, Tip: 2.5, FallMs: 1000, Usual: 50}, Groups: []*Group{{}}}, a
 }
 
 func config() *HostConfig {
@@ -56,17 +56,17 @@
 // peer is the gateway's end of a connection.
 type peer struct {
 	ups, downs, written int
-	got                 []proxy.Answer
+	got                 []proxy.Response
 }
 
-func (p *peer) Up()                     { p.ups++ }
-func (p *peer) Written()                { p.written++ }
-func (p *peer) Begin(func()) bool       { return false }
-func (p *peer) Part([]byte) int         { return 0 }
-func (p *peer) Answered(a proxy.Answer) { p.got = append(p.got, a) }
-func (p *peer) Down(error)              { p.downs++ }
+func (p *peer) Established()                      { p.ups++ }
+func (p *peer) RequestWritten()                   { p.written++ }
+func (p *peer) BeginStream(func()) bool           { return false }
+func (p *peer) StreamPart([]byte) int             { return 0 }
+func (p *peer) ResponseReceived(a proxy.Response) { p.got = append(p.got, a) }
+func (p *peer) ConnectionClosed(error)            { p.downs++ }
 
-func dial(t *testing.T, w *World, to string) (*peer, proxy.Conn) {
+func dial(t *testing.T, w *World, to string) (*peer, proxy.UpstreamConn) {
 	t.Helper()
 	p, g := &peer{}, w.NewGateway(0, "")
 	if err := g.Start(Settings(&w.Warm, config(), 1), w.NewDiscovery(0), 1); err != nil {
@@ -97,8 +97,8 @@
 	for _, p := range peers {
 		ups, downs = ups+p.ups, downs+p.downs
 	}
-	if ups != 3 || downs != 1 || h.Conns() != 3 || w.Books.Handshakes != 3 || w.Books.Refusals != 1 {
-		t.Errorf("%d up, %d refused, %d held, %+v", ups, downs, h.Conns(), w.Books)
+	if ups != 3 || downs != 1 || h.Conns() != 3 || w.Counters.Handshakes != 3 || w.Counters.Refusals != 1 {
+		t.Errorf("%d up, %d refused, %d held, %+v", ups, downs, h.Conns(), w.Counters)
 	}
 	h.Kill()
 	a.until(40)
@@ -123,11 +123,11 @@
 	c.Send(&Statement{Write: true, Key: 1}, 0)
 	d.Send(&Statement{Write: true, Key: 1}, 0)
 	a.until(200)
-	if len(p.got) != 1 || p.got[0].Outcome != routing.OK || p.got[0].Role != routing.RolePrimary || len(q.got) != 1 || q.got[0].Outcome != routing.Miss {
+	if len(p.got) != 1 || p.got[0].Outcome != routing.OutcomeOK || p.got[0].Role != routing.RolePrimary || len(q.got) != 1 || q.got[0].Outcome != routing.OutcomeMisdirected {
 		t.Fatalf("%+v, %+v", p.got, q.got)
 	}
-	if w.Books.Misdirected != 1 || w.Books.Statements != 2 {
-		t.Errorf("%+v", w.Books)
+	if w.Counters.Misdirected != 1 || w.Counters.Statements != 2 {
+		t.Errorf("%+v", w.Counters)
 	}
 	if lag := first.applied() - second.applied(); lag != 30 {
 		t.Errorf("the replica is %.0f behind", lag)
@@ -140,13 +140,13 @@
 	}
 	d.Send(&Statement{Write: true, Key: 1}, 0)
 	a.until(300)
-	if w.Books.Doubled != 0 {
+	if w.Counters.Doubled != 0 {
 		t.Error("a repeat in time counts")
 	}
 	a.until(3000)
 	d.Send(&Statement{Write: true, Key: 1}, 0)
 	a.until(3100)
-	if w.Books.Doubled != 1 {
+	if w.Counters.Doubled != 1 {
 		t.Error("a repeat too late does not count")
 	}
 }
@@ -163,7 +163,7 @@
 	a.until(60)
 	full := 0
 	for _, x := range p.got {
-		if x.Outcome == routing.Full {
+		if x.Outcome == routing.OutcomeRejected {
 			full++
 		}
 	}
@@ -176,13 +176,13 @@
 	for i := range 60 { // 2.5 times a fifth of 50 in a second, with three roots of it and three: 43
 		a.until(2000 + 10*float64(i))
 		c.Send(&Statement{}, 0)
-		if fell := w.Books.Falls; i < 40 && fell > 0 || i == 50 && fell == 0 {
+		if fell := w.Counters.Falls; i < 40 && fell > 0 || i == 50 && fell == 0 {
 			t.Fatalf("%d falls after %d", fell, i)
 		}
 	}
 	a.until(3000)
-	if w.Books.Falls != 1 || p.got[len(p.got)-1].Outcome != routing.Error {
-		t.Errorf("%d falls, at the last %+v", w.Books.Falls, p.got[len(p.got)-1])
+	if w.Counters.Falls != 1 || p.got[len(p.got)-1].Outcome != routing.OutcomeError {
+		t.Errorf("%d falls, at the last %+v", w.Counters.Falls, p.got[len(p.got)-1])
 	}
 }
 
@@ -204,8 +204,8 @@
 		gates = append(gates, g)
 	}
 	a.until(5010)
-	if w.Books.CallsRefused != 4 {
-		t.Errorf("%d of 6 lists at once were refused, room is for 2", w.Books.CallsRefused)
+	if w.Counters.CallsRefused != 4 {
+		t.Errorf("%d of 6 lists at once were refused, room is for 2", w.Counters.CallsRefused)
 	}
 	a.until(20_000)
 	h := w.AddHost(cfg, "h1", "", w.Groups[0], 20_000)
--- a/internal/faultsim/network.go
+++ b/internal/faultsim/network.go
@@ -5,14 +5,14 @@
 // Network is what the stand-in network does to each datagram: which links are cut, and the weather. It sends nothing itself.
 type Network struct {
 	zones   int
-	weather []*Weather // the experiment's first, those of faults behind it
+	weather []*NetworkConditions // the experiment's first, those of faults behind it
 	cuts    map[[2]int]int
 	in, out map[int]int // of how many others a gateway can't hear, or be heard by
 }
 
 // NewNetwork returns a network without faults.
-func NewNetwork(zones int, w *Weather) *Network {
-	return &Network{zones: zones, weather: []*Weather{w}, cuts: map[[2]int]int{}, in: map[int]int{}, out: map[int]int{}}
+func NewNetwork(zones int, w *NetworkConditions) *Network {
+	return &Network{zones: zones, weather: []*NetworkConditions{w}, cuts: map[[2]int]int{}, in: map[int]int{}, out: map[int]int{}}
 }
 
 // Apply carries out a Step that concerns the network.
--- a/internal/faultsim/plain.go
+++ b/internal/faultsim/plain.go
@@ -9,9 +9,9 @@
 	"merlinjunction/membership"
 )
 
-// Plain is the baseline: SWIM as published, with suspicion, in the same messages. One probe each period, helpers after a
+// SWIMBaseline is the baseline: SWIM as published, with suspicion, in the same messages. One probe each period, helpers after a
 // time, one observer's word for an accusation, a fixed time from suspect to dead, and nobody who is dead is tried again.
-type Plain struct {
+type SWIMBaseline struct {
 	cfg      membership.Config
 	rng      *rand.Rand
 	id       membership.ID
@@ -64,14 +64,14 @@
 
 // Baseline makes a Plain.
 func Baseline(cfg membership.Config, seed uint64) (Node, error) {
-	p := &Plain{relayed: 1 << 30, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), id: membership.IDOf(cfg.Name), boot: cfg.Boot, inc: 1, members: map[membership.ID]*plainMember{}}
+	p := &SWIMBaseline{relayed: 1 << 30, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), id: membership.IDOf(cfg.Name), boot: cfg.BootID, inc: 1, members: map[membership.ID]*plainMember{}}
 	p.joined = slices.Contains(cfg.Seeds, cfg.Addr)
-	p.add(&membership.Record{Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Version: 2, Boot: cfg.Boot, Incarnation: 1, State: membership.Alive})
+	p.add(&membership.Record{Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Version: 2, BootID: cfg.BootID, Incarnation: 1, State: membership.Alive})
 	return p, nil
 }
 
 // Wake is the time of the next call.
-func (p *Plain) Wake() float64 {
+func (p *SWIMBaseline) Wake() float64 {
 	at := min(p.periodAt, p.joinAt)
 	if p.target != nil && !p.acked && p.helpAt > p.now {
 		at = min(at, p.helpAt)
@@ -80,10 +80,12 @@
 }
 
 // Summary is what the emulator asks for.
-func (p *Plain) Summary() membership.Summary { return membership.Summary{Pending: len(p.queue)} }
+func (p *SWIMBaseline) Summary() membership.Summary {
+	return membership.Summary{PendingRumors: len(p.queue)}
+}
 
 // Step is as membership.View's.
-func (p *Plain) Step(ms float64, events []membership.Event) []membership.Action {
+func (p *SWIMBaseline) Step(ms float64, events []membership.Event) []membership.Action {
 	p.out = p.out[:0]
 	p.now = max(p.now, ms)
 	if p.gone {
@@ -93,7 +95,7 @@
 		switch e := e.(type) {
 		case membership.Received:
 			p.receive(e.From, &e.Message)
-		case membership.Goodbye:
+		case membership.Leave:
 			me := p.members[p.id]
 			me.State = membership.Left
 			p.tell(me)
@@ -116,7 +118,7 @@
 		p.helpAt = 0
 		for range 4 {
 			if h := p.someone(p.target); h != nil {
-				p.send(h.Addr, &membership.Message{Kind: membership.Ask, Seq: p.seq, Target: p.target.id, Addr: p.target.Addr}, true)
+				p.send(h.Addr, &membership.Message{Kind: membership.PingRequest, Seq: p.seq, Target: p.target.id, Addr: p.target.Addr}, true)
 			}
 		}
 	}
@@ -127,7 +129,7 @@
 }
 
 // period ends a protocol period and begins the next.
-func (p *Plain) period() {
+func (p *SWIMBaseline) period() {
 	p.periodAt = p.now + plainPeriod
 	if t := p.target; t != nil && !p.acked && t.State == membership.Alive {
 		p.set(t, membership.Suspect, t.Incarnation, "no answer here")
@@ -158,7 +160,7 @@
 	}
 }
 
-func (p *Plain) someone(not *plainMember) *plainMember {
+func (p *SWIMBaseline) someone(not *plainMember) *plainMember {
 	for range 8 {
 		m := p.order[p.rng.IntN(len(p.order))]
 		if m != not && m.id != p.id && (m.State == membership.Alive || m.State == membership.Suspect) {
@@ -168,17 +170,17 @@
 	return nil
 }
 
-func (p *Plain) record(m *plainMember) membership.Record {
-	return membership.Record{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Version: 2, Boot: m.Boot, Incarnation: m.Incarnation, State: m.State}
+func (p *SWIMBaseline) record(m *plainMember) membership.Record {
+	return membership.Record{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Version: 2, BootID: m.BootID, Incarnation: m.Incarnation, State: m.State}
 }
 
-func (p *Plain) tell(m *plainMember) {
+func (p *SWIMBaseline) tell(m *plainMember) {
 	p.queue = slices.DeleteFunc(p.queue, func(n *plainNews) bool { return n.m == m })
 	p.queue = slices.Insert(p.queue, 0, &plainNews{m: m})
 }
 
-func (p *Plain) send(to netip.AddrPort, m *membership.Message, news bool) {
-	m.Version, m.From, m.Boot, m.Incarnation = 2, p.id, p.boot, p.inc
+func (p *SWIMBaseline) send(to netip.AddrPort, m *membership.Message, news bool) {
+	m.Version, m.From, m.BootID, m.Incarnation = 2, p.id, p.boot, p.inc
 	if news {
 		limit := int(math.Ceil(plainSpread * math.Log10(float64(len(p.order)+2))))
 		n := min(len(p.queue), 8)
@@ -192,19 +194,19 @@
 	p.out = append(p.out, membership.Send{To: to, Message: *m})
 }
 
-func (p *Plain) add(r *membership.Record) *plainMember {
-	m := &plainMember{id: membership.IDOf(r.Name), Member: membership.Member{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Boot: r.Boot,
+func (p *SWIMBaseline) add(r *membership.Record) *plainMember {
+	m := &plainMember{id: membership.IDOf(r.Name), Member: membership.Member{Name: r.Name, Addr: r.Addr, Zone: r.Zone, BootID: r.BootID,
 		Incarnation: r.Incarnation, State: r.State}}
 	p.members[m.id] = m
 	p.order = append(p.order, m)
 	p.tell(m)
 	if m.id != p.id {
-		p.out = append(p.out, membership.Changed{Member: m.Member, New: m.State, Cause: "told"})
+		p.out = append(p.out, membership.MemberChanged{Member: m.Member, New: m.State, Cause: "told"})
 	}
 	return m
 }
 
-func (p *Plain) set(m *plainMember, s membership.State, inc uint64, cause string) {
+func (p *SWIMBaseline) set(m *plainMember, s membership.State, inc uint64, cause string) {
 	old := m.State
 	m.State, m.Incarnation = s, inc
 	if s == membership.Suspect {
@@ -212,20 +214,20 @@
 	}
 	p.tell(m)
 	if old != s {
-		p.out = append(p.out, membership.Changed{Member: m.Member, Old: old, New: s, Cause: cause})
+		p.out = append(p.out, membership.MemberChanged{Member: m.Member, Old: old, New: s, Cause: cause})
 	}
 }
 
-func (p *Plain) receive(from netip.AddrPort, m *membership.Message) {
+func (p *SWIMBaseline) receive(from netip.AddrPort, m *membership.Message) {
 	if m.Kind == membership.Join {
 		for i := range m.Records {
 			p.learn(&m.Records[i], true)
 		}
-		all := &membership.Message{Kind: membership.Page}
+		all := &membership.Message{Kind: membership.SyncResponse}
 		for _, o := range p.order {
 			if all.Records = append(all.Records, p.record(o)); len(all.Records) == 10 {
 				p.send(from, all, false)
-				all = &membership.Message{Kind: membership.Page}
+				all = &membership.Message{Kind: membership.SyncResponse}
 			}
 		}
 		p.send(from, all, false)
@@ -235,13 +237,13 @@
 		p.learn(&m.Records[i], false)
 	}
 	switch m.Kind {
-	case membership.Page:
+	case membership.SyncResponse:
 		p.joined = true
 	case membership.Ping:
 		if m.Target == p.id {
 			p.send(from, &membership.Message{Kind: membership.Ack, Seq: m.Seq}, true)
 		}
-	case membership.Ask:
+	case membership.PingRequest:
 		if t := p.members[m.Target]; t != nil {
 			p.relayed++
 			p.relays = append(p.relays, relay{p.relayed, m.Seq, from, m.Target})
@@ -259,7 +261,7 @@
 	}
 }
 
-func (p *Plain) learn(r *membership.Record, joining bool) {
+func (p *SWIMBaseline) learn(r *membership.Record, joining bool) {
 	m := p.members[membership.IDOf(r.Name)]
 	switch {
 	case m == nil:
@@ -270,11 +272,11 @@
 			m.Incarnation = p.inc
 			p.tell(m)
 		}
-	case joining && r.Boot != m.Boot:
-		m.Boot, m.Addr = r.Boot, r.Addr
+	case joining && r.BootID != m.BootID:
+		m.BootID, m.Addr = r.BootID, r.Addr
 		p.set(m, membership.Alive, max(m.Incarnation+1, r.Incarnation), "joined")
 	case r.Incarnation > m.Incarnation || r.Incarnation == m.Incarnation && r.State > m.State:
-		m.Boot, m.Addr = r.Boot, r.Addr
+		m.BootID, m.Addr = r.BootID, r.Addr
 		p.set(m, r.State, r.Incarnation, "told")
 	}
 }
--- a/internal/faultsim/plan.go
+++ b/internal/faultsim/plan.go
@@ -14,22 +14,22 @@
 // any more, so one seed gives one plan in both engines.
 type Step struct {
 	At      float64 // ms since second 0
-	Do      Deed
+	Do      Operation
 	Who     int
 	To      []int // of Cut and Join: the others
 	Undo    bool  // of Cut and Weather
 	StepMs  float64
-	Weather *Weather
+	Weather *NetworkConditions
 	Last    bool // the last step of its fault
 	Fresh   bool // of HostStart: another host in the place of this one (emulated)
 }
 
-// Deed is the kind of a Step.
-type Deed int
+// Operation is the kind of a Step.
+type Operation int
 
 // The deeds.
 const (
-	Start Deed = iota
+	Start Operation = iota
 	Kill
 	Term
 	Pause
@@ -46,7 +46,7 @@
 	HostSlow
 )
 
-func (d Deed) String() string {
+func (d Operation) String() string {
 	return [...]string{"start", "kill", "stop", "pause", "resume", "starve", "cut", "weather", "clock", "twin", "drain", "host-kill",
 		"host-start", "host-cut", "host-slow"}[d]
 }
@@ -253,7 +253,7 @@
 func (p *planner) fault(f *Fault) error {
 	switch f.Do {
 	case "weather":
-		w := f.Weather
+		w := f.NetworkConditions
 		p.add(f.At, Step{Do: Change, Weather: &w})
 		p.add(f.At+f.For, Step{Do: Change, Weather: &w, Undo: true})
 		return nil
--- a/internal/faultsim/processes.go
+++ b/internal/faultsim/processes.go
@@ -32,7 +32,7 @@
 	dir    string
 	ip     netip.Addr // of this run's gateways, so that nothing else binds their ports
 	mu     sync.Mutex // guards truth, gateways' lives and samples
-	truth  *Truth
+	truth  *Oracle
 	relays *Relays
 	data   *Databases
 	gates  []*gateway
@@ -89,7 +89,7 @@
 	}
 	defer os.RemoveAll(dir)
 	network := NewNetwork(e.Fleet.Zones, &e.Network)
-	r := &rig{e: e, opt: o, dir: dir, truth: NewTruth(n, network), relays: newRelays(network, o.Seed), spawn: make(chan func()),
+	r := &rig{e: e, opt: o, dir: dir, truth: NewOracle(n, network), relays: newRelays(network, o.Seed), spawn: make(chan func()),
 		quiet: math.NaN(), result: &Result{Experiment: e.Name, Engine: "processes", Seed: o.Seed, Gateways: n}}
 	r.ip = netip.AddrFrom4([4]byte{127, byte(64 + rand.IntN(64)), byte(rand.IntN(250)), 0})
 	go r.spawner()
@@ -547,13 +547,13 @@
 	return 0
 }
 
-func standingOf(word string) membership.Standing {
-	for s := membership.Joining; s < membership.Gone; s++ {
+func standingOf(word string) membership.Status {
+	for s := membership.StatusJoining; s < membership.StatusLeft; s++ {
 		if s.String() == word {
 			return s
 		}
 	}
-	return membership.Gone
+	return membership.StatusLeft
 }
 
 // target is where a front would send a session's request now: to one gateway as long as it is up.
--- a/internal/faultsim/service.go
+++ b/internal/faultsim/service.go
@@ -32,7 +32,7 @@
 
 	tally           Tally
 	seconds         map[int]*[2]int // by second: requests, and those served
-	calmBooks, last model.Books
+	calmBooks, last model.Counters
 	calmAt          float64
 	calmTops        []float64 // by primary
 	calmConns       []float64 // by host
@@ -56,7 +56,7 @@
 		tally: Tally{Latency: hdrhistogram.New(1, 60_000_000, 3)}}
 	s.world = &model.World{Scheduler: s, Rng: rand.New(rand.NewPCG(em.opt.Seed, 12)), Link: 0.3, Far: e.Network.FarMs,
 		IsCut: func(g, h int) bool { return len(s.cuts) > 0 && s.cuts[[2]int{g, h}] > 0 },
-		Warm:  model.Warmth{Share: 0.2, Ms: e.Hosts.ColdMs, Tip: 2.5, FallMs: 1000, Usual: e.Load.Emulated / float64(e.Hosts.Emulated)}}
+		Warm:  model.SlowStart{Share: 0.2, Ms: e.Hosts.ColdMs, Tip: 2.5, FallMs: 1000, Usual: e.Load.Emulated / float64(e.Hosts.Emulated)}}
 	s.host = &model.HostConfig{Cores: e.Hosts.Cores, ReadMs: e.Hosts.ReadMs, WriteMs: 1.5 * e.Hosts.ReadMs, HandshakeMs: 2, Queue: 200,
 		Conns: e.Hosts.Conns, LagMs: e.Hosts.LagMs, KeyMs: 2000, GraceMs: 2000}
 	for g := range e.Hosts.Groups {
@@ -90,11 +90,11 @@
 	c, n := s.em.opt.Choices, s.em.Result.Gateways
 	set := model.Settings(&s.world.Warm, s.host, n)
 	if c.By != "alone" && c.By != "blind" {
-		set.Subset = c.Subset
+		set.SubsetSize = c.Subset
 	}
 	if c.By == "number" {
-		set.Routers = max(1, int(math.Round(float64(n)*c.Wrong)))
-		set.Index = i + 1
+		set.GatewayCount = max(1, int(math.Round(float64(n)*c.Wrong)))
+		set.GatewayNumber = i + 1
 	}
 	return set
 }
@@ -118,7 +118,7 @@
 		return err
 	}
 	if s.em.opt.Choices.By == "random" { // each for itself
-		s.gates[i].SetPeers(fleet.Named(fleet.Peer{Name: s.em.nodes[i].name, Zone: s.em.e.Fleet.zone(i)}, nil))
+		s.gates[i].SetPeers(fleet.NewNamedRoster(fleet.Gateway{Name: s.em.nodes[i].name, Zone: s.em.e.Fleet.zone(i)}, nil))
 	}
 	s.viewChanged(s.em.nodes[i])
 	return nil
@@ -155,8 +155,8 @@
 		if !ok {
 			return
 		}
-		r := transport.Roster(fleet.Peer{Name: n.name, Zone: s.em.e.Fleet.zone(i), Load: s.tellers[i].told}, view.Members())
-		if s.known[i] == nil || !s.known[i].Same(r) {
+		r := transport.NewRoster(fleet.Gateway{Name: n.name, Zone: s.em.e.Fleet.zone(i), Load: s.tellers[i].told}, view.Members())
+		if s.known[i] == nil || !s.known[i].Equivalent(r) {
 			s.known[i] = r
 			s.gates[i].SetPeers(r)
 		}
@@ -165,7 +165,7 @@
 
 // teller is what a gateway tells the others of its load.
 type teller struct {
-	fleet.Teller
+	fleet.LoadAnnouncer
 	told float64
 }
 
@@ -177,15 +177,15 @@
 			continue
 		}
 		t := s.tellers[i]
-		if load := t.Look(s.Now(), g.Second()); load != t.told {
+		if load := t.Observe(s.Now(), g.Second()); load != t.told {
 			t.told = load
-			s.em.run(n, []membership.Event{membership.Tell{Payload: transport.Payload{Load: load}.Bytes()}})
+			s.em.run(n, []membership.Event{membership.SetPayload{Payload: transport.Payload{Load: load}.Bytes()}})
 		}
 		if int(s.Now()/1000)%5 == i%5 {
 			s.viewChanged(n)
 		}
 	}
-	b := &s.world.Books
+	b := &s.world.Counters
 	if s.Now() > s.em.first {
 		for name, n := range map[string]int{"handshakes_peak": b.Handshakes - s.last.Handshakes, "probes_peak": b.Probes - s.last.Probes,
 			"calls_peak": b.Calls - s.last.Calls, "misdirected_peak": b.Misdirected - s.last.Misdirected} {
@@ -354,7 +354,7 @@
 
 // calm takes down how things are before the first fault, or at the end.
 func (s *service) calm() {
-	s.calmBooks, s.calmAt = s.world.Books, s.Now()
+	s.calmBooks, s.calmAt = s.world.Counters, s.Now()
 	for _, h := range s.places {
 		if h.Group.Primary != h {
 			s.calmConns = append(s.calmConns, float64(h.Conns()))
@@ -381,7 +381,7 @@
 const leastWindow = 50
 
 func (s *service) finish(r *Result) {
-	b, f := &s.world.Books, r.Figures
+	b, f := &s.world.Counters, r.Figures
 	f["conns_host_mean"], f["conns_host_spread"] = mean(s.calmConns), most(s.calmConns)/mean(s.calmConns)
 	f["conns_primary"] = mean(s.calmTops)
 	f["conns_gateway"] = mean(s.calmLinks)
--- a/internal/faultsim/truth.go
+++ b/internal/faultsim/truth.go
@@ -7,9 +7,9 @@
 	"merlinjunction/membership"
 )
 
-// Truth holds what each gateway believes of the others against what is so. Both engines tell it of steps and of changes
+// Oracle holds what each gateway believes of the others against what is so. Both engines tell it of steps and of changes
 // that the gateways report; it does not know how they came to them. Times are ms since second 0.
-type Truth struct {
+type Oracle struct {
 	n       int
 	net     *Network
 	up      []bool
@@ -28,7 +28,7 @@
 	excused []float64 // until when a wrong death of a member is no false one
 	lastBad float64   // the last time at which anything was wrong
 	lastAt  float64   // the last step
-	seen    map[membership.Standing]map[int]bool
+	seen    map[membership.Status]map[int]bool
 	parts   map[int]bool
 
 	FalseDeaths  int
@@ -52,14 +52,14 @@
 // graceMs is for how long after it was held up a member may still be called dead: what was decided before is on its way.
 const graceMs = 1000.0
 
-// NewTruth returns the truth about n gateways that are not up yet.
-func NewTruth(n int, net *Network) *Truth {
-	t := &Truth{net: net, flaps: map[[2]int]int{}, gaveUp: map[[2]int]bool{}, fallOf: map[int]*fall{}, seen: map[membership.Standing]map[int]bool{}, parts: map[int]bool{}}
+// NewOracle returns the truth about n gateways that are not up yet.
+func NewOracle(n int, net *Network) *Oracle {
+	t := &Oracle{net: net, flaps: map[[2]int]int{}, gaveUp: map[[2]int]bool{}, fallOf: map[int]*fall{}, seen: map[membership.Status]map[int]bool{}, parts: map[int]bool{}}
 	t.grow(n)
 	return t
 }
 
-func (t *Truth) grow(n int) {
+func (t *Oracle) grow(n int) {
 	for i := range t.belief {
 		t.belief[i] = append(t.belief[i], make([]membership.State, n-t.n)...)
 	}
@@ -73,9 +73,9 @@
 }
 
 // counts tells whether a gateway's views, and views of it, have to be right.
-func (t *Truth) counts(i int) bool { return !t.paused[i] && !t.starved[i] }
+func (t *Oracle) counts(i int) bool { return !t.paused[i] && !t.starved[i] }
 
-func (t *Truth) isWrong(viewer, of int) bool {
+func (t *Oracle) isWrong(viewer, of int) bool {
 	if viewer == of || !t.up[viewer] || !t.counts(viewer) || !t.counts(of) {
 		return false
 	}
@@ -87,7 +87,7 @@
 }
 
 // recount counts again all that concerns a gateway.
-func (t *Truth) recount(i int, now float64, change func()) {
+func (t *Oracle) recount(i int, now float64, change func()) {
 	sum := func(sign int) {
 		for j := range t.n {
 			if t.isWrong(i, j) {
@@ -109,14 +109,14 @@
 }
 
 // settle notes that until now something was wrong, if it was.
-func (t *Truth) settle(now float64) {
+func (t *Oracle) settle(now float64) {
 	if t.wrong > 0 {
 		t.lastBad = max(t.lastBad, now)
 	}
 }
 
 // Apply takes in a step.
-func (t *Truth) Apply(s *Step, now float64) {
+func (t *Oracle) Apply(s *Step, now float64) {
 	t.lastAt = max(0, now) // the start, before second 0, is no fault
 	if s.Who >= t.n && s.Do == Start {
 		t.grow(s.Who + 1)
@@ -172,7 +172,7 @@
 }
 
 // atFault tells whether half of the fleet or more can't hear a gateway, or be heard by it.
-func (t *Truth) atFault(i int) bool {
+func (t *Oracle) atFault(i int) bool {
 	if len(t.net.cuts) == 0 {
 		return false
 	}
@@ -181,7 +181,7 @@
 }
 
 // Sees takes in that a gateway's belief of another changed. cause is the gateway's own word.
-func (t *Truth) Sees(viewer, of int, s membership.State, cause string, now float64) {
+func (t *Oracle) Sees(viewer, of int, s membership.State, cause string, now float64) {
 	if viewer == of || viewer >= t.n || of >= t.n {
 		return
 	}
@@ -234,7 +234,7 @@
 }
 
 // givesUp counts that a viewer gives up a member that it held to be alive.
-func (t *Truth) givesUp(pair [2]int) {
+func (t *Oracle) givesUp(pair [2]int) {
 	if !t.gaveUp[pair] {
 		t.gaveUp[pair] = true
 		t.flaps[pair]++
@@ -242,7 +242,7 @@
 }
 
 // Stands takes in what a gateway thinks of itself.
-func (t *Truth) Stands(who int, s membership.Standing) {
+func (t *Oracle) Stands(who int, s membership.Status) {
 	if t.seen[s] == nil {
 		t.seen[s] = map[int]bool{}
 	}
@@ -250,10 +250,10 @@
 }
 
 // SeesPart takes in that a gateway knows that it sees only a part.
-func (t *Truth) SeesPart(who int) { t.parts[who] = true }
+func (t *Oracle) SeesPart(who int) { t.parts[who] = true }
 
 // pass notes what has become right, after a change about one gateway.
-func (t *Truth) pass(of int, now float64) {
+func (t *Oracle) pass(of int, now float64) {
 	if f := t.fallOf[of]; f != nil && t.wrongOf[of] == 0 {
 		f.everyone = now - f.at
 		delete(t.fallOf, of)
@@ -272,7 +272,7 @@
 }
 
 // Finish closes the books at the end. What never became right counts as right only at infinity.
-func (t *Truth) Finish(now float64) {
+func (t *Oracle) Finish(now float64) {
 	t.settle(now)
 	for range t.gates {
 		t.Backs = append(t.Backs, math.Inf(1))
@@ -283,7 +283,7 @@
 }
 
 // AgreeMs is how long after the last step something was still wrong; infinite if it is at the end.
-func (t *Truth) AgreeMs() float64 {
+func (t *Oracle) AgreeMs() float64 {
 	if t.wrong > 0 {
 		return math.Inf(1)
 	}
@@ -291,7 +291,7 @@
 }
 
 // MostFlaps is how often at the most one gateway gave up another.
-func (t *Truth) MostFlaps() int {
+func (t *Oracle) MostFlaps() int {
 	most := 0
 	for _, n := range t.flaps {
 		most = max(most, n)
@@ -300,7 +300,7 @@
 }
 
 // Alive is how many are up, and how many each of those that count believes to be on average, itself included.
-func (t *Truth) Alive() (up int, believed float64) {
+func (t *Oracle) Alive() (up int, believed float64) {
 	sum, viewers := 0, 0
 	for i := range t.n {
 		if !t.up[i] {
--- a/internal/frontend/extended/extended.go
+++ b/internal/frontend/extended/extended.go
@@ -23,8 +23,8 @@
 
 const stateUsed = "55000" // object_not_in_prerequisite_state
 
-// Front turns executes into requests to the core.
-type Front struct {
+// Frontend turns executes into requests to the core.
+type Frontend struct {
 	Core  *proxy.Core
 	Rules *Rules
 	Ready func() bool
@@ -33,8 +33,8 @@
 	held   int // bytes, of all clients
 }
 
-// Open starts the session of a client.
-func (f *Front) Open(c *pg.Client) pg.Session {
+// NewSession starts the session of a client.
+func (f *Frontend) NewSession(c *pg.Client) pg.Session {
 	f.opened++
 	s := &session{front: f, client: c, id: f.opened, statements: map[string]*statement{}, portals: map[string]*portal{}}
 	if group, ok := f.Rules.Databases[c.Database]; ok {
@@ -50,7 +50,7 @@
 	text, bare string
 	types      []byte // the parameter types, as they stood in the message
 	rule       *Rule  // nil: an empty statement, or a command that is answered here
-	command    func() pg.Failure
+	command    func() pg.ErrorResponse
 	tag        string
 	live       bool   // it has its name still: what is kept of it is booked
 	described  []byte // ParameterDescription and RowDescription or NoData, once a host has told
@@ -70,7 +70,7 @@
 }
 
 type session struct {
-	front      *Front
+	front      *Frontend
 	client     *pg.Client
 	id         uint64
 	group      int
@@ -90,17 +90,17 @@
 
 func (s *session) Busy() bool { return s.busy }
 
-// Takes keeps a pipeline in order: one message at a time.
-func (s *session) Takes(byte) bool { return !s.busy }
+// Accepts keeps a pipeline in order: one message at a time.
+func (s *session) Accepts(byte) bool { return !s.busy }
 
-func (s *session) Midway() bool { return s.midway }
+func (s *session) InPipeline() bool { return s.midway }
 
-func (s *session) Gone() {
+func (s *session) ClientGone() {
 	s.front.held -= s.held
 	s.held = 0
 	if s.busy {
 		s.busy = false
-		s.front.Core.Gone(s.request)
+		s.front.Core.ClientGone(s.request)
 	}
 }
 
@@ -114,15 +114,15 @@
 	return true
 }
 
-var errTooMuch = pg.Failure{State: pg.StateTooLarge, Text: "too much is prepared or bound at a time"}
+var errTooMuch = pg.ErrorResponse{State: pg.StateTooLarge, Text: "too much is prepared or bound at a time"}
 
 // fail reports an error; all up to the next Sync is passed over, so that no host sees what stands behind it.
-func (s *session) fail(f pg.Failure) { s.failed(f.Append(nil)) }
+func (s *session) fail(f pg.ErrorResponse) { s.failed(f.Append(nil)) }
 
 func (s *session) failed(body []byte) {
 	s.out = append(s.out, body...)
 	if s.simple {
-		s.out = pg.Ready(s.out)
+		s.out = pg.AppendReadyForQuery(s.out)
 	} else {
 		s.skip = true
 	}
@@ -134,7 +134,7 @@
 	s.out = nil
 }
 
-func (s *session) Message(kind byte, body []byte) {
+func (s *session) HandleMessage(kind byte, body []byte) {
 	s.simple = kind == pg.MsgQuery
 	if strings.ContainsRune("PBDECH", rune(kind)) {
 		s.midway = true
@@ -147,7 +147,7 @@
 		}
 		return
 	}
-	f := pg.Read(body)
+	f := pg.NewFieldReader(body)
 	ok := true
 	switch kind {
 	case pg.MsgQuery:
@@ -172,7 +172,7 @@
 		}
 	case 'F':
 		s.simple = true // it is answered like a query
-		s.fail(pg.Failure{State: pg.StateNotSupported, Text: "function calls are not taken here"})
+		s.fail(pg.ErrorResponse{State: pg.StateNotSupported, Text: "function calls are not taken here"})
 	case 'd', 'c', 'f': // left over from a COPY that was refused
 	default:
 		s.client.Fatal(pg.StateProtocol, fmt.Sprintf("unknown message type %q", kind))
@@ -192,7 +192,7 @@
 	for name := range s.portals {
 		s.dropPortal(name)
 	}
-	s.out = pg.Ready(s.out)
+	s.out = pg.AppendReadyForQuery(s.out)
 	s.flush()
 }
 
@@ -227,11 +227,11 @@
 }
 
 // prepare finds out what a statement is.
-func (s *session) prepare(text string) (*statement, *pg.Failure) {
+func (s *session) prepare(text string) (*statement, *pg.ErrorResponse) {
 	bare, n := scan(text)
 	st := &statement{text: text, bare: bare, size: len(text) + len(bare) + bookkeep}
 	if n > 1 {
-		return nil, &pg.Failure{State: pg.StateNotSupported,
+		return nil, &pg.ErrorResponse{State: pg.StateNotSupported,
 			Text: "several statements in one text are not taken here, as each commits singly"}
 	}
 	if n == 0 {
@@ -241,7 +241,7 @@
 		return st, refusal
 	}
 	if st.rule = s.front.Rules.find(bare); st.rule == nil {
-		return nil, &pg.Failure{State: pg.StateNotSupported, Text: "no class is set up for this statement"}
+		return nil, &pg.ErrorResponse{State: pg.StateNotSupported, Text: "no class is set up for this statement"}
 	}
 	return st, nil
 }
@@ -250,19 +250,19 @@
 var settable = map[string]bool{"APPLICATION_NAME": true, "EXTRA_FLOAT_DIGITS": true}
 
 // local sets up the commands that are answered here, and refuses those that would need a host of their own.
-func (s *session) local(st *statement) *pg.Failure {
+func (s *session) local(st *statement) *pg.ErrorResponse {
 	w := words(st.bare, 3)
-	none := func() pg.Failure { return pg.Failure{} }
+	none := func() pg.ErrorResponse { return pg.ErrorResponse{} }
 	switch w[0] {
 	case "BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT", "SAVEPOINT", "RELEASE":
-		return &pg.Failure{State: pg.StateNotSupported,
+		return &pg.ErrorResponse{State: pg.StateNotSupported,
 			Text: "explicit transactions are not supported: each statement commits singly"}
 	case "PREPARE", "EXECUTE", "DECLARE", "FETCH", "MOVE", "CLOSE", "COPY", "LISTEN", "UNLISTEN", "LOCK":
-		return &pg.Failure{State: pg.StateNotSupported, Text: w[0] + " needs a host of its own, which nobody has here"}
+		return &pg.ErrorResponse{State: pg.StateNotSupported, Text: w[0] + " needs a host of its own, which nobody has here"}
 	case "SET":
 		utf8 := len(w) == 3 && w[1] == "CLIENT_ENCODING" && strings.Contains(strings.ToUpper(st.bare), "UTF8")
 		if len(w) < 3 || !settable[w[1]] && !utf8 {
-			return &pg.Failure{State: pg.StateNotSupported, Text: "this setting can't be changed here"}
+			return &pg.ErrorResponse{State: pg.StateNotSupported, Text: "this setting can't be changed here"}
 		}
 		st.tag, st.command = "SET", none
 	case "RESET":
@@ -270,10 +270,10 @@
 	case "DISCARD":
 		st.tag, st.command = strings.Join(w, " "), none
 		if len(w) == 2 && w[1] == "ALL" {
-			st.command = func() pg.Failure { s.forgetAll(); return pg.Failure{} }
+			st.command = func() pg.ErrorResponse { s.forgetAll(); return pg.ErrorResponse{} }
 		}
 	case "DEALLOCATE":
-		st.tag, st.command = "DEALLOCATE", func() pg.Failure { return s.deallocate(st.bare) }
+		st.tag, st.command = "DEALLOCATE", func() pg.ErrorResponse { return s.deallocate(st.bare) }
 	}
 	return nil
 }
@@ -284,21 +284,21 @@
 	}
 }
 
-func (s *session) deallocate(bare string) pg.Failure {
+func (s *session) deallocate(bare string) pg.ErrorResponse {
 	w := strings.Fields(bare)
 	name := strings.Trim(w[len(w)-1], `"`)
 	if strings.EqualFold(name, "ALL") {
 		s.forgetAll()
-		return pg.Failure{}
+		return pg.ErrorResponse{}
 	}
 	if s.statements[name] == nil {
-		return pg.Failure{State: pg.StateNoStatement, Text: "no prepared statement " + strconv.Quote(name)}
+		return pg.ErrorResponse{State: pg.StateNoStatement, Text: "no prepared statement " + strconv.Quote(name)}
 	}
 	s.closeStatement(name)
-	return pg.Failure{}
+	return pg.ErrorResponse{}
 }
 
-func (s *session) parse(f *pg.Fields) bool {
+func (s *session) parse(f *pg.FieldReader) bool {
 	name, text := f.Text(), f.Text()
 	types := f.Bytes(4 * f.Int16())
 	if !f.End() {
@@ -310,7 +310,7 @@
 	st, refusal := s.prepare(text)
 	switch {
 	case s.statements[name] != nil:
-		s.fail(pg.Failure{State: pg.StateDupStatement, Text: "prepared statement " + strconv.Quote(name) + " exists"})
+		s.fail(pg.ErrorResponse{State: pg.StateDupStatement, Text: "prepared statement " + strconv.Quote(name) + " exists"})
 	case refusal != nil:
 		s.fail(*refusal)
 	case len(s.statements) >= mostNames || !s.keep(st.size):
@@ -318,25 +318,25 @@
 	default:
 		st.types = append([]byte(nil), types...)
 		s.statements[name], st.live = st, true
-		s.out = pg.Message(s.out, pg.MsgParseComplete)
+		s.out = pg.AppendMessage(s.out, pg.MsgParseComplete)
 	}
 	return true
 }
 
 // formats reads a list of format codes.
-func formats(f *pg.Fields) (list []uint16, ok bool) {
+func formats(f *pg.FieldReader) (list []uint16, ok bool) {
 	n := f.Int16()
 	for range n {
 		v := f.Int16()
-		if f.Bad || v > 1 {
+		if f.Malformed || v > 1 {
 			return nil, false
 		}
 		list = append(list, uint16(v))
 	}
-	return list, !f.Bad
+	return list, !f.Malformed
 }
 
-func (s *session) bind(f *pg.Fields, body []byte) bool {
+func (s *session) bind(f *pg.FieldReader, body []byte) bool {
 	name, from := f.Text(), f.Text()
 	start := len(name) + len(from) + 2
 	codes, ok := formats(f)
@@ -347,7 +347,7 @@
 	params := make([][]byte, 0, min(n, 1<<10))
 	for range n {
 		params = append(params, f.Value())
-		if f.Bad {
+		if f.Malformed {
 			return false
 		}
 	}
@@ -362,9 +362,9 @@
 	p := &portal{statement: st, params: params, results: results, size: len(body) + bookkeep}
 	switch {
 	case st == nil:
-		s.fail(pg.Failure{State: pg.StateNoStatement, Text: "no prepared statement " + strconv.Quote(from)})
+		s.fail(pg.ErrorResponse{State: pg.StateNoStatement, Text: "no prepared statement " + strconv.Quote(from)})
 	case s.portals[name] != nil:
-		s.fail(pg.Failure{State: pg.StateDupPortal, Text: "portal " + strconv.Quote(name) + " exists"})
+		s.fail(pg.ErrorResponse{State: pg.StateDupPortal, Text: "portal " + strconv.Quote(name) + " exists"})
 	case len(s.portals) >= mostNames || !s.keep(p.size):
 		s.fail(errTooMuch)
 	default:
@@ -375,12 +375,12 @@
 			}
 		}
 		s.portals[name] = p
-		s.out = pg.Message(s.out, pg.MsgBindComplete)
+		s.out = pg.AppendMessage(s.out, pg.MsgBindComplete)
 	}
 	return true
 }
 
-func (s *session) closeName(f *pg.Fields) bool {
+func (s *session) closeName(f *pg.FieldReader) bool {
 	kind, name := f.Byte(), f.Text()
 	if !f.End() || kind != 'S' && kind != 'P' {
 		return false
@@ -390,15 +390,15 @@
 	} else {
 		s.dropPortal(name)
 	}
-	s.out = pg.Message(s.out, pg.MsgCloseComplete)
+	s.out = pg.AppendMessage(s.out, pg.MsgCloseComplete)
 	return true
 }
 
-func noPortal(name string) pg.Failure {
-	return pg.Failure{State: pg.StateNoPortal, Text: "no portal " + strconv.Quote(name)}
+func noPortal(name string) pg.ErrorResponse {
+	return pg.ErrorResponse{State: pg.StateNoPortal, Text: "no portal " + strconv.Quote(name)}
 }
 
-func (s *session) describe(f *pg.Fields) bool {
+func (s *session) describe(f *pg.FieldReader) bool {
 	kind, name := f.Byte(), f.Text()
 	if !f.End() || kind != 'S' && kind != 'P' {
 		return false
@@ -411,18 +411,18 @@
 		}
 		st = p.statement
 	} else if st == nil {
-		s.fail(pg.Failure{State: pg.StateNoStatement, Text: "no prepared statement " + strconv.Quote(name)})
+		s.fail(pg.ErrorResponse{State: pg.StateNoStatement, Text: "no prepared statement " + strconv.Quote(name)})
 		return true
 	}
 	switch {
 	case st.rule == nil:
-		st.described = pg.Message(pg.Message(nil, pg.MsgParamDesc, 0, 0), pg.MsgNoData)
+		st.described = pg.AppendMessage(pg.AppendMessage(nil, pg.MsgParamDesc, 0, 0), pg.MsgNoData)
 		fallthrough
 	case st.described != nil:
 		s.tell(st, kind, p)
 		return true
 	}
-	class := s.front.Rules.Describe
+	class := s.front.Rules.DescribeClass
 	s.submit(class, "", describeCommand{st}, func(body []byte) {
 		st.described = body
 		s.tell(st, kind, p)
@@ -438,15 +438,15 @@
 // tell answers a Describe by what a host told of the statement; a portal's columns come in the formats bound.
 func (s *session) tell(st *statement, kind byte, p *portal) {
 	for rest := st.described; len(rest) > 0; {
-		k, body, size, err := pg.Next(rest, pg.MaxMessage)
+		k, body, size, err := pg.SplitMessage(rest, pg.MaxMessage)
 		if err != nil || size == 0 {
-			s.fail(pg.Lost())
+			s.fail(pg.UnknownOutcomeError())
 			return
 		}
 		switch {
 		case kind == 'P' && k == pg.MsgParamDesc:
 		case kind == 'P' && k == pg.MsgRowDescription:
-			s.out = pg.Message(s.out, k, withFormats(body, p.results)...)
+			s.out = pg.AppendMessage(s.out, k, withFormats(body, p.results)...)
 		default:
 			s.out = append(s.out, rest[:size]...)
 		}
@@ -456,13 +456,13 @@
 
 // withFormats sets the format codes in the body of a RowDescription.
 func withFormats(body []byte, codes []uint16) []byte {
-	f := pg.Read(body)
+	f := pg.NewFieldReader(body)
 	out := append([]byte(nil), body...)
 	at := 2
 	for i := range f.Int16() {
 		name := f.Text()
 		f.Bytes(16)
-		if f.Bad {
+		if f.Malformed {
 			return body
 		}
 		at += len(name) + 1 + 18
@@ -479,7 +479,7 @@
 	return out
 }
 
-func (s *session) execute(f *pg.Fields) bool {
+func (s *session) execute(f *pg.FieldReader) bool {
 	name, most := f.Text(), f.Int32()
 	if !f.End() {
 		return false
@@ -491,12 +491,12 @@
 	case p.last != nil:
 		s.rows(p, most)
 	case p.run: // a second run could repeat a write
-		s.fail(pg.Failure{State: stateUsed, Text: "portal " + strconv.Quote(name) + " has been run"})
+		s.fail(pg.ErrorResponse{State: stateUsed, Text: "portal " + strconv.Quote(name) + " has been run"})
 	case p.command != nil:
 		p.run = true
 		s.command(p.statement)
 	case p.rule == nil:
-		s.out = pg.Message(s.out, pg.MsgEmptyQuery)
+		s.out = pg.AppendMessage(s.out, pg.MsgEmptyQuery)
 	default:
 		p.run, s.limited = true, most > 0
 		s.run(p.rule, p.statement, p.params, executeCommand{p}, func(body []byte) { s.take(p, body, most) })
@@ -508,11 +508,11 @@
 func (s *session) run(r *Rule, st *statement, params [][]byte, command any, then func([]byte)) {
 	c := s.front.Rules.Classes[r.Class]
 	name, key := r.names(st.bare, params, s.id)
-	if c.Effect == routing.EffectKeyed && key == "" {
-		s.fail(pg.Failure{State: pg.StateBadParameter, Text: "the class " + c.Name + " needs an idempotency key"})
+	if c.Idempotency == routing.IdempotentWithKey && key == "" {
+		s.fail(pg.ErrorResponse{State: pg.StateBadParameter, Text: "the class " + c.Name + " needs an idempotency key"})
 		return
 	}
-	if c.Need != routing.NeedPrimary && c.Need != routing.NeedSession {
+	if c.Consistency != routing.ConsistencyWrite && c.Consistency != routing.ConsistencySession {
 		name = ""
 	}
 	s.submit(r.Class, name, command, then)
@@ -520,15 +520,15 @@
 
 func (s *session) submit(class int, name string, command any, then func([]byte)) {
 	r := proxy.Request{
-		Class: class, Tenant: -1, Group: s.group, Session: name, Command: command, Reply: s,
-		LeftMs: s.front.Rules.Classes[class].Deadline.Seconds() * 1000,
+		Class: class, Tenant: -1, Group: s.group, Session: name, Command: command, Responder: s,
+		TimeLeftMs: s.front.Rules.Classes[class].Deadline.Seconds() * 1000,
 	}
 	if t, ok := s.front.Rules.Tenants[s.client.User]; ok {
 		r.Tenant = t
 	}
 	id, ok := s.front.Core.Submit(r)
 	if !ok {
-		s.fail(pg.Refusal(0))
+		s.fail(pg.RejectionError(0))
 		return
 	}
 	s.busy, s.request, s.then = true, id, then
@@ -541,9 +541,9 @@
 		return
 	}
 	for rest := body; len(rest) > 0; {
-		k, _, size, err := pg.Next(rest, pg.MaxMessage)
+		k, _, size, err := pg.SplitMessage(rest, pg.MaxMessage)
 		if err != nil || size == 0 {
-			s.fail(pg.Lost())
+			s.fail(pg.UnknownOutcomeError())
 			return
 		}
 		if k == pg.MsgDataRow {
@@ -573,7 +573,7 @@
 	}
 	p.rows = p.rows[n:]
 	if len(p.rows) > 0 {
-		s.out = pg.Message(s.out, pg.MsgSuspended)
+		s.out = pg.AppendMessage(s.out, pg.MsgSuspended)
 		return
 	}
 	s.out = append(s.out, p.last...)
@@ -585,19 +585,19 @@
 		s.fail(f)
 		return
 	}
-	s.out = pg.Texts(s.out, pg.MsgComplete, st.tag)
+	s.out = pg.AppendStrings(s.out, pg.MsgComplete, st.tag)
 	s.ready()
 }
 
 // ready ends a simple query.
 func (s *session) ready() {
 	if s.simple {
-		s.out = pg.Ready(s.out)
+		s.out = pg.AppendReadyForQuery(s.out)
 		s.flush()
 	}
 }
 
-func (s *session) query(f *pg.Fields) bool {
+func (s *session) query(f *pg.FieldReader) bool {
 	text := f.Text()
 	if !f.End() {
 		return false
@@ -617,16 +617,16 @@
 			s.ready()
 		})
 	case s.front.Ready():
-		s.out = pg.Message(s.out, pg.MsgEmptyQuery)
+		s.out = pg.AppendMessage(s.out, pg.MsgEmptyQuery)
 		s.ready()
 	default:
-		s.fail(pg.Failure{State: pg.StateCannotConnectNow, Text: "no database host can be reached"})
+		s.fail(pg.ErrorResponse{State: pg.StateCannotConnectNow, Text: "no database host can be reached"})
 	}
 	return true
 }
 
-// Begin takes a large answer as it comes, where its rows are not kept here for a portal.
-func (s *session) Begin(resume func()) bool {
+// BeginStream takes a large answer as it comes, where its rows are not kept here for a portal.
+func (s *session) BeginStream(resume func()) bool {
 	if s.limited {
 		return false
 	}
@@ -634,8 +634,8 @@
 	return true
 }
 
-// Part passes on as much as the client has room for, after what stands before it in the pipeline.
-func (s *session) Part(p []byte) int {
+// StreamPart passes on as much as the client has room for, after what stands before it in the pipeline.
+func (s *session) StreamPart(p []byte) int {
 	if !s.busy {
 		return 0
 	}
@@ -650,37 +650,37 @@
 	}
 }
 
-// Cut ends the connection: an error in the middle of a row could not be told from the row.
-func (s *session) Cut() {
+// AbortStream ends the connection: an error in the middle of a row could not be told from the row.
+func (s *session) AbortStream() {
 	s.busy, s.resume = false, nil
-	s.client.Break()
+	s.client.Abort()
 }
 
 // Cancel calls off the statement in hand. Whether it has run is not known.
 func (s *session) Cancel() {
-	s.front.Core.Withdraw(s.request)
+	s.front.Core.CancelRequest(s.request)
 	if s.resume != nil {
-		s.Cut()
+		s.AbortStream()
 		return
 	}
-	s.Failed(pg.Failure{State: pg.StateCanceled, Text: "called off by the client; the statement may have run"}.Append(nil))
+	s.Fail(pg.ErrorResponse{State: pg.StateCanceled, Text: "called off by the client; the statement may have run"}.Append(nil))
 }
 
-// Served goes on with a host's answer.
-func (s *session) Served(body []byte) {
+// Succeed goes on with a host's answer.
+func (s *session) Succeed(body []byte) {
 	s.busy, s.resume = false, nil
 	s.then(body)
 	s.flush()
 	s.client.Resume()
 }
 
-// Refused says that trying again is harmless.
-func (s *session) Refused(afterMs float64) { s.Failed(pg.Refusal(afterMs).Append(nil)) }
+// Reject says that trying again is harmless.
+func (s *session) Reject(afterMs float64) { s.Fail(pg.RejectionError(afterMs).Append(nil)) }
 
-// Failed passes a host's error on, or says that nothing is known.
-func (s *session) Failed(body []byte) {
+// Fail passes a host's error on, or says that nothing is known.
+func (s *session) Fail(body []byte) {
 	if body == nil {
-		body = pg.Lost().Append(nil)
+		body = pg.UnknownOutcomeError().Append(nil)
 	}
 	s.busy = false
 	s.failed(body)
--- a/internal/frontend/extended/session_test.go
+++ b/internal/frontend/extended/session_test.go
@@ -10,11 +10,11 @@
 // Where an operator names no session, a connection is one. No other connection, at the same time or later, has its name, nor has
 // a session that a client names: a stamp or a write in flight of one client is never taken for another's.
 func TestSessionsOfConnectionsAreTheirOwn(t *testing.T) {
-	f := &Front{Rules: &Rules{Databases: map[string]int{"main": 0}}}
-	rule := &Rule{Pattern: regexp.MustCompile("SELECT"), Session: 1}
+	f := &Frontend{Rules: &Rules{Databases: map[string]int{"main": 0}}}
+	rule := &Rule{Pattern: regexp.MustCompile("SELECT"), SessionParam: 1}
 	seen := map[string]bool{}
 	open := func() *session {
-		s := f.Open(&pg.Client{Database: "main"}).(*session)
+		s := f.NewSession(&pg.Client{Database: "main"}).(*session)
 		name, _ := (&Rule{Pattern: rule.Pattern}).names("SELECT 1", nil, s.id)
 		if seen[name] {
 			t.Errorf("a connection got the session %q of an earlier one", name)
@@ -24,7 +24,7 @@
 	}
 	first := open()
 	open()
-	first.Gone()
+	first.ClientGone()
 	open()
 	for name := range seen {
 		for _, said := range []string{name, name[2:]} {
--- a/internal/frontend/management/management.go
+++ b/internal/frontend/management/management.go
@@ -36,8 +36,8 @@
 type Fleet struct {
 	Name        string   `json:"fleet"`
 	Self        string   `json:"self"`
-	Standing    string   `json:"standing"` // what it thinks of itself
-	Part        bool     `json:"part"`     // it sees only a part of the fleet
+	Status      string   `json:"standing"` // what it thinks of itself
+	Partial     bool     `json:"part"`     // it sees only a part of the fleet
 	Alive       int      `json:"alive"`    // itself included
 	Suspect     int      `json:"suspect"`
 	Unreachable int      `json:"unreachable"`
@@ -62,8 +62,8 @@
 
 // Telemetry are the figures.
 type Telemetry struct {
-	Replies map[string]proxy.Replies `json:"replies"` // by class
-	proxy.Figures
+	Replies map[string]proxy.ReplyCounts `json:"replies"` // by class
+	proxy.Stats
 	ReloadSuccess int    `json:"reload_success"`
 	ReloadFailure int    `json:"reload_failure"`
 	Fleet         *Fleet `json:"fleet,omitempty"` // without members
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -19,8 +19,8 @@
 	mostTurns   = 32 // queries of one client in hand
 )
 
-// Front turns queries into requests to the core.
-type Front struct {
+// Frontend turns queries into requests to the core.
+type Frontend struct {
 	Core    *proxy.Core
 	Ready   func() bool
 	classes map[string]int
@@ -30,8 +30,8 @@
 }
 
 // New returns a Front for the classes and tenants of the settings.
-func New(core *proxy.Core, set routing.Settings, ready func() bool) *Front {
-	f := &Front{Core: core, Ready: ready, classes: map[string]int{}, tenants: map[string]int{},
+func New(core *proxy.Core, set routing.Settings, ready func() bool) *Frontend {
+	f := &Frontend{Core: core, Ready: ready, classes: map[string]int{}, tenants: map[string]int{},
 		kinds: set.Classes, open: map[string]bool{}}
 	for i, c := range set.Classes {
 		f.classes[c.Name] = i
@@ -43,18 +43,18 @@
 }
 
 var (
-	_ pg.Streamed    = (*statement)(nil)
-	_ proxy.Streamer = (*turn)(nil)
-	_ pg.Flusher     = (*session)(nil)
+	_ pg.StreamingCommand = (*statement)(nil)
+	_ proxy.Streamer      = (*turn)(nil)
+	_ pg.Flusher          = (*session)(nil)
 )
 
-// Open starts the session of a client.
-func (f *Front) Open(c *pg.Client) pg.Session { return &session{front: f, client: c} }
+// NewSession starts the session of a client.
+func (f *Frontend) NewSession(c *pg.Client) pg.Session { return &session{front: f, client: c} }
 
 // session is one client's. Its queries are worked on side by side and answered in the order they came: a query waits
 // only for those before it that write its key, or that it would write to.
 type session struct {
-	front  *Front
+	front  *Frontend
 	client *pg.Client
 	turns  []*turn // in the order of their answers
 	skip   bool    // until Sync: a message of the extended protocol was refused
@@ -74,22 +74,22 @@
 
 func (s *session) Busy() bool { return len(s.turns) > 0 }
 
-// Takes lets queries in while others are in hand; whatever else there is waits for them.
-func (s *session) Takes(kind byte) bool {
+// Accepts lets queries in while others are in hand; whatever else there is waits for them.
+func (s *session) Accepts(kind byte) bool {
 	return len(s.turns) == 0 || kind == pg.MsgQuery && len(s.turns) < mostTurns
 }
 
-// Midway is never true: each query stands alone.
-func (s *session) Midway() bool { return false }
+// InPipeline is never true: each query stands alone.
+func (s *session) InPipeline() bool { return false }
 
-func (s *session) Gone() {
+func (s *session) ClientGone() {
 	turns := s.turns
 	s.turns = nil
 	for _, t := range turns {
 		if t.st != nil && t.answer == nil {
 			delete(s.front.open, t.st.id)
 			if t.sent {
-				s.front.Core.Gone(t.number)
+				s.front.Core.ClientGone(t.number)
 			}
 		}
 	}
@@ -141,27 +141,27 @@
 func (t *turn) submit() {
 	core := t.session.front.Core
 	t.sent = true
-	t.request.LeftMs -= core.Now() - t.since
+	t.request.TimeLeftMs -= core.Now() - t.since
 	var ok bool
 	if t.number, ok = core.Submit(t.request); !ok {
-		t.settle(pg.Refusal(0).Append(nil))
+		t.settle(pg.RejectionError(0).Append(nil))
 	}
 }
 
 // settle takes in the answer.
 func (t *turn) settle(body []byte) {
 	delete(t.session.front.open, t.st.id)
-	t.answer = pg.Ready(body)
+	t.answer = pg.AppendReadyForQuery(body)
 }
 
-// Begin takes a large answer as it comes.
-func (t *turn) Begin(resume func()) bool {
+// BeginStream takes a large answer as it comes.
+func (t *turn) BeginStream(resume func()) bool {
 	t.resume = resume
 	return true
 }
 
-// Part passes on as much as the client has room for, once the answers before this one are out.
-func (t *turn) Part(p []byte) int {
+// StreamPart passes on as much as the client has room for, once the answers before this one are out.
+func (t *turn) StreamPart(p []byte) int {
 	s := t.session
 	if len(s.turns) == 0 || s.turns[0] != t {
 		return 0
@@ -169,40 +169,40 @@
 	return s.client.SendPart(p)
 }
 
-// Cut ends the connection: an answer that breaks off midway can't be told from a whole one otherwise.
-func (t *turn) Cut() {
+// AbortStream ends the connection: an answer that breaks off midway can't be told from a whole one otherwise.
+func (t *turn) AbortStream() {
 	delete(t.session.front.open, t.st.id)
-	t.session.client.Break()
+	t.session.client.Abort()
 }
 
-// Served passes a host's answer on.
-func (t *turn) Served(body []byte) {
+// Succeed passes a host's answer on.
+func (t *turn) Succeed(body []byte) {
 	t.settle(body)
 	t.session.proceed()
 }
 
-// Refused says that trying again is harmless.
-func (t *turn) Refused(afterMs float64) { t.Served(pg.Refusal(afterMs).Append(nil)) }
+// Reject says that trying again is harmless.
+func (t *turn) Reject(afterMs float64) { t.Succeed(pg.RejectionError(afterMs).Append(nil)) }
 
-// Failed passes a host's error on, or says that nothing is known.
-func (t *turn) Failed(body []byte) {
+// Fail passes a host's error on, or says that nothing is known.
+func (t *turn) Fail(body []byte) {
 	if body == nil {
-		body = pg.Lost().Append(nil)
+		body = pg.UnknownOutcomeError().Append(nil)
 	}
-	t.Served(body)
+	t.Succeed(body)
 }
 
-func (s *session) Message(kind byte, body []byte) {
+func (s *session) HandleMessage(kind byte, body []byte) {
 	switch kind {
 	case pg.MsgQuery:
 		s.query(body)
 	case pg.MsgSync:
 		s.skip = false
-		s.say(pg.Ready(nil))
+		s.say(pg.AppendReadyForQuery(nil))
 	case pg.MsgParse, pg.MsgBind, pg.MsgDescribe, pg.MsgExecute, pg.MsgClose, pg.MsgFlush:
 		if !s.skip {
 			s.skip = true
-			s.say(pg.Failure{State: pg.StateNotSupported, Text: "only simple queries are taken here"}.Append(nil))
+			s.say(pg.ErrorResponse{State: pg.StateNotSupported, Text: "only simple queries are taken here"}.Append(nil))
 		}
 	case 'd', 'c', 'f': // left over from a COPY that was refused
 	default:
@@ -211,7 +211,7 @@
 }
 
 func (s *session) query(body []byte) {
-	fields := pg.Read(body)
+	fields := pg.NewFieldReader(body)
 	text := fields.Text()
 	if !fields.End() {
 		s.client.Fatal(pg.StateProtocol, "the query is no text")
@@ -219,28 +219,28 @@
 	}
 	if strings.Trim(text, " \t\r\n;") == "" {
 		if s.front.Ready() {
-			s.say(pg.Ready(pg.Message(nil, pg.MsgEmptyQuery)))
+			s.say(pg.AppendReadyForQuery(pg.AppendMessage(nil, pg.MsgEmptyQuery)))
 		} else {
-			s.fail(pg.Failure{State: pg.StateCannotConnectNow, Text: "no clients are taken now"})
+			s.fail(pg.ErrorResponse{State: pg.StateCannotConnectNow, Text: "no clients are taken now"})
 		}
 		return
 	}
 	if word, ok := setting(text); ok {
-		s.say(pg.Ready(pg.Texts(nil, pg.MsgComplete, word)))
+		s.say(pg.AppendReadyForQuery(pg.AppendStrings(nil, pg.MsgComplete, word)))
 		return
 	}
 	st, err := parse(text)
 	if err != nil {
-		s.fail(pg.Failure{State: pg.StateSyntax, Text: err.Error()})
+		s.fail(pg.ErrorResponse{State: pg.StateSyntax, Text: err.Error()})
 		return
 	}
 	r, err := s.front.request(st)
 	if err != nil {
-		s.fail(pg.Failure{State: pg.StateBadParameter, Text: err.Error()})
+		s.fail(pg.ErrorResponse{State: pg.StateBadParameter, Text: err.Error()})
 		return
 	}
 	t := &turn{st: st, request: r, since: s.front.Core.Now()}
-	t.request.Reply = t
+	t.request.Responder = t
 	s.front.open[st.id] = true
 	s.add(t)
 }
@@ -248,7 +248,7 @@
 // request checks a query against the settings and turns it into a request to the core. Guards hosts against what
 // they turn away as 08P01 or close the connection on, and other clients' requests against a second one of their id:
 // an answer to either could be taken for the other's.
-func (f *Front) request(st *statement) (proxy.Request, error) {
+func (f *Frontend) request(st *statement) (proxy.Request, error) {
 	class, known := f.classes[st.class]
 	tenant, member := f.tenants[st.tenant]
 	switch {
@@ -256,18 +256,18 @@
 		return proxy.Request{}, fmt.Errorf("unknown class %q", st.class)
 	case !member && len(f.tenants) > 0:
 		return proxy.Request{}, fmt.Errorf("unknown tenant %q", st.tenant)
-	case st.write != (f.kinds[class].Need == routing.NeedPrimary):
+	case st.write != (f.kinds[class].Consistency == routing.ConsistencyWrite):
 		return proxy.Request{}, fmt.Errorf("class %q takes no statement of this form", st.class)
-	case f.kinds[class].Effect == routing.EffectKeyed && st.once == "":
+	case f.kinds[class].Idempotency == routing.IdempotentWithKey && st.once == "":
 		return proxy.Request{}, fmt.Errorf("class %q needs the idempotency key k", st.class)
 	case f.open[st.id]:
 		return proxy.Request{}, fmt.Errorf("a request with the id %q is in hand", st.id)
 	}
-	r := proxy.Request{Class: class, Tenant: -1, Group: st.cluster, LeftMs: st.left, Repeat: st.repeat, Command: st}
+	r := proxy.Request{Class: class, Tenant: -1, Group: st.cluster, TimeLeftMs: st.left, ClientRetry: st.repeat, Command: st}
 	if member {
 		r.Tenant = tenant
 	}
-	if n := f.kinds[class].Need; n == routing.NeedPrimary || n == routing.NeedSession {
+	if n := f.kinds[class].Consistency; n == routing.ConsistencyWrite || n == routing.ConsistencySession {
 		r.Session = st.key
 	}
 	return r, nil
@@ -283,7 +283,7 @@
 	return "", false
 }
 
-func (s *session) fail(f pg.Failure) { s.say(pg.Ready(f.Append(nil))) }
+func (s *session) fail(f pg.ErrorResponse) { s.say(pg.AppendReadyForQuery(f.Append(nil))) }
 
 // statement is a query and what its comment says.
 type statement struct {
@@ -299,26 +299,26 @@
 
 // AppendTo writes the query as it came, with the time that is left now.
 func (st *statement) AppendTo(buf []byte, leftMs float64) []byte {
-	buf, m := pg.Begin(buf, pg.MsgQuery)
+	buf, m := pg.BeginMessage(buf, pg.MsgQuery)
 	buf = append(buf, st.text[:st.from]...)
 	buf = strconv.AppendInt(buf, int64(max(1, leftMs)), 10)
 	buf = append(buf, st.text[st.to:]...)
-	return pg.End(append(buf, 0), m)
+	return pg.EndMessage(append(buf, 0), m)
 }
 
-// Relays passes on the parts of a result.
-func (st *statement) Relays(kind byte) bool {
+// Forwards passes on the parts of a result.
+func (st *statement) Forwards(kind byte) bool {
 	return bytes.IndexByte([]byte{pg.MsgRowDescription, pg.MsgDataRow, pg.MsgComplete}, kind) >= 0
 }
 
-// Opens asks for the description alone, before a row of one value.
-func (st *statement) Opens(answer []byte, columns int) bool {
-	return pg.Shape(answer) == "T" && pg.Columns(answer) == 1 && columns == 1
+// CanStream asks for the description alone, before a row of one value.
+func (st *statement) CanStream(answer []byte, columns int) bool {
+	return pg.MessageTypes(answer) == "T" && pg.ColumnCount(answer) == 1 && columns == 1
 }
 
-// Ends asks for the end of a statement of this kind.
-func (st *statement) Ends(answer []byte) bool {
-	return pg.Shape(answer) == "C" && strings.HasPrefix(pg.Tag(answer), st.verb())
+// IsStreamComplete asks for the end of a statement of this kind.
+func (st *statement) IsStreamComplete(answer []byte) bool {
+	return pg.MessageTypes(answer) == "C" && strings.HasPrefix(pg.CommandTag(answer), st.verb())
 }
 
 func (st *statement) verb() string {
@@ -328,18 +328,18 @@
 	return "SELECT"
 }
 
-// Whole asks for one row of one value and the end of a statement of this kind.
-func (st *statement) Whole(answer []byte) bool {
-	if pg.Shape(answer) != "TDC" {
+// IsComplete asks for one row of one value and the end of a statement of this kind.
+func (st *statement) IsComplete(answer []byte) bool {
+	if pg.MessageTypes(answer) != "TDC" {
 		return false
 	}
 	values := 0
 	for range 2 {
-		values += pg.Columns(answer)
-		_, _, size, _ := pg.Next(answer, pg.MaxMessage)
+		values += pg.ColumnCount(answer)
+		_, _, size, _ := pg.SplitMessage(answer, pg.MaxMessage)
 		answer = answer[size:]
 	}
-	return values == 2 && strings.HasPrefix(pg.Tag(answer), st.verb())
+	return values == 2 && strings.HasPrefix(pg.CommandTag(answer), st.verb())
 }
 
 // parse reads a query in one of the two forms that hosts take, and its comment.
--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -42,7 +42,7 @@
 	} `json:"members"`
 }
 
-var phases = map[string]routing.State{"active": routing.Ready, "leaving": routing.Draining, "left": routing.Gone}
+var phases = map[string]routing.EndpointState{"active": routing.StateReady, "leaving": routing.StateDraining, "left": routing.StateGone}
 
 // Hosts turns the entries into the core's. The error names the first one that can't be used; all others are returned.
 func (d *Document) Hosts() (hosts []proxy.Host, bad error) {
@@ -55,7 +55,7 @@
 			err = fmt.Errorf("host list: the entry with host_port %q has no id", m.HostPort)
 		case !known:
 			err = fmt.Errorf("host list: entry %q: unknown phase %q", m.ID, m.Phase)
-		case noAddr != nil && phase == routing.Ready: // one that is to be left alone needs none
+		case noAddr != nil && phase == routing.StateReady: // one that is to be left alone needs none
 			err = fmt.Errorf("host list: entry %q: host_port %q is no address and port", m.ID, m.HostPort)
 		case !(m.UpSinceMs >= 0 && m.UpSinceMs < math.MaxInt64/1e6):
 			err = fmt.Errorf("host list: entry %q: up_since_ms is out of range", m.ID)
@@ -64,25 +64,25 @@
 			bad = cmp.Or(bad, err)
 			continue
 		}
-		hosts = append(hosts, proxy.Host{Addr: m.HostPort, Member: routing.Member{
+		hosts = append(hosts, proxy.Host{Address: m.HostPort, Endpoint: routing.Endpoint{
 			ID: m.ID, Group: m.Cell, Zone: m.Locality, Primary: m.Role == "leader", State: phase,
-			Started: time.Duration(m.UpSinceMs*1000) * time.Microsecond,
+			StartedAt: time.Duration(m.UpSinceMs*1000) * time.Microsecond,
 		}})
 	}
 	return hosts, bad
 }
 
-// News takes in the whole list, or changes of it, that count as told since some time.
-type News func(full bool, hosts []proxy.Host, told float64)
+// UpdateFunc takes in the whole list, or changes of it, that count as told since some time.
+type UpdateFunc func(full bool, hosts []proxy.Host, told float64)
 
 // Watcher keeps asking.
 type Watcher struct {
 	loop    *eventloop.Loop
 	log     *zap.Logger
 	addr    string
-	news    News
+	news    UpdateFunc
 	rng     *rand.Rand
-	calls   fleet.Calls // when to call
+	calls   fleet.PollPolicy // when to call
 	conn    *eventloop.Conn
 	timer   *eventloop.Timer
 	moving  *eventloop.Timer // to another address
@@ -94,57 +94,57 @@
 }
 
 // None is the version of a list that is not there.
-const None = -1
+const NoRevision = -1
 
-// Fleet is what a Watcher knows of its kind.
-type Fleet struct {
-	Size  int     // how many gateways there are
-	Seat  int     // which of them this one is, from 1; 0: nobody says
-	Grace float64 // of a drain, in milliseconds
-	Seed  uint64  // this one's, from which all that is random about it comes
+// Config is what a Watcher knows of its kind.
+type Config struct {
+	GatewayCount  int     // how many gateways there are
+	GatewayNumber int     // which of them this one is, from 1; 0: nobody says
+	DrainGraceMs  float64 // of a drain, in milliseconds
+	Seed          uint64  // this one's, from which all that is random about it comes
 	// Pushed says that an agent of this gateway's own has the list; else it is asked for, of a discovery that all share.
-	Pushed bool
-	Since  int64 // the version of the list that is known already, or None
+	Pushed   bool
+	Revision int64 // the version of the list that is known already, or None
 }
 
 // Watch starts to follow the list at an address. A gateway that knows a list waits for its turn: guards discovery
 // against a whole fleet that starts, or is killed, at one moment. One that has been overrun so serves nobody for long.
-func Watch(l *eventloop.Loop, log *zap.Logger, addr string, f Fleet, news News) *Watcher {
-	w := &Watcher{loop: l, log: log, addr: addr, news: news, since: f.Since,
-		calls: fleet.Calls{Turns: fleet.Turns{Size: f.Size, Seat: f.Seat - 1}, GraceMs: f.Grace, Pushed: f.Pushed},
+func Watch(l *eventloop.Loop, log *zap.Logger, addr string, f Config, news UpdateFunc) *Watcher {
+	w := &Watcher{loop: l, log: log, addr: addr, news: news, since: f.Revision,
+		calls: fleet.PollPolicy{SlotSchedule: fleet.SlotSchedule{GatewayCount: f.GatewayCount, Slot: f.GatewayNumber - 1}, DrainGraceMs: f.DrainGraceMs, Pushed: f.Pushed},
 		rng:   rand.New(rand.NewPCG(f.Seed, f.Seed))}
-	w.calls.Began(l.Clock.Now())
+	w.calls.Started(l.Clock.Now())
 	if w.since < 0 {
 		w.ask()
 	} else {
-		w.firstAt = l.Clock.Now() + w.calls.First(true, w.rng.Float64())
+		w.firstAt = l.Clock.Now() + w.calls.FirstDelay(true, w.rng.Float64())
 		w.timer = l.At(w.firstAt, w.ask)
 	}
 	return w
 }
 
-// SetTurns takes in which gateway of how many this one is.
-func (w *Watcher) SetTurns(t fleet.Turns) { w.calls.Turns = t }
+// SetSchedule takes in which gateway of how many this one is.
+func (w *Watcher) SetSchedule(t fleet.SlotSchedule) { w.calls.SlotSchedule = t }
 
-// Waits tells whether the first call is still more than some time away.
-func (w *Watcher) Waits(ms float64) bool {
-	return !w.calls.Heard() && w.firstAt > w.loop.Clock.Now()+ms
+// FirstCallLaterThan tells whether the first call is still more than some time away.
+func (w *Watcher) FirstCallLaterThan(ms float64) bool {
+	return !w.calls.HasAnswer() && w.firstAt > w.loop.Clock.Now()+ms
 }
 
-// Move follows the list at another address, each gateway of a fleet from a moment of its own on. What is known of it
+// SetAddress follows the list at another address, each gateway of a fleet from a moment of its own on. What is known of it
 // holds until that address has told the whole list anew: its versions may be numbered otherwise.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) SetAddress(addr string) {
 	w.moving.Stop()
-	w.moving = w.loop.After(w.calls.Move(w.rng.Float64()), func() {
-		w.addr, w.since = addr, None
+	w.moving = w.loop.After(w.calls.MoveDelay(w.rng.Float64()), func() {
+		w.addr, w.since = addr, NoRevision
 		w.calls.Moved(w.loop.Clock.Now())
 		w.hangUp()
 		w.ask()
 	})
 }
 
-// Addr is where the list is followed.
-func (w *Watcher) Addr() string { return w.addr }
+// Address is where the list is followed.
+func (w *Watcher) Address() string { return w.addr }
 
 func (w *Watcher) ask() {
 	w.askedAt = w.loop.Clock.Now()
@@ -156,7 +156,7 @@
 		}
 	}
 	path := "/v1/servers"
-	wait, patience := w.calls.Call(w.since >= 0)
+	wait, patience := w.calls.NextCall(w.since >= 0)
 	if w.since >= 0 {
 		path += fmt.Sprintf("?since=%d&timeout_ms=%d", w.since, int(wait))
 	}
@@ -177,11 +177,11 @@
 	w.timer.Stop()
 	switch {
 	case errors.Is(err, errSilent):
-		pause = w.calls.Silent(w.askedAt, now, draw)
+		pause = w.calls.TimedOut(w.askedAt, now, draw)
 	case errors.Is(err, errRefused):
 		pause = w.calls.Failed(now, draw)
 	default:
-		pause = w.calls.Broke(w.askedAt, now, draw)
+		pause = w.calls.ConnectionLost(w.askedAt, now, draw)
 	}
 	w.timer = w.loop.After(pause, w.ask)
 }
@@ -234,7 +234,7 @@
 		w.hangUp()
 	}
 	w.timer.Stop()
-	if pause := w.calls.Idle(w.since != held, w.askedAt, w.loop.Clock.Now()); pause > 0 {
+	if pause := w.calls.IdleDelay(w.since != held, w.askedAt, w.loop.Clock.Now()); pause > 0 {
 		w.timer = w.loop.After(pause, w.ask)
 		return
 	}
@@ -244,7 +244,7 @@
 func (w *Watcher) take(a *answer) error {
 	if a.status != 200 {
 		if a.status/100 == 4 { // it does not know the version that was named; one that is short of room does
-			w.since = None
+			w.since = NoRevision
 		}
 		return fmt.Errorf("%w %d", errRefused, a.status)
 	}
--- a/internal/protocol/discovery/discovery_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -86,7 +86,7 @@
 	}
 	defer l.Close()
 	var got []string
-	Watch(l, zap.NewNop(), ln.Addr().String(), Fleet{Size: 4, Since: None}, func(full bool, hosts []proxy.Host, _ float64) {
+	Watch(l, zap.NewNop(), ln.Addr().String(), Config{GatewayCount: 4, Revision: NoRevision}, func(full bool, hosts []proxy.Host, _ float64) {
 		got = append(got, fmt.Sprint(full, " ", hosts[0].ID))
 		if hosts[0].ID == "c" {
 			l.Stop()
@@ -118,7 +118,7 @@
 	defer l.Close()
 	full := fmt.Errorf("full")
 	pauses := func(seed uint64) (all []float64) {
-		w := Watch(l, zap.NewNop(), "nowhere", Fleet{Size: 1, Seed: seed, Since: 41}, nil)
+		w := Watch(l, zap.NewNop(), "nowhere", Config{GatewayCount: 1, Seed: seed, Revision: 41}, nil)
 		for range 12 {
 			if err := w.take(&answer{status: 503}); err == nil || w.since != 41 {
 				t.Fatalf("%v, version %d", err, w.since)
@@ -135,7 +135,7 @@
 		t.Errorf("pauses %.0f and %.0f", a, b)
 	}
 	w := &Watcher{since: 41}
-	if _ = w.take(&answer{status: 410}); w.since != None {
+	if _ = w.take(&answer{status: 410}); w.since != NoRevision {
 		t.Errorf("a version that is not known any more is named again: %d", w.since)
 	}
 }
@@ -150,7 +150,7 @@
 	}
 	defer l.Close()
 	for seed := range uint64(40) {
-		w := Watch(l, zap.NewNop(), "127.0.0.1:1", Fleet{Size: 300, Grace: 2000, Seed: seed, Since: 41}, func(bool, []proxy.Host, float64) {})
+		w := Watch(l, zap.NewNop(), "127.0.0.1:1", Config{GatewayCount: 300, DrainGraceMs: 2000, Seed: seed, Revision: 41}, func(bool, []proxy.Host, float64) {})
 		body := `{"revision":42,"complete":true,"members":[]}`
 		if err := w.take(&answer{status: 200, body: []byte(body)}); err != nil {
 			t.Fatal(err)
@@ -175,8 +175,8 @@
 	defer l.Close()
 	perTenth := map[int]int{}
 	for seed := range uint64(80) {
-		w := Watch(l, zap.NewNop(), "127.0.0.1:1", Fleet{Size: 80, Grace: 2000, Seed: seed, Since: 0}, nil)
-		if w.conn != nil || w.Waits(0) != (w.firstAt > now) {
+		w := Watch(l, zap.NewNop(), "127.0.0.1:1", Config{GatewayCount: 80, DrainGraceMs: 2000, Seed: seed, Revision: 0}, nil)
+		if w.conn != nil || w.FirstCallLaterThan(0) != (w.firstAt > now) {
 			t.Fatal("one has asked already")
 		}
 		perTenth[int(w.firstAt-now)/100]++
@@ -187,7 +187,7 @@
 			t.Errorf("%d of 80 in tenth of a second %d", n, s)
 		}
 	}
-	w := Watch(l, zap.NewNop(), "127.0.0.1:1", Fleet{Size: 80, Grace: 2000, Since: None}, func(bool, []proxy.Host, float64) {})
+	w := Watch(l, zap.NewNop(), "127.0.0.1:1", Config{GatewayCount: 80, DrainGraceMs: 2000, Revision: NoRevision}, func(bool, []proxy.Host, float64) {})
 	if w.conn == nil {
 		t.Error("one that knows no list waits")
 	}
@@ -195,9 +195,9 @@
 	if at, _ := l.Next(); at != now+4000 {
 		t.Errorf("a first call is given up after %.0f ms", at-now)
 	}
-	w.Move("127.0.0.1:2")
-	if at, _ := l.Next(); w.Addr() != "127.0.0.1:1" || at > now+1000 {
-		t.Errorf("the old address is left at once for %s, or only after %.0f ms", w.Addr(), at-now)
+	w.SetAddress("127.0.0.1:2")
+	if at, _ := l.Next(); w.Address() != "127.0.0.1:1" || at > now+1000 {
+		t.Errorf("the old address is left at once for %s, or only after %.0f ms", w.Address(), at-now)
 	}
 }
 
--- a/internal/protocol/discovery/silence_test.go
+++ b/internal/protocol/discovery/silence_test.go
@@ -131,7 +131,7 @@
 							return
 						}
 						c := &agentConn{a: a, conn: conn}
-						conn.SetOwner(c)
+						conn.SetHandler(c)
 						a.conns[c] = true
 					}
 					ln, err := l.Listen("127.0.0.1:0", accept, func(err error) { t.Error(err) })
@@ -148,9 +148,9 @@
 					if when == "first" {
 						fail()
 					}
-					w := Watch(l, zap.NewNop(), ln.Addr(), Fleet{Size: 300, Grace: grace, Seed: 7, Pushed: pushed, Since: 4},
+					w := Watch(l, zap.NewNop(), ln.Addr(), Config{GatewayCount: 300, DrainGraceMs: grace, Seed: 7, Pushed: pushed, Revision: 4},
 						func(_ bool, hosts []proxy.Host, told float64) {
-							if hosts[0].State == routing.Draining && heard == 0 {
+							if hosts[0].State == routing.StateDraining && heard == 0 {
 								heard, toldAt = now, told
 							}
 						})
@@ -166,7 +166,7 @@
 						switch {
 						case failsAt == 0 && len(a.calls) >= 2:
 							if when == "moved" {
-								w.Move(ln.Addr())
+								w.SetAddress(ln.Addr())
 							}
 							fail()
 							if when == "watch" { // the watch that is out meets it
@@ -178,7 +178,7 @@
 						case heard > 0 && now > heard+1000 || rounds > 20_000:
 							l.Stop()
 						}
-						l.Soon(func() {})
+						l.NextRound(func() {})
 					})
 					if err != nil {
 						t.Fatal(err)
--- a/internal/protocol/health/health.go
+++ b/internal/protocol/health/health.go
@@ -62,7 +62,7 @@
 			return
 		}
 		c := &check{conn: conn, open: &open}
-		conn.SetOwner(c)
+		conn.SetHandler(c)
 		if open++; open > mostChecks {
 			c.leave()
 			return
--- a/internal/protocol/httpd/httpd.go
+++ b/internal/protocol/httpd/httpd.go
@@ -55,7 +55,7 @@
 		return
 	}
 	c := &call{server: s, conn: conn}
-	conn.SetOwner(c)
+	conn.SetHandler(c)
 	if len(s.calls) >= mostCalls {
 		s.calls[0].leave()
 	}
--- a/internal/protocol/pg/client.go
+++ b/internal/protocol/pg/client.go
@@ -35,25 +35,25 @@
 
 // A Session is the part of a front that belongs to one client.
 type Session interface {
-	// Message takes one message. While it is being worked on Busy must be true.
-	Message(kind byte, body []byte)
+	// HandleMessage takes one message. While it is being worked on Busy must be true.
+	HandleMessage(kind byte, body []byte)
 	// Busy tells that something is in hand, whose answer is owed.
 	Busy() bool
-	// Takes tells whether a message of a type can be taken now; else it waits until Resume.
-	Takes(kind byte) bool
-	// Midway tells that the client is in the middle of a pipeline: its connection is not idle yet.
-	Midway() bool
-	// Gone tells that the client has left; nothing can be sent any more.
-	Gone()
+	// Accepts tells whether a message of a type can be taken now; else it waits until Resume.
+	Accepts(kind byte) bool
+	// InPipeline tells that the client is in the middle of a pipeline: its connection is not idle yet.
+	InPipeline() bool
+	// ClientGone tells that the client has left; nothing can be sent any more.
+	ClientGone()
 }
 
-// Clients are the clients of one listener.
-type Clients struct {
-	Loop *eventloop.Loop
-	Most int
-	Open func(*Client) Session
-	// IdleMs is how long a connection may have nothing in hand; 0: until its place is needed.
-	IdleMs float64
+// ClientPool are the clients of one listener.
+type ClientPool struct {
+	Loop       *eventloop.Loop
+	MaxClients int
+	NewSession func(*Client) Session
+	// IdleTimeoutMs is how long a connection may have nothing in hand; 0: until its place is needed.
+	IdleTimeoutMs float64
 
 	all      map[*Client]struct{}
 	ending   int // connections among them that hear their last words
@@ -65,7 +65,7 @@
 	User, Database string // of the startup message
 	key            uint64 // with which another connection may call off what this one has in hand
 
-	set      *Clients
+	set      *ClientPool
 	conn     *eventloop.Conn
 	session  Session          // nil until it has said who it is
 	timer    *eventloop.Timer // while it is ending
@@ -82,7 +82,7 @@
 }
 
 // Accept takes over a descriptor of the listener.
-func (s *Clients) Accept(fd int) {
+func (s *ClientPool) Accept(fd int) {
 	if s.all == nil {
 		s.all = map[*Client]struct{}{}
 		s.sweep()
@@ -92,9 +92,9 @@
 		return // the client sees a closed connection
 	}
 	c := &Client{set: s, conn: conn, lastUsed: s.Loop.Clock.Now(), owes: s.Loop.Clock.Now()}
-	conn.SetOwner(c)
+	conn.SetHandler(c)
 	here := len(s.all) - s.ending
-	room := here < s.Most*crowdedShare/100 || s.closeIdle(restMs) || here < s.Most || s.CloseIdle()
+	room := here < s.MaxClients*crowdedShare/100 || s.closeIdle(restMs) || here < s.MaxClients || s.CloseIdle()
 	s.all[c] = struct{}{}
 	if !room {
 		c.Fatal(StateTooManyConnections, "too many connections")
@@ -102,16 +102,16 @@
 }
 
 // Count is how many connections there are.
-func (s *Clients) Count() int { return len(s.all) }
+func (s *ClientPool) Count() int { return len(s.all) }
 
 // CloseIdle makes room: by the connection that has owed a message, or the rest of one, longest, else by the one that has
 // been idle longest. It tells whether there was one. Guards usual clients against others that connect by the hundreds
 // and say nothing, stop midway, or ask once and stay. One that has only just come is not closed: its request is on the
 // way.
-func (s *Clients) CloseIdle() bool { return s.closeIdle(0) }
+func (s *ClientPool) CloseIdle() bool { return s.closeIdle(0) }
 
 // closeIdle spares connections that have been idle for less than some time.
-func (s *Clients) closeIdle(ms float64) bool {
+func (s *ClientPool) closeIdle(ms float64) bool {
 	var oldest *Client
 	now := s.Loop.Clock.Now()
 	for c := range s.all {
@@ -136,13 +136,13 @@
 // to: once some of it is read it counts as taken, and would be lost.
 func (c *Client) woke() bool {
 	before, greeted := len(c.conn.In()), c.session != nil
-	c.conn.Poll()
+	c.conn.ReadNow()
 	return len(c.conn.In()) > before || c.session != nil && (c.session.Busy() || !greeted)
 }
 
 // sweep ends connections that hold a place for nothing: clients that say nothing, stop in the middle of a message or
 // don't read what they are sent, and those that have asked what they wanted and stay.
-func (s *Clients) sweep() {
+func (s *ClientPool) sweep() {
 	now := s.Loop.Clock.Now()
 	for c := range s.all {
 		if c.ending || c.session != nil && c.session.Busy() {
@@ -151,7 +151,7 @@
 		// By what the client has taken: the system may hold megabytes for it, and take no more meanwhile.
 		untaken := 0
 		if c.conn.Pending() > 0 {
-			untaken = c.conn.Untaken()
+			untaken = c.conn.Unacknowledged()
 		}
 		if untaken < c.unread {
 			c.lastUsed = now
@@ -160,7 +160,7 @@
 		quiet := now - c.lastUsed
 		switch {
 		case c.idle():
-			if s.IdleMs > 0 && quiet >= s.IdleMs {
+			if s.IdleTimeoutMs > 0 && quiet >= s.IdleTimeoutMs {
 				if !c.woke() {
 					c.leave()
 				}
@@ -169,14 +169,14 @@
 			if quiet >= patienceMs {
 				c.leave()
 			}
-		case c.owes > 0 && now >= c.owes+patienceMs && !c.woke() && c.conn.Open():
+		case c.owes > 0 && now >= c.owes+patienceMs && !c.woke() && c.conn.IsOpen():
 			c.Fatal(StateProtocol, "no whole message came in time")
 		}
 	}
 	s.Loop.After(sweepMs, s.sweep)
 }
 
-func (s *Clients) cancel(key uint64) {
+func (s *ClientPool) cancel(key uint64) {
 	for c := range s.all {
 		if c.session != nil && c.key == key && c.session.Busy() {
 			if x, ok := c.session.(Canceler); ok {
@@ -188,18 +188,18 @@
 }
 
 // Drain closes what is idle, and everything else as soon as it is.
-func (s *Clients) Drain() {
+func (s *ClientPool) Drain() {
 	s.draining = true
 	for c := range s.all {
 		c.work()
 	}
 }
 
-// Stay ends a drain: connections are kept again.
-func (s *Clients) Stay() { s.draining = false }
+// StopDraining ends a drain: connections are kept again.
+func (s *ClientPool) StopDraining() { s.draining = false }
 
 func (c *Client) idle() bool {
-	return c.session != nil && c.owes == 0 && !c.session.Busy() && !c.session.Midway() && !c.ending && len(c.conn.In()) == 0 && c.conn.Pending() == 0
+	return c.session != nil && c.owes == 0 && !c.session.Busy() && !c.session.InPipeline() && !c.ending && len(c.conn.In()) == 0 && c.conn.Pending() == 0
 }
 
 // Draining tells whether the client's connection is to end soon.
@@ -215,7 +215,7 @@
 
 // Fatal says why the connection ends, and ends it.
 func (c *Client) Fatal(sqlstate, text string) {
-	c.Send(Failure{Fatal: true, State: sqlstate, Text: text}.Append(nil))
+	c.Send(ErrorResponse{Fatal: true, State: sqlstate, Text: text}.Append(nil))
 	c.finish()
 }
 
@@ -247,7 +247,7 @@
 	c.knocking.Stop()
 	c.conn.Close()
 	if c.session != nil {
-		c.session.Gone()
+		c.session.ClientGone()
 	}
 }
 
@@ -278,7 +278,7 @@
 		c.conn.SetSendBuffer(streamSystem)
 	}
 	room := streamRoom
-	if c.set.Loop.Crowded() { // many at a time: what all of them hold together is bounded
+	if c.set.Loop.BuffersHalfFull() { // many at a time: what all of them hold together is bounded
 		room = streamLeast
 	}
 	taken := 0
@@ -294,8 +294,8 @@
 	return taken
 }
 
-// Break ends the connection in the middle of an answer that will never be whole.
-func (c *Client) Break() { c.leave() }
+// Abort ends the connection in the middle of an answer that will never be whole.
+func (c *Client) Abort() { c.leave() }
 
 // Ended tells a client that has left from one that only sends no more: the latter still gets its answers.
 func (c *Client) Ended(err error) {
@@ -318,7 +318,7 @@
 }
 
 func (c *Client) unheard() bool {
-	return c.conn.Open() && !c.ending && c.session != nil && c.session.Busy() && (c.half || len(c.conn.In()) >= inputMost)
+	return c.conn.IsOpen() && !c.ending && c.session != nil && c.session.Busy() && (c.half || len(c.conn.In()) >= inputMost)
 }
 
 // knock sends what tells nothing new: by the protocol a parameter may come at any time, so whoever still reads passes it
@@ -329,7 +329,7 @@
 		return
 	}
 	if !c.partway && c.conn.Pending() == 0 {
-		c.Send(Texts(nil, MsgParameterStatus, "client_encoding", "UTF8"))
+		c.Send(AppendStrings(nil, MsgParameterStatus, "client_encoding", "UTF8"))
 	}
 	c.knocking = c.set.Loop.After(knockMs, c.knock)
 }
@@ -363,14 +363,14 @@
 		if len(c.conn.In()) > 0 && c.owes == 0 {
 			c.owes = c.set.Loop.Clock.Now()
 		}
-		if c.ending || !c.conn.Open() || c.session != nil && c.session.Busy() || c.conn.Pending() > 0 {
+		if c.ending || !c.conn.IsOpen() || c.session != nil && c.session.Busy() || c.conn.Pending() > 0 {
 			return
 		}
 		if c.half { // a message that is not whole will never be
 			c.finish()
 			return
 		}
-		if !c.set.draining || c.session == nil || c.session.Midway() {
+		if !c.set.draining || c.session == nil || c.session.InPipeline() {
 			return
 		}
 		if now := c.set.Loop.Clock.Now(); !c.asked && now < c.lastUsed+firstMs { // its first request is on the way
@@ -378,7 +378,7 @@
 			return
 		}
 		before := len(c.conn.In())
-		c.conn.Poll() // a request that came just now was accepted, and is served
+		c.conn.ReadNow() // a request that came just now was accepted, and is served
 		if len(c.conn.In()) == before {
 			if before == 0 { // at once: a request that crosses this is not read, so the client may send it again
 				c.leave()
@@ -390,17 +390,17 @@
 
 // step works on one message; false when there is none, or the session is busy.
 func (c *Client) step() bool {
-	if c.ending || !c.conn.Open() || c.conn.Pending() > pendingMax {
+	if c.ending || !c.conn.IsOpen() || c.conn.Pending() > pendingMax {
 		return false
 	}
 	if c.session == nil {
 		return c.startup()
 	}
 	in := c.conn.In()
-	if len(in) == 0 || !c.session.Takes(in[0]) {
+	if len(in) == 0 || !c.session.Accepts(in[0]) {
 		return false
 	}
-	kind, body, size, err := Next(in, MaxMessage)
+	kind, body, size, err := SplitMessage(in, MaxMessage)
 	switch {
 	case err != nil && c.session.Busy(): // what is in hand is answered first
 		return false
@@ -417,8 +417,8 @@
 		return false
 	}
 	c.lastUsed, c.owes, c.asked = c.set.Loop.Clock.Now(), 0, true
-	c.session.Message(kind, body)
-	if c.conn.Open() {
+	c.session.HandleMessage(kind, body)
+	if c.conn.IsOpen() {
 		c.conn.Consume(size)
 	}
 	return true
@@ -460,18 +460,18 @@
 		return false
 	}
 	c.conn.Consume(int(n))
-	c.session = c.set.Open(c) // which may end the connection: then no greeting goes out
+	c.session = c.set.NewSession(c) // which may end the connection: then no greeting goes out
 	c.Send(buf)
 	return !c.ending
 }
 
 // greet reads the parameters of a startup message and answers them.
 func (c *Client) greet(body []byte, code uint32) ([]byte, error) {
-	f := Read(body)
+	f := NewFieldReader(body)
 	var unknown []string
 	for {
 		name := f.Text()
-		if f.Bad {
+		if f.Malformed {
 			return nil, ErrMalformed
 		}
 		if name == "" {
@@ -496,23 +496,23 @@
 	var buf []byte
 	if code&0xffff > 0 || len(unknown) > 0 { // 3.0 is the newest minor version spoken here
 		var m int
-		buf, m = Begin(buf, MsgNegotiate)
+		buf, m = BeginMessage(buf, MsgNegotiate)
 		buf = binary.BigEndian.AppendUint32(buf, 0)
 		buf = binary.BigEndian.AppendUint32(buf, uint32(len(unknown)))
 		for _, name := range unknown {
 			buf = append(append(buf, name...), 0)
 		}
-		buf = End(buf, m)
+		buf = EndMessage(buf, m)
 	}
-	buf = Message(buf, MsgAuthentication, 0, 0, 0, 0)
+	buf = AppendMessage(buf, MsgAuthentication, 0, 0, 0, 0)
 	for _, p := range [...][2]string{
 		{"server_version", serverName}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"session_authorization", c.User}, {"is_superuser", "off"},
 		{"in_hot_standby", "off"}, {"default_transaction_read_only", "off"}, // reads and writes are both taken here
 		{"DateStyle", "ISO, MDY"}, {"integer_datetimes", "on"}, {"standard_conforming_strings", "on"},
 	} {
-		buf = Texts(buf, MsgParameterStatus, p[0], p[1])
+		buf = AppendStrings(buf, MsgParameterStatus, p[0], p[1])
 	}
 	c.key = rand.Uint64()
-	return Ready(Message(buf, MsgBackendKeyData, binary.BigEndian.AppendUint64(nil, c.key)...)), nil
+	return AppendReadyForQuery(AppendMessage(buf, MsgBackendKeyData, binary.BigEndian.AppendUint64(nil, c.key)...)), nil
 }
--- a/internal/protocol/pg/host.go
+++ b/internal/protocol/pg/host.go
@@ -34,56 +34,56 @@
 type Command interface {
 	// AppendTo appends the messages; leftMs is how long the gateway will wait for the answer.
 	AppendTo(buf []byte, leftMs float64) []byte
-	// Relays tells whether the client gets a message of the host's answer, by its type.
-	Relays(kind byte) bool
-	// Whole tells whether all that is relayed makes one whole answer to this command.
-	Whole(answer []byte) bool
+	// Forwards tells whether the client gets a message of the host's answer, by its type.
+	Forwards(kind byte) bool
+	// IsComplete tells whether all that is relayed makes one whole answer to this command.
+	IsComplete(answer []byte) bool
 }
 
-// Hosts dials database hosts.
-type Hosts struct {
+// HostDialer dials database hosts.
+type HostDialer struct {
 	Loop           *eventloop.Loop
 	User, Database string
 	// The names of the parameters that tell role and position, and the values of the role.
-	Role, Primary, Replica, Position string
+	RoleParameter, PrimaryValue, ReplicaValue, PositionParameter string
 	// The role is told at the greeting and whenever it changes, as PostgreSQL does with in_hot_standby; else
 	// it comes with each answer.
-	Sticky bool
+	RoleOnChange bool
 }
 
-// NewHosts returns a dialer with the parameter names of the platform.
-func NewHosts(l *eventloop.Loop) *Hosts {
-	return &Hosts{
+// NewHostDialer returns a dialer with the parameter names of the platform.
+func NewHostDialer(l *eventloop.Loop) *HostDialer {
+	return &HostDialer{
 		Loop: l, User: "svc", Database: "main",
-		Role: "node_role", Primary: "leader", Replica: "follower", Position: "replay_position",
+		RoleParameter: "node_role", PrimaryValue: "leader", ReplicaValue: "follower", PositionParameter: "replay_position",
 	}
 }
 
 // Dial starts a connection to a host.
-func (h *Hosts) Dial(addr string, o proxy.ConnOwner) (proxy.Conn, error) {
+func (h *HostDialer) Dial(addr string, o proxy.UpstreamHandler) (proxy.UpstreamConn, error) {
 	c := &hostConn{hosts: h, owner: o}
 	var err error
 	if c.conn, err = h.Loop.Dial(addr, maxAnswer, c); err != nil {
 		return nil, err
 	}
-	buf, m := Begin(nil, 0)
+	buf, m := BeginMessage(nil, 0)
 	buf = append(buf, 0, 3, 0, 0)
 	for _, s := range []string{"user", h.User, "database", h.Database, ""} {
 		buf = append(append(buf, s...), 0)
 	}
-	c.conn.Write(End(buf, m))
+	c.conn.Write(EndMessage(buf, m))
 	return c, nil
 }
 
 // hostConn is one connection to a database host, with one command on it at a time.
 type hostConn struct {
-	hosts   *Hosts
-	owner   proxy.ConnOwner
+	hosts   *HostDialer
+	owner   proxy.UpstreamHandler
 	conn    *eventloop.Conn
 	up      bool // the greeting is over
 	busy    Command
 	written bool
-	answer  proxy.Answer
+	answer  proxy.Response
 	failed  string       // SQLSTATE of the answer's first error
 	role    routing.Role // as last told, where that holds until it changes
 	stream  bool         // a large row is, or was, passed on as it comes
@@ -93,25 +93,25 @@
 	ended   bool         // the host sends no more; what it has sent is still passed on
 }
 
-// A Streamed command can have a large row passed on before its answer is whole.
-type Streamed interface {
-	// Opens tells whether an answer that begins so, or goes on so after such a row, may go on with one of so many columns.
-	Opens(answer []byte, columns int) bool
-	// Ends tells whether what follows the last such row makes the answer whole.
-	Ends(answer []byte) bool
+// A StreamingCommand command can have a large row passed on before its answer is whole.
+type StreamingCommand interface {
+	// CanStream tells whether an answer that begins so, or goes on so after such a row, may go on with one of so many columns.
+	CanStream(answer []byte, columns int) bool
+	// IsStreamComplete tells whether what follows the last such row makes the answer whole.
+	IsStreamComplete(answer []byte) bool
 }
 
 func (c *hostConn) Send(cmd any, leftMs float64) {
-	c.busy, c.written, c.failed, c.answer, c.stream = cmd.(Command), false, "", proxy.Answer{}, false
+	c.busy, c.written, c.failed, c.answer, c.stream = cmd.(Command), false, "", proxy.Response{}, false
 	c.conn.Write(c.busy.AppendTo(nil, leftMs))
 	c.note()
 }
 
 // note tells the owner once the system has taken the last byte: from then on the command may run.
 func (c *hostConn) note() {
-	if c.busy != nil && !c.written && c.conn.Pending() == 0 && c.conn.Open() {
+	if c.busy != nil && !c.written && c.conn.Pending() == 0 && c.conn.IsOpen() {
 		c.written = true
-		c.owner.Written()
+		c.owner.RequestWritten()
 	}
 }
 
@@ -128,18 +128,18 @@
 	if err == nil || err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
-	c.owner.Down(err)
+	c.owner.ConnectionClosed(err)
 }
 
 func (c *hostConn) Data() {
 	c.messages()
-	if c.ended && c.conn.Open() && len(c.conn.In()) == 0 {
+	if c.ended && c.conn.IsOpen() && len(c.conn.In()) == 0 {
 		c.Ended(io.ErrUnexpectedEOF)
 	}
 }
 
 func (c *hostConn) messages() {
-	for c.conn.Open() && (len(c.conn.In()) > 0 || len(c.ahead) > 0) {
+	for c.conn.IsOpen() && (len(c.conn.In()) > 0 || len(c.ahead) > 0) {
 		if len(c.ahead)+c.left > 0 {
 			if !c.pass() {
 				return
@@ -160,7 +160,7 @@
 			c.Ended(errSpoilt)
 			return
 		}
-		kind, body, size, err := Next(c.conn.In(), most)
+		kind, body, size, err := SplitMessage(c.conn.In(), most)
 		if err != nil {
 			c.Ended(err)
 			return
@@ -190,18 +190,18 @@
 		return false, nil
 	}
 	n := int(binary.BigEndian.Uint32(in[1:]))
-	s, ok := c.busy.(Streamed)
+	s, ok := c.busy.(StreamingCommand)
 	if n <= streamAbove || n > maxStreamed || !ok {
 		return false, nil
 	}
 	if len(in) < rowHead {
 		return true, nil
 	}
-	columns := Read(in[headerSize:rowHead]).Int16()
+	columns := NewFieldReader(in[headerSize:rowHead]).Int16()
 	switch {
-	case !s.Opens(c.answer.Body, columns):
+	case !s.CanStream(c.answer.Body, columns):
 		return false, errSpoilt
-	case !c.stream && !c.owner.Begin(c.Data):
+	case !c.stream && !c.owner.BeginStream(c.Data):
 		return false, nil
 	}
 	c.stream, c.row, c.left = true, rowCheck{columns: columns, skip: rowHead}, n+1
@@ -249,13 +249,13 @@
 // pass passes on what its client takes; false where there is no more, or the client takes no more now.
 func (c *hostConn) pass() bool {
 	if len(c.ahead) > 0 {
-		c.ahead = c.ahead[c.owner.Part(c.ahead):]
+		c.ahead = c.ahead[c.owner.StreamPart(c.ahead):]
 		return len(c.ahead) == 0
 	}
 	part := c.conn.In()
 	part = part[:min(len(part), c.left)]
-	n := c.owner.Part(part)
-	if !c.conn.Open() { // the client has gone
+	n := c.owner.StreamPart(part)
+	if !c.conn.IsOpen() { // the client has gone
 		return false
 	}
 	c.row.take(part[:n])
@@ -289,21 +289,21 @@
 		}
 		return true, nil
 	case MsgParameterStatus:
-		f := Read(body)
+		f := NewFieldReader(body)
 		name, value := f.Text(), f.Text()
 		switch name {
-		case c.hosts.Role:
+		case c.hosts.RoleParameter:
 			role := map[string]routing.Role{
-				c.hosts.Primary: routing.RolePrimary, c.hosts.Replica: routing.RoleReplica}[value]
+				c.hosts.PrimaryValue: routing.RolePrimary, c.hosts.ReplicaValue: routing.RoleReplica}[value]
 			if role != routing.RoleUnknown { // what can't be read tells nothing
 				c.answer.Role = role
 			}
-			if c.hosts.Sticky {
+			if c.hosts.RoleOnChange {
 				c.role = role
 			}
-		case c.hosts.Position:
+		case c.hosts.PositionParameter:
 			if v, err := strconv.ParseFloat(value, 64); err == nil {
-				c.answer.Position = v
+				c.answer.PositionMs = v
 			}
 		}
 		return false, nil
@@ -312,7 +312,7 @@
 	case MsgError:
 		s := stateOf(body)
 		if c.busy == nil { // the greeting, or a farewell
-			return false, Failure{State: s, Text: "the host takes no connection"}
+			return false, ErrorResponse{State: s, Text: "the host takes no connection"}
 		}
 		if c.failed == "" {
 			c.failed = s
@@ -322,12 +322,12 @@
 	}
 	switch {
 	case !c.up:
-		if kind == MsgAuthentication && Read(body).Int32() != 0 {
+		if kind == MsgAuthentication && NewFieldReader(body).Int32() != 0 {
 			return false, errors.New("the host wants a password")
 		}
 	case c.busy == nil:
 		return false, errUnasked
-	case c.busy.Relays(kind):
+	case c.busy.Forwards(kind):
 		if len(c.answer.Body)+len(raw) > maxAnswer {
 			return false, ErrTooLarge
 		}
@@ -344,28 +344,28 @@
 	more := len(c.conn.In()) > 0
 	if !c.up {
 		c.up = !more
-		c.answer = proxy.Answer{}
+		c.answer = proxy.Response{}
 		if c.up {
-			c.owner.Up()
+			c.owner.Established()
 		}
 		return c.up
 	}
 	a := c.answer
 	if c.stream {
-		if c.failed != "" || !c.busy.(Streamed).Ends(a.Body) {
+		if c.failed != "" || !c.busy.(StreamingCommand).IsStreamComplete(a.Body) {
 			return false
 		}
-	} else if c.failed == "" && !c.busy.Whole(a.Body) {
+	} else if c.failed == "" && !c.busy.IsComplete(a.Body) {
 		return false
 	}
-	a.Last = more || c.ended
+	a.ConnectionEnds = more || c.ended
 	a.Outcome = outcomeOf(c.failed)
-	a.Final = final(c.failed)
+	a.StatementError = final(c.failed)
 	if a.Role == routing.RoleUnknown {
 		a.Role = c.role
 	}
-	c.busy, c.answer = nil, proxy.Answer{}
-	c.owner.Answered(a)
+	c.busy, c.answer = nil, proxy.Response{}
+	c.owner.ResponseReceived(a)
 	return true
 }
 
@@ -373,13 +373,13 @@
 func outcomeOf(sqlstate string) routing.Outcome {
 	switch sqlstate {
 	case "":
-		return routing.OK
+		return routing.OutcomeOK
 	case stateReadOnly, stateTooOld:
-		return routing.Miss
+		return routing.OutcomeMisdirected
 	case StateTooManyConnections, StateCannotConnectNow:
-		return routing.Full
+		return routing.OutcomeRejected
 	}
-	return routing.Error
+	return routing.OutcomeError
 }
 
 // final tells whether an error is the statement's own: any host would give it, and the client is to see it.
@@ -395,41 +395,43 @@
 	return false
 }
 
-// Probe asks a host for its report.
-type Probe struct{}
+// LoadReportQuery asks a host for its report.
+type LoadReportQuery struct{}
 
 // AppendTo appends the query.
-func (Probe) AppendTo(buf []byte, _ float64) []byte { return Texts(buf, MsgQuery, "SHOW server_load") }
+func (LoadReportQuery) AppendTo(buf []byte, _ float64) []byte {
+	return AppendStrings(buf, MsgQuery, "SHOW server_load")
+}
 
-// Relays keeps the answer for ReadReport.
-func (Probe) Relays(kind byte) bool {
+// Forwards keeps the answer for ReadReport.
+func (LoadReportQuery) Forwards(kind byte) bool {
 	return kind == MsgRowDescription || kind == MsgDataRow || kind == MsgComplete
 }
 
-// Whole asks for one row.
-func (Probe) Whole(answer []byte) bool { return Shape(answer) == "TDC" }
+// IsComplete asks for one row.
+func (LoadReportQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "TDC" }
 
-// Greeting probes a host that makes no reports: its answer to the empty query tells that it lives, and its role
+// EmptyQuery probes a host that makes no reports: its answer to the empty query tells that it lives, and its role
 // is what it told at the greeting or since.
-type Greeting struct{}
+type EmptyQuery struct{}
 
 // AppendTo appends the empty query.
-func (Greeting) AppendTo(buf []byte, _ float64) []byte { return Texts(buf, MsgQuery, "") }
+func (EmptyQuery) AppendTo(buf []byte, _ float64) []byte { return AppendStrings(buf, MsgQuery, "") }
 
-// Relays keeps the answer.
-func (Greeting) Relays(kind byte) bool { return kind == MsgEmptyQuery }
+// Forwards keeps the answer.
+func (EmptyQuery) Forwards(kind byte) bool { return kind == MsgEmptyQuery }
 
-// Whole asks for the one message there is.
-func (Greeting) Whole(answer []byte) bool { return Shape(answer) == "I" }
+// IsComplete asks for the one message there is.
+func (EmptyQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "I" }
 
-// ReadReport reads the row that answers a Probe: the position in seconds since 1970 becomes milliseconds.
-func ReadReport(answer []byte) (role routing.Role, position float64, ok bool) {
-	if !(Probe{}).Whole(answer) {
+// ParseLoadReport reads the row that answers a Probe: the position in seconds since 1970 becomes milliseconds.
+func ParseLoadReport(answer []byte) (role routing.Role, position float64, ok bool) {
+	if !(LoadReportQuery{}).IsComplete(answer) {
 		return 0, 0, false
 	}
-	_, _, size, _ := Next(answer, maxAnswer)
-	_, body, _, _ := Next(answer[size:], maxAnswer)
-	f := Read(body)
+	_, _, size, _ := SplitMessage(answer, maxAnswer)
+	_, body, _, _ := SplitMessage(answer[size:], maxAnswer)
+	f := NewFieldReader(body)
 	if f.Int16() != 1 {
 		return 0, 0, false
 	}
@@ -449,5 +451,5 @@
 			}
 		}
 	}
-	return role, position, ok && !f.Bad
+	return role, position, ok && !f.Malformed
 }
--- a/internal/protocol/pg/message.go
+++ b/internal/protocol/pg/message.go
@@ -78,8 +78,8 @@
 // ErrTooLarge says that a message is longer than is taken here.
 var ErrTooLarge = errors.New("message too large")
 
-// Next splits the first message off buf: its type, its body and its whole size, 0 while it is not all there.
-func Next(buf []byte, most int) (kind byte, body []byte, size int, err error) {
+// SplitMessage splits the first message off buf: its type, its body and its whole size, 0 while it is not all there.
+func SplitMessage(buf []byte, most int) (kind byte, body []byte, size int, err error) {
 	if len(buf) < headerSize {
 		return 0, nil, 0, nil
 	}
@@ -95,19 +95,19 @@
 	return buf[0], buf[headerSize : n+1], int(n) + 1, nil
 }
 
-// Fields reads the parts of a body in order. After one that is not there, Bad is true.
-type Fields struct {
-	rest []byte
-	Bad  bool
+// FieldReader reads the parts of a body in order. After one that is not there, Bad is true.
+type FieldReader struct {
+	rest      []byte
+	Malformed bool
 }
 
-// Read starts at the front of a body.
-func Read(body []byte) *Fields { return &Fields{rest: body} }
+// NewFieldReader starts at the front of a body.
+func NewFieldReader(body []byte) *FieldReader { return &FieldReader{rest: body} }
 
 // Bytes takes the next n bytes.
-func (f *Fields) Bytes(n int) []byte {
+func (f *FieldReader) Bytes(n int) []byte {
 	if n < 0 || n > len(f.rest) {
-		f.Bad, f.rest = true, nil
+		f.Malformed, f.rest = true, nil
 		return nil
 	}
 	b := f.rest[:n:n]
@@ -116,7 +116,7 @@
 }
 
 // Byte takes one byte.
-func (f *Fields) Byte() byte {
+func (f *FieldReader) Byte() byte {
 	if b := f.Bytes(1); b != nil {
 		return b[0]
 	}
@@ -124,7 +124,7 @@
 }
 
 // Int16 takes a count, of which there are no negative ones.
-func (f *Fields) Int16() int {
+func (f *FieldReader) Int16() int {
 	if b := f.Bytes(2); b != nil {
 		return int(binary.BigEndian.Uint16(b))
 	}
@@ -132,7 +132,7 @@
 }
 
 // Int32 takes a signed number.
-func (f *Fields) Int32() int {
+func (f *FieldReader) Int32() int {
 	if b := f.Bytes(4); b != nil {
 		return int(int32(binary.BigEndian.Uint32(b)))
 	}
@@ -140,10 +140,10 @@
 }
 
 // Text takes a text that ends with a zero byte.
-func (f *Fields) Text() string {
+func (f *FieldReader) Text() string {
 	i := bytes.IndexByte(f.rest, 0)
 	if i < 0 {
-		f.Bad, f.rest = true, nil
+		f.Malformed, f.rest = true, nil
 		return ""
 	}
 	s := string(f.rest[:i])
@@ -152,7 +152,7 @@
 }
 
 // Value takes a length and so many bytes; nil is NULL.
-func (f *Fields) Value() []byte {
+func (f *FieldReader) Value() []byte {
 	n := f.Int32()
 	if n == -1 {
 		return nil
@@ -164,7 +164,7 @@
 }
 
 // End tells whether the body was well formed and has been read to its end.
-func (f *Fields) End() bool { return !f.Bad && len(f.rest) == 0 }
+func (f *FieldReader) End() bool { return !f.Malformed && len(f.rest) == 0 }
 
 // longest is how long a message from a host may be, by its type; 0: no host sends it to a gateway. It lets a length
 // be judged as soon as the header is there: what claims to be 3 GB is never waited for.
@@ -183,7 +183,7 @@
 
 // wellFormed tells whether the body of a host's message is what its type promises.
 func wellFormed(kind byte, body []byte) bool {
-	f := Read(body)
+	f := NewFieldReader(body)
 	switch kind {
 	case MsgReady:
 		return len(body) == 1 && bytes.IndexByte([]byte("ITE"), body[0]) >= 0
@@ -217,11 +217,11 @@
 	return f.End()
 }
 
-// Shape names the types of the messages in an answer, in order: one row is TDC.
-func Shape(answer []byte) string {
+// MessageTypes names the types of the messages in an answer, in order: one row is TDC.
+func MessageTypes(answer []byte) string {
 	var kinds []byte
 	for len(answer) > 0 {
-		kind, _, size, err := Next(answer, maxAnswer)
+		kind, _, size, err := SplitMessage(answer, maxAnswer)
 		if err != nil || size == 0 {
 			return "?"
 		}
@@ -230,65 +230,65 @@
 	return string(kinds)
 }
 
-// Columns is the number that the first message of an answer, a RowDescription or DataRow, begins with.
-func Columns(answer []byte) int {
-	_, body, _, _ := Next(answer, maxAnswer)
-	return Read(body).Int16()
+// ColumnCount is the number that the first message of an answer, a RowDescription or DataRow, begins with.
+func ColumnCount(answer []byte) int {
+	_, body, _, _ := SplitMessage(answer, maxAnswer)
+	return NewFieldReader(body).Int16()
 }
 
-// Tag is the text that the first message of an answer, a CommandComplete, begins with.
-func Tag(answer []byte) string {
-	_, body, _, _ := Next(answer, maxAnswer)
-	return Read(body).Text()
+// CommandTag is the text that the first message of an answer, a CommandComplete, begins with.
+func CommandTag(answer []byte) string {
+	_, body, _, _ := SplitMessage(answer, maxAnswer)
+	return NewFieldReader(body).Text()
 }
 
-// Begin starts a message; End must follow with the same mark. A type of 0 has no type byte.
-func Begin(buf []byte, kind byte) (out []byte, mark int) {
+// BeginMessage starts a message; End must follow with the same mark. A type of 0 has no type byte.
+func BeginMessage(buf []byte, kind byte) (out []byte, mark int) {
 	if kind != 0 {
 		buf = append(buf, kind)
 	}
 	return append(buf, 0, 0, 0, 0), len(buf)
 }
 
-// End fills in the length of the message begun at mark.
-func End(buf []byte, mark int) []byte {
+// EndMessage fills in the length of the message begun at mark.
+func EndMessage(buf []byte, mark int) []byte {
 	binary.BigEndian.PutUint32(buf[mark:], uint32(len(buf)-mark))
 	return buf
 }
 
-// Message appends a message with a body.
-func Message(buf []byte, kind byte, body ...byte) []byte {
-	buf, m := Begin(buf, kind)
-	return End(append(buf, body...), m)
+// AppendMessage appends a message with a body.
+func AppendMessage(buf []byte, kind byte, body ...byte) []byte {
+	buf, m := BeginMessage(buf, kind)
+	return EndMessage(append(buf, body...), m)
 }
 
-// Texts appends a message of zero-terminated texts.
-func Texts(buf []byte, kind byte, texts ...string) []byte {
-	buf, m := Begin(buf, kind)
+// AppendStrings appends a message of zero-terminated texts.
+func AppendStrings(buf []byte, kind byte, texts ...string) []byte {
+	buf, m := BeginMessage(buf, kind)
 	for _, s := range texts {
 		buf = append(append(buf, s...), 0)
 	}
-	return End(buf, m)
+	return EndMessage(buf, m)
 }
 
-// Ready appends ReadyForQuery, outside a transaction.
-func Ready(buf []byte) []byte { return Message(buf, MsgReady, 'I') }
+// AppendReadyForQuery appends ReadyForQuery, outside a transaction.
+func AppendReadyForQuery(buf []byte) []byte { return AppendMessage(buf, MsgReady, 'I') }
 
-// Failure is what an ErrorResponse says.
-type Failure struct {
+// ErrorResponse is what an ErrorResponse says.
+type ErrorResponse struct {
 	Fatal               bool
 	State, Text, Detail string
 }
 
-func (f Failure) Error() string { return f.State + ": " + f.Text }
+func (f ErrorResponse) Error() string { return f.State + ": " + f.Text }
 
 // Append appends the ErrorResponse.
-func (f Failure) Append(buf []byte) []byte {
+func (f ErrorResponse) Append(buf []byte) []byte {
 	severity := "ERROR"
 	if f.Fatal {
 		severity = "FATAL"
 	}
-	buf, m := Begin(buf, MsgError)
+	buf, m := BeginMessage(buf, MsgError)
 	for _, p := range [...]struct {
 		field byte
 		text  string
@@ -297,15 +297,15 @@
 			buf = append(append(append(buf, p.field), p.text...), 0)
 		}
 	}
-	return End(append(buf, 0), m)
+	return EndMessage(append(buf, 0), m)
 }
 
 // stateOf reads the SQLSTATE out of the body of an ErrorResponse; "" where there is none.
 func stateOf(body []byte) string {
-	f := Read(body)
+	f := NewFieldReader(body)
 	for {
 		field := f.Byte()
-		if field == 0 || f.Bad {
+		if field == 0 || f.Malformed {
 			return ""
 		}
 		if s := f.Text(); field == 'C' {
@@ -314,16 +314,16 @@
 	}
 }
 
-// Refusal is the answer to a request that may be sent again; afterMs is the hint when, 0 for none.
-func Refusal(afterMs float64) Failure {
-	f := Failure{State: StateTooManyConnections, Text: "refused, nothing was done; trying again is harmless"}
+// RejectionError is the answer to a request that may be sent again; afterMs is the hint when, 0 for none.
+func RejectionError(afterMs float64) ErrorResponse {
+	f := ErrorResponse{State: StateTooManyConnections, Text: "refused, nothing was done; trying again is harmless"}
 	if afterMs > 0 {
 		f.Detail = strconv.Itoa(int(afterMs))
 	}
 	return f
 }
 
-// Lost is the answer to a request of which nothing can be promised.
-func Lost() Failure {
-	return Failure{State: StateUnknownOutcome, Text: "no answer from the database; the statement may have run"}
+// UnknownOutcomeError is the answer to a request of which nothing can be promised.
+func UnknownOutcomeError() ErrorResponse {
+	return ErrorResponse{State: StateUnknownOutcome, Text: "no answer from the database; the statement may have run"}
 }
--- a/internal/protocol/pg/pg_test.go
+++ b/internal/protocol/pg/pg_test.go
@@ -15,9 +15,9 @@
 // The bytes are written out by hand from PostgreSQL's documentation of message formats.
 func TestBytes(t *testing.T) {
 	for want, got := range map[string][]byte{
-		"5a 00000005 49":                     Ready(nil),
-		"43 0000000f 494e534552542030203100": Texts(nil, MsgComplete, "INSERT 0 1"),
-		"45 00000024 534552524f5200 564552524f5200 43353333303000 4d6e6f00 443730303000 00": Failure{
+		"5a 00000005 49":                     AppendReadyForQuery(nil),
+		"43 0000000f 494e534552542030203100": AppendStrings(nil, MsgComplete, "INSERT 0 1"),
+		"45 00000024 534552524f5200 564552524f5200 43353333303000 4d6e6f00 443730303000 00": ErrorResponse{
 			State: StateTooManyConnections, Text: "no", Detail: "7000"}.Append(nil),
 	} {
 		if b, err := hex.DecodeString(string(bytes.ReplaceAll([]byte(want), []byte(" "), nil))); err != nil || !bytes.Equal(b, got) {
@@ -38,16 +38,16 @@
 		{"Q\x00\x00\x00\x03", 0, ErrMalformed},
 		{"Q\xff\xff\xff\xff", 0, ErrTooLarge},
 	} {
-		if _, _, size, err := Next([]byte(c.in), 100); size != c.size || err != c.err {
+		if _, _, size, err := SplitMessage([]byte(c.in), 100); size != c.size || err != c.err {
 			t.Errorf("%q: %d, %v", c.in, size, err)
 		}
 	}
-	for _, read := range []func(*Fields){
-		func(f *Fields) { f.Text() }, func(f *Fields) { f.Bytes(9) }, func(f *Fields) { f.Bytes(-1) },
-		func(f *Fields) { f.Value() }, func(f *Fields) { f.Int32(); f.Byte() },
+	for _, read := range []func(*FieldReader){
+		func(f *FieldReader) { f.Text() }, func(f *FieldReader) { f.Bytes(9) }, func(f *FieldReader) { f.Bytes(-1) },
+		func(f *FieldReader) { f.Value() }, func(f *FieldReader) { f.Int32(); f.Byte() },
 	} {
-		f := Read([]byte{0x7f, 1, 1, 1})
-		if read(f); !f.Bad || f.End() {
+		f := NewFieldReader([]byte{0x7f, 1, 1, 1})
+		if read(f); !f.Malformed || f.End() {
 			t.Error("a read past the end goes unnoticed")
 		}
 	}
@@ -55,8 +55,8 @@
 
 func TestWhatAnAnswerSaysOfTheAttempt(t *testing.T) {
 	for state, want := range map[string]routing.Outcome{
-		"": routing.OK, "25006": routing.Miss, "72000": routing.Miss, "53300": routing.Full, "57P03": routing.Full,
-		"XX000": routing.Error, "57P01": routing.Error, "42601": routing.Error,
+		"": routing.OutcomeOK, "25006": routing.OutcomeMisdirected, "72000": routing.OutcomeMisdirected, "53300": routing.OutcomeRejected, "57P03": routing.OutcomeRejected,
+		"XX000": routing.OutcomeError, "57P01": routing.OutcomeError, "42601": routing.OutcomeError,
 	} {
 		if got := outcomeOf(state); got != want {
 			t.Errorf("%s: %v", state, got)
@@ -89,11 +89,11 @@
 
 type quietSession struct{ busy bool }
 
-func (s *quietSession) Busy() bool           { return s.busy }
-func (s *quietSession) Takes(byte) bool      { return !s.busy }
-func (s *quietSession) Message(byte, []byte) { s.busy = true }
-func (s *quietSession) Midway() bool         { return false }
-func (s *quietSession) Gone()                {}
+func (s *quietSession) Busy() bool                 { return s.busy }
+func (s *quietSession) Accepts(byte) bool          { return !s.busy }
+func (s *quietSession) HandleMessage(byte, []byte) { s.busy = true }
+func (s *quietSession) InPipeline() bool           { return false }
+func (s *quietSession) ClientGone()                {}
 
 // On the bench clients that asked once and stayed held all places, and each new client was closed for the next one
 // before its first request had come.
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := &Clients{Loop: l, Most: 2}
+	s := &ClientPool{Loop: l, MaxClients: 2}
 	ends := map[*Client]int{}
 	accept := func() *Client {
 		fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -136,7 +136,7 @@
 	if fourth := accept(); here(first) || !here(fourth) {
 		t.Error("one that says nothing did not make room")
 	}
-	s.Most = 100 // well below it idle ones go already: the clients' own side holds a bounded number too
+	s.MaxClients = 100 // well below it idle ones go already: the clients' own side holds a bounded number too
 	for range crowdedShare {
 		c := accept()
 		c.session, c.owes = &quietSession{}, 0
@@ -145,7 +145,7 @@
 	if n := len(s.all) - s.ending; accept() == nil || len(s.all)-s.ending > n {
 		t.Errorf("%d connections, and none that is idle made room", n)
 	}
-	s.Most = 2
+	s.MaxClients = 2
 	for c := range s.all {
 		if len(s.all) > 2 {
 			c.leave()
@@ -158,7 +158,7 @@
 	first.owes = now
 	now += firstMs
 	for c := range s.all {
-		if _, err := unix.Write(ends[c], Texts(nil, MsgQuery, "")); err != nil {
+		if _, err := unix.Write(ends[c], AppendStrings(nil, MsgQuery, "")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -184,7 +184,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := &Clients{Loop: l, Most: 10, IdleMs: 2000}
+	s := &ClientPool{Loop: l, MaxClients: 10, IdleTimeoutMs: 2000}
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -194,8 +194,8 @@
 	for c := range s.all {
 		c.session, c.owes = &quietSession{}, 0
 	}
-	now += s.IdleMs
-	query := Texts(nil, MsgQuery, "a long query")
+	now += s.IdleTimeoutMs
+	query := AppendStrings(nil, MsgQuery, "a long query")
 	if _, err := unix.Write(fds[1], query[:9]); err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 		if _, err := unix.Write(fds[1], query[9:]); err != nil {
 			t.Fatal(err)
 		}
-		if c.conn.Poll(); !c.session.Busy() {
+		if c.conn.ReadNow(); !c.session.Busy() {
 			t.Error("the rest of the query is not taken")
 		}
 	}
@@ -215,18 +215,18 @@
 
 func TestReport(t *testing.T) {
 	row := func(s string) []byte {
-		row := Message(Message(nil, MsgRowDescription, 0, 0), MsgDataRow, append([]byte{0, 1, 0, 0, 0, byte(len(s))}, s...)...)
-		return Texts(row, MsgComplete, "SHOW")
+		row := AppendMessage(AppendMessage(nil, MsgRowDescription, 0, 0), MsgDataRow, append([]byte{0, 1, 0, 0, 0, byte(len(s))}, s...)...)
+		return AppendStrings(row, MsgComplete, "SHOW")
 	}
-	role, position, ok := ReadReport(row("x0=1767225600.125,x1=1,inflight=7"))
+	role, position, ok := ParseLoadReport(row("x0=1767225600.125,x1=1,inflight=7"))
 	if !ok || role != routing.RolePrimary || position != 1767225600125 {
 		t.Errorf("%v %v %v", role, position, ok)
 	}
-	if role, _, ok := ReadReport(row("x0=5,x1=0")); !ok || role != routing.RoleReplica {
+	if role, _, ok := ParseLoadReport(row("x0=5,x1=0")); !ok || role != routing.RoleReplica {
 		t.Errorf("%v %v", role, ok)
 	}
 	for _, bad := range [][]byte{nil, row(""), row("x0=NaN"), row("x1=1"), row("x0=1,x1=1")[:26], {'D', 0, 0, 0, 4}} {
-		if _, _, ok := ReadReport(bad); ok {
+		if _, _, ok := ParseLoadReport(bad); ok {
 			t.Errorf("%q is taken for a report", bad)
 		}
 	}
--- a/internal/protocol/simulator/decode.go
+++ b/internal/protocol/simulator/decode.go
@@ -50,7 +50,7 @@
 type Decoder struct {
 	scan      *bufio.Scanner
 	line      int
-	sheets    [sheetSlots][]routing.Member
+	sheets    [sheetSlots][]routing.Endpoint
 	filled    [sheetSlots]bool
 	instances map[int]*instance
 	current   int
@@ -161,7 +161,7 @@
 	if c.Settings, err = DecodeSettings(text); err != nil {
 		return nil, fmt.Errorf("create: %w", err)
 	}
-	in := &instance{classes: map[string]int{}, tenants: map[string]int{}, epoch: c.Settings.Epoch}
+	in := &instance{classes: map[string]int{}, tenants: map[string]int{}, epoch: c.Settings.PositionEpoch}
 	for i, class := range c.Settings.Classes {
 		in.classes[class.Name] = i
 	}
@@ -177,7 +177,7 @@
 	if err := f.close(); err != nil {
 		return fmt.Errorf("sheet: %w", err)
 	}
-	var members []routing.Member
+	var members []routing.Endpoint
 	for range n {
 		line, err := d.read()
 		if err == io.EOF {
@@ -190,14 +190,14 @@
 		if w := f.word(); w != "member" {
 			return fmt.Errorf("sheet: expected member, not %q", w)
 		}
-		m := routing.Member{ID: f.text()}
+		m := routing.Endpoint{ID: f.text()}
 		m.Zone = f.word()
 		f.word() // kind
 		m.Primary = f.optional() == "1"
 		m.Group = f.integer(0, math.MaxInt32)
-		m.State = map[int]routing.State{0: routing.Gone, 1: routing.Ready, 2: routing.Draining}[f.integer(0, 2)]
+		m.State = map[int]routing.EndpointState{0: routing.StateGone, 1: routing.StateReady, 2: routing.StateDraining}[f.integer(0, 2)]
 		f.word() // weight
-		m.Started = f.millis()
+		m.StartedAt = f.millis()
 		if err := f.close(); err != nil {
 			return fmt.Errorf("member: %w", err)
 		}
@@ -223,14 +223,14 @@
 	f.unsigned()
 	slot, scope := f.optional(), f.integer(0, 3)
 	if scope == 3 {
-		return routing.List{Failed: true}
+		return routing.EndpointUpdate{Failed: true}
 	}
 	n, err := strconv.Atoi(slot)
 	if err != nil || n < 0 || n >= sheetSlots || !d.filled[n] {
 		f.fail(fmt.Errorf("sheet %s was never filled", slot))
 		return nil
 	}
-	return routing.List{Full: scope != 0, Members: d.sheets[n]}
+	return routing.EndpointUpdate{Full: scope != 0, Endpoints: d.sheets[n]}
 }
 
 func readDemand(_ *Decoder, in *instance, f *fields) routing.Event {
@@ -250,17 +250,17 @@
 	e.Class = i
 	e.Group = f.integer(0, math.MaxInt32)
 	f.millis() // the cost hint: decisions take what is observed
-	e.WroteAgo = f.millis()
+	e.SinceLastWrite = f.millis()
 	e.Session = f.optional()
-	e.Left = f.millis()
-	e.Repeat = f.integer(0, math.MaxInt32)&2 != 0
+	e.TimeLeft = f.millis()
+	e.ClientRetry = f.integer(0, math.MaxInt32)&2 != 0
 	return e
 }
 
 func readResult(_ *Decoder, _ *instance, f *fields) routing.Event {
-	e := routing.Result{Request: f.id(), Attempt: f.integer(0, math.MaxInt32), Member: f.text(), Outcome: f.outcome()}
+	e := routing.AttemptResult{Request: f.id(), Attempt: f.integer(0, math.MaxInt32), Host: f.text(), Outcome: f.outcome()}
 	f.millis()
-	e.Done = f.flag()
+	e.RequestDone = f.flag()
 	mark := f.number()
 	if mark < 0 {
 		f.fail(errors.New("a mark below 0"))
@@ -274,7 +274,7 @@
 
 func readSampled(_ *Decoder, _ *instance, f *fields) routing.Event {
 	f.millis()
-	e := routing.Probed{Member: f.text(), Outcome: f.outcome()}
+	e := routing.HealthCheckResult{Host: f.text(), Outcome: f.outcome()}
 	report := f.report()
 	if x, ok := report["x0"]; ok {
 		e.Position = max(0, time.Duration(math.Floor(x*1e6))*time.Microsecond)
@@ -289,7 +289,7 @@
 }
 
 func readFirstByte(_ *Decoder, _ *instance, f *fields) routing.Event {
-	e := routing.Started{Request: f.id()}
+	e := routing.StreamStarted{Request: f.id()}
 	f.millis()
 	f.text()
 	f.integer(0, math.MaxInt32)
@@ -298,7 +298,7 @@
 
 func readWake(_ *Decoder, _ *instance, f *fields) routing.Event {
 	f.unsigned()
-	return routing.Woken{}
+	return routing.TimerFired{}
 }
 
 // readDatagram skips a peer's message: the module sends none and listens to none.
@@ -319,8 +319,8 @@
 }
 
 var outcomes = map[string]routing.Outcome{
-	"200": routing.OK, "204": routing.Miss, "429": routing.Full, "521": routing.NoConnection, "409": routing.Moot,
-	"502": routing.Error, "408": routing.Timeout, "520": routing.Broken, "444": routing.Cancelled,
+	"200": routing.OutcomeOK, "204": routing.OutcomeMisdirected, "429": routing.OutcomeRejected, "521": routing.OutcomeNoConnection, "409": routing.OutcomeNotSent,
+	"502": routing.OutcomeError, "408": routing.OutcomeTimeout, "520": routing.OutcomeConnectionLost, "444": routing.OutcomeCancelled,
 }
 
 // fields takes a line apart, value by value, and keeps the first thing that was wrong with it.
--- a/internal/protocol/simulator/encode.go
+++ b/internal/protocol/simulator/encode.go
@@ -63,19 +63,19 @@
 func words(a routing.Action) []string {
 	switch a := a.(type) {
 	case routing.Attempt:
-		return []string{"attempt", id(a.Request), a.Member, millis(a.GiveUp)}
-	case routing.Cancel:
+		return []string{"attempt", id(a.Request), a.Host, millis(a.GiveUpAt)}
+	case routing.CancelAttempt:
 		return []string{"drop_attempt", id(a.Request), strconv.Itoa(a.Attempt)}
-	case routing.Refuse:
-		return []string{"refuse", id(a.Request), millis(a.After)}
+	case routing.Reject:
+		return []string{"refuse", id(a.Request), millis(a.RetryAfter)}
 	case routing.Fail:
 		return []string{"lose", id(a.Request)}
-	case routing.Probe:
-		return []string{"touch", a.Member}
-	case routing.Subscribe:
+	case routing.HealthCheck:
+		return []string{"touch", a.Host}
+	case routing.SubscribeEndpoints:
 		return []string{"listen", "1"}
-	case routing.Wake:
-		return []string{"sleep", millis(a.In), "0"}
+	case routing.SetTimer:
+		return []string{"sleep", millis(a.After), "0"}
 	case routing.Log:
 		return []string{"log", oneLine(a.Text)}
 	}
--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -47,15 +47,15 @@
 }
 
 var (
-	needs = map[string]routing.Need{
-		"any": routing.NeedAny, "bounded": routing.NeedBounded, "session": routing.NeedSession,
-		"fresh": routing.NeedFresh, "write": routing.NeedPrimary,
+	needs = map[string]routing.Consistency{
+		"any": routing.ConsistencyAny, "bounded": routing.ConsistencyBounded, "session": routing.ConsistencySession,
+		"fresh": routing.ConsistencyStrong, "write": routing.ConsistencyWrite,
 	}
-	effects = map[string]routing.Effect{
-		"read_like": routing.EffectSafe, "idempotency_key": routing.EffectKeyed, "non_idempotent": routing.EffectUnsafe,
+	effects = map[string]routing.Idempotency{
+		"read_like": routing.Idempotent, "idempotency_key": routing.IdempotentWithKey, "non_idempotent": routing.NotIdempotent,
 	}
-	checks = map[string]routing.Check{
-		"silent": routing.CheckNone, "refuse": routing.CheckRefuse, "wait": routing.CheckWait,
+	checks = map[string]routing.StalenessCheck{
+		"silent": routing.StalenessCheckNone, "refuse": routing.StalenessCheckReject, "wait": routing.StalenessCheckWait,
 	}
 	modes  = map[string]bool{"automatic": false, "subscribe": true}
 	tokens = map[string]bool{"remembered": false, "carried": true}
@@ -104,13 +104,13 @@
 		return s, fmt.Errorf("settings: FamilyInfo.NeedsByClass or FamilyInfo.MaxAgeMs doesn't name each class")
 	}
 	var err error
-	if s.Check, err = lookup(checks, f.ServerChecks, "FamilyInfo.ServerChecks"); err != nil {
+	if s.StalenessCheck, err = lookup(checks, f.ServerChecks, "FamilyInfo.ServerChecks"); err != nil {
 		return s, err
 	}
-	if s.Carried, err = lookup(tokens, f.Tokens, "FamilyInfo.Tokens"); err != nil {
+	if s.SessionTokensCarried, err = lookup(tokens, f.Tokens, "FamilyInfo.Tokens"); err != nil {
 		return s, err
 	}
-	if s.Subscribe, err = lookup(modes, p.MembershipMode, "MembershipMode"); err != nil {
+	if s.SubscribeToEndpoints, err = lookup(modes, p.MembershipMode, "MembershipMode"); err != nil {
 		return s, err
 	}
 	names := map[string]bool{}
@@ -123,14 +123,14 @@
 		}
 		names[c.Name] = true
 		class := routing.Class{
-			Name: c.Name, MaxAge: duration(f.MaxAgeMs[i]), RepeatAnyHost: c.Group == "all",
-			RepeatWindow: duration(c.DedupWindowMs), Aim: duration(c.AimMs), Deadline: duration(c.HardLimitMs),
-			Worth: c.Worth, LateWorth: c.LateWorth,
+			Name: c.Name, MaxStaleness: duration(f.MaxAgeMs[i]), KeySharedByAllHosts: c.Group == "all",
+			DedupWindow: duration(c.DedupWindowMs), LatencyObjective: duration(c.AimMs), Deadline: duration(c.HardLimitMs),
+			PriorityWeight: c.Worth, LateWeightShare: c.LateWorth,
 		}
-		if class.Need, err = lookup(needs, f.NeedsByClass[i], "FamilyInfo.NeedsByClass"); err != nil {
+		if class.Consistency, err = lookup(needs, f.NeedsByClass[i], "FamilyInfo.NeedsByClass"); err != nil {
 			return s, err
 		}
-		if class.Effect, err = lookup(effects, c.Effect, "Services[].Effect"); err != nil {
+		if class.Idempotency, err = lookup(effects, c.Effect, "Services[].Effect"); err != nil {
 			return s, err
 		}
 		s.Classes = append(s.Classes, class)
@@ -141,20 +141,20 @@
 			return s, fmt.Errorf("setting Tenants[].Name: %q is empty or stands there twice", t.Name)
 		}
 		names[t.Name] = true
-		s.Tenants = append(s.Tenants, routing.Tenant{Name: t.Name, Quota: t.QuotaRps})
+		s.Tenants = append(s.Tenants, routing.Tenant{Name: t.Name, QuotaPerSecond: t.QuotaRps})
 	}
-	s.OverShareWorth, s.Routers, s.Tick = p.OverShareWorth, *p.Balancers, duration(p.TickMs)
+	s.OverQuotaWeightShare, s.GatewayCount, s.TickInterval = p.OverShareWorth, *p.Balancers, duration(p.TickMs)
 	s.Zone = p.Zone
 	if p.Index != nil {
-		s.Index = *p.Index + 1
+		s.GatewayNumber = *p.Index + 1
 	}
-	s.Epoch = duration(f.CountedFromMs)
+	s.PositionEpoch = duration(f.CountedFromMs)
 	a := p.Permissions
-	s.MayCancel, s.MayProbe, s.MayHint = a.Cancel, a.Probing, a.RetryAfter
-	s.MaxHint, s.MaxAttempts = duration(a.MaxRetryAfterMs), *a.MaxAttempts
-	s.DrainGrace, s.ListedOnly = duration(*p.Rules.DrainGraceMs), p.Rules.RemovalNotBinding
-	s.ColdShare, s.ColdTime = *p.Rules.ColdFrom, duration(*p.Rules.ColdMs)
-	s.TipMultiple, s.FallTime = *p.Rules.TipMultiple, duration(p.Rules.FallMs)
+	s.CancelAllowed, s.HealthChecksAllowed, s.RetryAfterAllowed = a.Cancel, a.Probing, a.RetryAfter
+	s.MaxRetryAfter, s.MaxAttempts = duration(a.MaxRetryAfterMs), *a.MaxAttempts
+	s.DrainGrace, s.RemovalNotBinding = duration(*p.Rules.DrainGraceMs), p.Rules.RemovalNotBinding
+	s.SlowStartMinShare, s.SlowStartWindow = *p.Rules.ColdFrom, duration(*p.Rules.ColdMs)
+	s.OverloadMultiple, s.OverloadWindow = *p.Rules.TipMultiple, duration(p.Rules.FallMs)
 	return s, nil
 }
 
--- a/internal/protocol/simulator/wire_test.go
+++ b/internal/protocol/simulator/wire_test.go
@@ -61,35 +61,35 @@
 		t.Fatal(err)
 	}
 	c := got[0].Create
-	if c == nil || c.Seed != 42 || c.Settings.Epoch != 1000500*time.Microsecond || c.Settings.Routers != 3 ||
-		c.Settings.Classes[1].Need != routing.NeedPrimary || c.Settings.Classes[1].RepeatWindow != 1200*time.Millisecond {
+	if c == nil || c.Seed != 42 || c.Settings.PositionEpoch != 1000500*time.Microsecond || c.Settings.GatewayCount != 3 ||
+		c.Settings.Classes[1].Consistency != routing.ConsistencyWrite || c.Settings.Classes[1].DedupWindow != 1200*time.Millisecond {
 		t.Fatalf("create: %+v", c)
 	}
-	list := got[1].Event.(routing.List)
-	if !list.Full || len(list.Members) != 2 || !list.Members[0].Primary || list.Members[1].State != routing.Draining ||
-		list.Members[1].Started != 6100*time.Millisecond {
+	list := got[1].Event.(routing.EndpointUpdate)
+	if !list.Full || len(list.Endpoints) != 2 || !list.Endpoints[0].Primary || list.Endpoints[1].State != routing.StateDraining ||
+		list.Endpoints[1].StartedAt != 6100*time.Millisecond {
 		t.Fatalf("view: %+v", list)
 	}
 	want := []routing.Event{
 		routing.Request{
 			ID: 930016602526148, Class: 1, Tenant: 0, Group: 11, Session: "91f03b7c55d20a64",
-			WroteAgo: 240 * time.Millisecond, Left: 412500 * time.Microsecond, Repeat: true,
+			SinceLastWrite: 240 * time.Millisecond, TimeLeft: 412500 * time.Microsecond, ClientRetry: true,
 		},
-		routing.Result{
-			Request: 930016602526148, Attempt: 1, Member: "10.18.74.7:9003", Done: true,
+		routing.AttemptResult{
+			Request: 930016602526148, Attempt: 1, Host: "10.18.74.7:9003", RequestDone: true,
 			Role: routing.RoleReplica, Position: 6371 * time.Millisecond,
 		},
-		routing.Probed{Member: "10.144.17.242:9044", Role: routing.RoleReplica, Position: 6204 * time.Millisecond},
-		routing.Started{Request: 930016602526148},
+		routing.HealthCheckResult{Host: "10.144.17.242:9044", Role: routing.RoleReplica, Position: 6204 * time.Millisecond},
+		routing.StreamStarted{Request: 930016602526148},
 		routing.ClientGone{Request: 1819816540187417},
-		routing.Woken{},
+		routing.TimerFired{},
 	}
 	for i, w := range want {
 		if got[2+i].Event != w {
 			t.Errorf("event %d: got %+v, want %+v", i, got[2+i].Event, w)
 		}
 	}
-	if l := got[8].Event.(routing.List); !l.Failed {
+	if l := got[8].Event.(routing.EndpointUpdate); !l.Failed {
 		t.Errorf("failed view: %+v", l)
 	}
 	if !got[9].Kill || got[9].Instance != 3 {
@@ -131,9 +131,9 @@
 	var out bytes.Buffer
 	e := NewEncoder(&out)
 	e.Actions(3, []routing.Action{
-		routing.Attempt{Request: 1, Member: "m:1", GiveUp: 8492250 * time.Microsecond}, routing.Cancel{Request: 1},
-		routing.Refuse{Request: 2, After: 250 * time.Millisecond}, routing.Fail{Request: 3}, routing.Probe{Member: "m:1"},
-		routing.Subscribe{}, routing.Wake{In: 500 * time.Microsecond}, routing.Log{Text: "two\nlines"},
+		routing.Attempt{Request: 1, Host: "m:1", GiveUpAt: 8492250 * time.Microsecond}, routing.CancelAttempt{Request: 1},
+		routing.Reject{Request: 2, RetryAfter: 250 * time.Millisecond}, routing.Fail{Request: 3}, routing.HealthCheck{Host: "m:1"},
+		routing.SubscribeEndpoints{}, routing.SetTimer{After: 500 * time.Microsecond}, routing.Log{Text: "two\nlines"},
 	})
 	e.InternalError(5, "broke\nhere")
 	if err := e.Flush(); err != nil {
--- a/internal/proxy/departure_test.go
+++ b/internal/proxy/departure_test.go
@@ -13,15 +13,15 @@
 	for _, class := range []int{0, 1} {
 		b := newBench(t, "a")
 		b.submit(class, 900)
-		b.Gone(1)
+		b.ClientGone(1)
 		b.pass(1)
-		b.conns[0].owner.Up()
+		b.conns[0].owner.Established()
 		b.pass(400)
 		if n := len(b.conns[0].sent); n != 0 || b.conns[0].closed {
 			t.Errorf("class %d: %d sent for a client that had left, closed %v", class, n, b.conns[0].closed)
 		}
 		b.submit(class, 900) // the connection serves whoever comes next
-		b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Role: routing.RolePrimary, Body: []byte("x")})
+		b.conns[0].owner.ResponseReceived(Response{Outcome: routing.OutcomeOK, Role: routing.RolePrimary, Body: []byte("x")})
 		b.pass(1)
 		if len(b.got) != 1 || len(b.conns) != 1 || len(b.requests) != 0 {
 			t.Errorf("class %d: got %q on %d connections, %d requests are kept", class, b.got, len(b.conns), len(b.requests))
@@ -29,13 +29,13 @@
 
 		b = newBench(t, "a")
 		b.submit(class, 900)
-		b.conns[0].owner.Up()
-		b.Gone(1)
+		b.conns[0].owner.Established()
+		b.ClientGone(1)
 		b.pass(1)
 		if len(b.conns[0].sent) != 1 || b.conns[0].closed {
 			t.Errorf("class %d: what is written does not stay out: %d sent, closed %v", class, len(b.conns[0].sent), b.conns[0].closed)
 		}
-		b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Role: routing.RolePrimary, Body: []byte("x")})
+		b.conns[0].owner.ResponseReceived(Response{Outcome: routing.OutcomeOK, Role: routing.RolePrimary, Body: []byte("x")})
 		b.pass(1)
 		if len(b.got) != 0 || len(b.requests) != 0 {
 			t.Errorf("class %d: got %q, %d requests are kept", class, b.got, len(b.requests))
@@ -48,14 +48,14 @@
 	b := newBench(t, "a")
 	b.submit(1, 900)
 	b.conns[0].stuck = true
-	b.conns[0].owner.Up()
-	b.Gone(1)
+	b.conns[0].owner.Established()
+	b.ClientGone(1)
 	b.pass(1)
 	if !b.conns[0].closed || b.written != 0 || len(b.requests) != 0 {
 		t.Errorf("closed %v, %d written, %d requests are kept", b.conns[0].closed, b.written, len(b.requests))
 	}
-	b.conns[0].owner.Written() // its system had the last byte after all: nobody is told
-	b.conns[0].owner.Down(errors.New("closed"))
+	b.conns[0].owner.RequestWritten() // its system had the last byte after all: nobody is told
+	b.conns[0].owner.ConnectionClosed(errors.New("closed"))
 	b.pass(500)
 	if len(b.got) != 0 || len(b.conns) != 1 {
 		t.Errorf("got %q, %d connections", b.got, len(b.conns))
@@ -68,16 +68,16 @@
 	b.submit(0, 900)
 	b.submit(0, 900)
 	first := b.conns[0]
-	b.Gone(1)
+	b.ClientGone(1)
 	b.pass(1)
-	first.owner.Up()
+	first.owner.Established()
 	if len(first.sent) != 1 {
 		t.Fatalf("%d sent", len(first.sent))
 	}
-	first.owner.Answered(Answer{Outcome: routing.OK, Body: []byte("x")})
+	first.owner.ResponseReceived(Response{Outcome: routing.OutcomeOK, Body: []byte("x")})
 	b.pass(1)
-	if len(b.got) != 1 || b.Open() != 0 {
-		t.Errorf("got %q, %d open", b.got, b.Open())
+	if len(b.got) != 1 || b.OpenRequests() != 0 {
+		t.Errorf("got %q, %d open", b.got, b.OpenRequests())
 	}
 }
 
@@ -89,9 +89,9 @@
 	}{{0, 1}, {150, 1}, {290, 0}, {1e6, 0}} {
 		b := newBench(t, "a")
 		b.submit(0, 900)
-		b.SetHostsTold(true, []Host{{Addr: "a", Member: routing.Member{ID: "a", State: routing.Draining}}}, b.now-c.told)
+		b.UpdateHostsNotifiedAt(true, []Host{{Address: "a", Endpoint: routing.Endpoint{ID: "a", State: routing.StateDraining}}}, b.now-c.told)
 		b.pass(100)
-		b.conns[0].owner.Up()
+		b.conns[0].owner.Established()
 		if n := len(b.conns[0].sent); n != c.sent {
 			t.Errorf("told %v ms before: %d sent 100 ms after the list came, want %d (grace 300 ms)", c.told, n, c.sent)
 		}
@@ -101,9 +101,9 @@
 // What comes while the program ends is answered before the end, whatever time its client has; what comes then is refused.
 func TestWhatComesWhileTheProgramEndsIsAnsweredBeforeTheEnd(t *testing.T) {
 	b := newBench(t, "a")
-	b.AnswerBy(b.now + 300)
+	b.SetFinalDeadline(b.now + 300)
 	b.submit(1, 900)
-	b.conns[0].owner.Up()
+	b.conns[0].owner.Established()
 	b.pass(290)
 	if len(b.got) != 0 {
 		t.Fatalf("got %q", b.got)
@@ -121,19 +121,19 @@
 	for _, left := range []bool{true, false} {
 		b := newBench(t, "a", "b")
 		b.submit(0, 900)
-		b.conns[0].owner.Up()
+		b.conns[0].owner.Established()
 		if left {
-			b.Gone(1)
+			b.ClientGone(1)
 		}
-		b.conns[0].owner.Down(errors.New("reset"))
+		b.conns[0].owner.ConnectionClosed(errors.New("reset"))
 		b.pass(50)
 		if again := len(b.conns) > 1; again == left {
 			t.Errorf("left %v: sent again %v", left, again)
 		}
 		if !left {
-			b.Gone(1)
+			b.ClientGone(1)
 			b.pass(1)
-			b.conns[1].owner.Up()
+			b.conns[1].owner.Established()
 			if len(b.conns[1].sent) != 0 {
 				t.Error("the second attempt was sent after its client had left")
 			}
@@ -153,7 +153,7 @@
 		b.pass(map[bool]float64{true: 255, false: 240}[late])
 		first := b.conns[0]
 		if !first.closed {
-			first.owner.Up()
+			first.owner.Established()
 		}
 		if first.closed != late || (len(first.sent) == 1) == late {
 			t.Errorf("late %v: closed %v, %d sent", late, first.closed, len(first.sent))
@@ -171,11 +171,11 @@
 	b := newBench(t, "a")
 	b.submit(0, 900)
 	b.sendProbe("a")
-	b.list(routing.Ready)
+	b.list(routing.StateReady)
 	b.pass(285)
 	for _, c := range b.conns {
 		if !c.closed {
-			c.owner.Up()
+			c.owner.Established()
 		}
 		if len(c.sent) != 0 {
 			t.Errorf("%d sent to a host that the list does not name", len(c.sent))
@@ -185,7 +185,7 @@
 	if len(b.got) != 1 || len(b.hosts) != 1 { // the next list forgets it
 		t.Errorf("got %q, %d hosts", b.got, len(b.hosts))
 	}
-	if b.list(routing.Ready); len(b.hosts) != 0 {
+	if b.list(routing.StateReady); len(b.hosts) != 0 {
 		t.Errorf("%d hosts are kept", len(b.hosts))
 	}
 }
@@ -197,31 +197,31 @@
 	other uint64
 }
 
-func (l *leaver) Refused(afterMs float64) {
-	l.bench.Refused(afterMs)
-	l.Gone(l.other)
+func (l *leaver) Reject(afterMs float64) {
+	l.bench.Reject(afterMs)
+	l.ClientGone(l.other)
 }
 
 // An attempt is decided in the same step in which its client turns out to have left: it is not sent, and its result is told,
 // or the module would take the host for busy with it for good.
 func TestAClientThatLeavesWhileItsAttemptIsDecided(t *testing.T) {
 	b := newBench(t)
-	b.SetHosts(true, []Host{{Addr: "a", Member: routing.Member{ID: "a", Group: 1, State: routing.Ready}}})
+	b.UpdateHosts(true, []Host{{Address: "a", Endpoint: routing.Endpoint{ID: "a", Group: 1, State: routing.StateReady}}})
 	b.Step()
 	l := &leaver{b, 2}
-	if _, ok := b.Submit(Request{Tenant: -1, LeftMs: 600, Command: "command", Reply: l}); !ok { // of a group without hosts
+	if _, ok := b.Submit(Request{Tenant: -1, TimeLeftMs: 600, Command: "command", Responder: l}); !ok { // of a group without hosts
 		t.Fatal("not taken")
 	}
 	b.Step()
 	b.now += 320 // it is refused by half of its time
-	if _, ok := b.Submit(Request{Tenant: -1, Group: 1, LeftMs: 600, Command: "command", Reply: b}); !ok {
+	if _, ok := b.Submit(Request{Tenant: -1, Group: 1, TimeLeftMs: 600, Command: "command", Responder: b}); !ok {
 		t.Fatal("not taken")
 	}
 	b.Step()
 	b.want(t, "1320 refused 0")
 	b.pass(1)
 	for _, c := range b.conns {
-		c.owner.Up()
+		c.owner.Established()
 		if len(c.sent) != 0 {
 			t.Error("sent for a client that has left")
 		}
@@ -230,7 +230,7 @@
 		t.Errorf("%d requests are kept, %d have left", len(b.requests), len(b.left))
 	}
 	for range 3 { // as many as a host may have from here at first
-		if _, ok := b.Submit(Request{Tenant: -1, Group: 1, LeftMs: 600, Command: "command", Reply: b}); !ok {
+		if _, ok := b.Submit(Request{Tenant: -1, Group: 1, TimeLeftMs: 600, Command: "command", Responder: b}); !ok {
 			t.Fatal("not taken")
 		}
 	}
