--- a/internal/proxy/hosts.go
+++ b/internal/proxy/hosts.go
@@ -26,7 +26,7 @@
 // link is one connection to a host.
 type link struct {
 	host    *host
-	conn    Conn
+	conn    UpstreamConn
 	up      bool
 	closed  bool
 	attempt *attempt
@@ -35,28 +35,28 @@
 	restsTo float64 // it gets no command before
 }
 
-// SetHosts takes in the host list, or changes of it, as told now, and tells the module.
-func (c *Core) SetHosts(full bool, list []Host) { c.SetHostsTold(full, list, c.Now()) }
+// UpdateHosts takes in the host list, or changes of it, as told now, and tells the module.
+func (c *Core) UpdateHosts(full bool, list []Host) { c.UpdateHostsNotifiedAt(full, list, c.Now()) }
 
-// SetHostsTold takes in a list, or changes of it, that count as told since some time: what is listed as leaving gets
+// UpdateHostsNotifiedAt takes in a list, or changes of it, that count as told since some time: what is listed as leaving gets
 // nothing once the grace from then is over.
-func (c *Core) SetHostsTold(full bool, list []Host, told float64) {
+func (c *Core) UpdateHostsNotifiedAt(full bool, list []Host, told float64) {
 	told = max(1, min(told, c.Now())) // 0 would be a host that is ready
-	e := routing.List{Full: full, At: span(told)}
+	e := routing.EndpointUpdate{Full: full, NotifiedAt: span(told)}
 	seen := map[string]bool{}
 	for _, l := range list {
 		seen[l.ID] = true
-		e.Members = append(e.Members, l.Member)
+		e.Endpoints = append(e.Endpoints, l.Endpoint)
 		h := c.hosts[l.ID]
 		added := h == nil
 		if added {
-			if l.State == routing.Gone {
+			if l.State == routing.StateGone {
 				continue
 			}
 			h = &host{core: c}
 			c.hosts[l.ID] = h
 		}
-		if h.Addr != l.Addr || h.Started != l.Started { // what is idle leads to a process that is no more
+		if h.Address != l.Address || h.StartedAt != l.StartedAt { // what is idle leads to a process that is no more
 			h.closeIdle()
 		}
 		h.Host = l
@@ -67,10 +67,10 @@
 	}
 	for _, h := range c.inOrder() {
 		if full && !seen[h.ID] {
-			h.State = routing.Gone
+			h.State = routing.StateGone
 			h.mark(told)
 		}
-		if h.State == routing.Gone && h.unused() {
+		if h.State == routing.StateGone && h.unused() {
 			delete(c.hosts, h.ID)
 		}
 	}
@@ -85,12 +85,12 @@
 // mark takes down when a host went off, and closes what no request will use any more.
 func (h *host) mark(told float64) {
 	switch {
-	case h.State == routing.Ready:
+	case h.State == routing.StateReady:
 		h.offAt = 0
 	case h.offAt == 0:
 		h.offAt = told
 	}
-	if h.State == routing.Gone {
+	if h.State == routing.StateGone {
 		h.closeIdle()
 	}
 }
@@ -117,7 +117,7 @@
 // that came up so late that the module's own look at the drain no longer holds.
 func (h *host) barred() bool {
 	off := h.offAt
-	if h.core.set.ListedOnly && h.State == routing.Gone {
+	if h.core.set.RemovalNotBinding && h.State == routing.StateGone {
 		off = 0
 	}
 	if at, banned := h.core.bans[h.ID]; banned && (off == 0 || at < off) {
@@ -129,7 +129,7 @@
 // inUse tells whether a host is listed as ready and not taken out by hand.
 func (h *host) inUse() bool {
 	_, banned := h.core.bans[h.ID]
-	return h.State == routing.Ready && !banned
+	return h.State == routing.StateReady && !banned
 }
 
 // assign gives an attempt an idle connection, or lets it wait for the next one that is free.
@@ -155,7 +155,7 @@
 		h.core.log.Debug("dial", zap.String("host", h.ID), zap.Error(err))
 		t := h.waiting[len(h.waiting)-1]
 		h.drop(t)
-		h.core.result(t, routing.NoConnection, Answer{})
+		h.core.result(t, routing.OutcomeNoConnection, Response{})
 	}
 }
 
@@ -195,18 +195,18 @@
 
 func (h *host) dial() error {
 	c := h.core
-	if c.conns >= c.limits.Conns && !c.closeOldestIdle() {
+	if c.conns >= c.limits.MaxConns && !c.closeOldestIdle() {
 		return errNoRoom
 	}
 	l := &link{host: h}
-	conn, err := c.dialer.Dial(h.Addr, l)
+	conn, err := c.dialer.Dial(h.Address, l)
 	if err != nil {
 		return err
 	}
 	c.conns++
 	l.conn = conn
 	h.dialing = append(h.dialing, l)
-	l.timer = c.timers.After(c.limits.ConnectMs, func() {
+	l.timer = c.timers.After(c.limits.ConnectTimeoutMs, func() {
 		l.close()
 		l.dialFailed()
 	})
@@ -234,7 +234,7 @@
 // sweep retires idle connections well before hosts close them: a request written to one that the host has just
 // closed would be a reset, and might have run.
 func (c *Core) sweep() {
-	cut := c.timers.Clock.Now() - c.limits.IdleMs*idleShare
+	cut := c.timers.Clock.Now() - c.limits.HostIdleTimeoutMs*idleShare
 	for _, h := range c.inOrder() {
 		for len(h.idle) > 0 && h.idle[0].idleAt < cut {
 			h.idle[0].close()
@@ -260,7 +260,7 @@
 	late := t.before > 0 && c.timers.Clock.Now() >= t.before
 	if l.host.barred() || late || left < 1 { // checked again here: the connection may have been long in coming
 		l.rest(0)
-		c.result(t, routing.Moot, Answer{})
+		c.result(t, routing.OutcomeNotSent, Response{})
 		return
 	}
 	l.attempt, t.link = t, l
@@ -275,7 +275,7 @@
 func (l *link) rest(ms float64) {
 	h := l.host
 	l.attempt = nil
-	if h.State == routing.Gone && len(h.waiting) == 0 {
+	if h.State == routing.StateGone && len(h.waiting) == 0 {
 		l.close()
 		return
 	}
@@ -301,8 +301,8 @@
 	l.host.dialing = slices.DeleteFunc(l.host.dialing, isThis)
 }
 
-// Up is called when the connection takes commands.
-func (l *link) Up() {
+// Established is called when the connection takes commands.
+func (l *link) Established() {
 	l.up, l.host.refuses = true, false
 	l.timer.Stop()
 	h := l.host
@@ -311,8 +311,8 @@
 	h.feed()
 }
 
-// Written is called when the last byte of a command is out.
-func (l *link) Written() {
+// RequestWritten is called when the last byte of a command is out.
+func (l *link) RequestWritten() {
 	if t := l.attempt; t != nil {
 		t.written = true
 		if t.request != nil {
@@ -321,14 +321,14 @@
 	}
 }
 
-// Answered is called with the whole answer.
-func (l *link) Answered(a Answer) {
+// ResponseReceived is called with the whole answer.
+func (l *link) ResponseReceived(a Response) {
 	t := l.attempt
 	if t == nil {
 		return
 	}
 	l.host.core.result(t, a.Outcome, a)
-	if a.Last {
+	if a.ConnectionEnds {
 		l.close()
 		l.host.provide()
 		return
@@ -336,8 +336,8 @@
 	l.rest(settleMs)
 }
 
-// Down is called when the connection has ended. What was written whole may have run; what was not never did.
-func (l *link) Down(err error) {
+// ConnectionClosed is called when the connection has ended. What was written whole may have run; what was not never did.
+func (l *link) ConnectionClosed(err error) {
 	t := l.attempt
 	l.close()
 	switch {
@@ -345,9 +345,9 @@
 		l.host.core.log.Debug("connect", zap.String("host", l.host.ID), zap.Error(err))
 		l.dialFailed()
 	case t != nil && t.written:
-		l.host.core.result(t, routing.Broken, Answer{})
+		l.host.core.result(t, routing.OutcomeConnectionLost, Response{})
 	case t != nil:
-		l.host.core.result(t, routing.NoConnection, Answer{})
+		l.host.core.result(t, routing.OutcomeNoConnection, Response{})
 	default:
 		l.host.provide()
 	}
@@ -360,6 +360,6 @@
 	if len(h.dialing)+len(h.idle) < len(h.waiting) {
 		t := h.waiting[0]
 		h.waiting = h.waiting[1:]
-		h.core.result(t, routing.NoConnection, Answer{})
+		h.core.result(t, routing.OutcomeNoConnection, Response{})
 	}
 }
--- a/internal/proxy/repeat_test.go
+++ b/internal/proxy/repeat_test.go
@@ -28,13 +28,13 @@
 	} {
 		b := newBench(t, "a")
 		b.submit(2, 900)
-		b.conns[0].owner.Up()
+		b.conns[0].owner.Established()
 		start := b.now
 		if len(b.conns[0].sent) != 1 {
 			t.Fatal("the first command is not sent")
 		}
 		b.pass(40)
-		b.conns[0].owner.Down(errors.New("reset")) // whether it has run nobody knows
+		b.conns[0].owner.ConnectionClosed(errors.New("reset")) // whether it has run nobody knows
 		b.pass(20)
 		if len(b.conns) != 2 {
 			t.Fatalf("%s: %d connections, another one was expected", c.name, len(b.conns))
@@ -45,11 +45,11 @@
 		}
 		b.pass(start + c.up - b.now)
 		second.stuck = c.stuck
-		second.owner.Up()
+		second.owner.Established()
 		if c.stuck {
 			b.pass(start + c.writes - b.now)
 			if !second.closed {
-				second.owner.Written()
+				second.owner.RequestWritten()
 			}
 		}
 		b.pass(start + 240 - b.now)
@@ -61,7 +61,7 @@
 			t.Errorf("%s: %d commands may run on the second connection, want %d", c.name, runs, c.runs)
 		}
 		if c.runs > 0 {
-			second.owner.Answered(Answer{Outcome: routing.OK, Role: routing.RolePrimary, Body: []byte("x")})
+			second.owner.ResponseReceived(Response{Outcome: routing.OutcomeOK, Role: routing.RolePrimary, Body: []byte("x")})
 		}
 		b.pass(900)
 		if len(b.got) != 1 || len(b.requests) != 0 {
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -14,77 +14,77 @@
 	"merlinjunction/routing"
 )
 
-// Answer is what a host said to a command.
-type Answer struct {
-	Outcome  routing.Outcome
-	Final    bool // an error of the statement's own, for the client
-	Role     routing.Role
-	Position float64 // in milliseconds since 1970; 0: unknown
-	Body     []byte  // for whoever sent the command
-	Last     bool    // the connection takes no more commands
-}
-
-// Conn is a connection to a host. One command at a time is on it.
-type Conn interface {
+// Response is what a host said to a command.
+type Response struct {
+	Outcome        routing.Outcome
+	StatementError bool // an error of the statement's own, for the client
+	Role           routing.Role
+	PositionMs     float64 // in milliseconds since 1970; 0: unknown
+	Body           []byte  // for whoever sent the command
+	ConnectionEnds bool    // the connection takes no more commands
+}
+
+// UpstreamConn is a connection to a host. One command at a time is on it.
+type UpstreamConn interface {
 	Send(command any, leftMs float64)
 	Close() // no word to the owner follows
 }
 
-// ConnOwner is told what happens on a Conn.
-type ConnOwner interface {
-	Up()      // it takes commands now
-	Written() // the last byte of the command is out: it may run
-	// Begin tells that a large answer has begun, and whether its parts are wanted as they come; resume is to be called
+// UpstreamHandler is told what happens on a Conn.
+type UpstreamHandler interface {
+	Established()    // it takes commands now
+	RequestWritten() // the last byte of the command is out: it may run
+	// BeginStream tells that a large answer has begun, and whether its parts are wanted as they come; resume is to be called
 	// when Part, which has taken less than all, can take more. Answered or Down ends it.
-	Begin(resume func()) bool
-	Part(p []byte) int
-	Answered(Answer) // the whole answer is there
-	Down(error)      // it is closed
+	BeginStream(resume func()) bool
+	StreamPart(p []byte) int
+	ResponseReceived(Response) // the whole answer is there
+	ConnectionClosed(error)    // it is closed
 }
 
 // Dialer opens connections to hosts.
 type Dialer interface {
-	Dial(addr string, owner ConnOwner) (Conn, error)
+	Dial(addr string, owner UpstreamHandler) (UpstreamConn, error)
 }
 
-// Reply is where the one final answer to a request goes.
-type Reply interface {
-	Served(body []byte)
-	Refused(afterMs float64) // nothing was done; 0: no hint when to come again
-	Failed(body []byte)      // a host's own words, or nil where nothing is known
+// Responder is where the one final answer to a request goes.
+type Responder interface {
+	Succeed(body []byte)
+	Reject(afterMs float64) // nothing was done; 0: no hint when to come again
+	Fail(body []byte)       // a host's own words, or nil where nothing is known
 }
 
 // Streamer is a Reply that can take a large answer as it comes: Begin, unless it declines, then parts, and Served with
 // the end of it, or Cut. Part tells how much it has taken; when it can take more it calls resume.
 type Streamer interface {
-	Begin(resume func()) bool
-	Part(p []byte) int
-	Cut() // the rest will not come, and the client must be able to tell
+	BeginStream(resume func()) bool
+	StreamPart(p []byte) int
+	AbortStream() // the rest will not come, and the client must be able to tell
 }
 
 // Request is what a front hands to the core.
 type Request struct {
 	Class, Tenant, Group int
 	Session              string
-	LeftMs               float64 // until the client gives up
-	Repeat               bool
+	TimeLeftMs           float64 // until the client gives up
+	ClientRetry          bool
 	Command              any
-	Reply                Reply
+	Responder            Responder
 }
 
 // Host is an entry of the host list.
 type Host struct {
-	routing.Member
-	Addr string
+	routing.Endpoint
+	Address string
 }
 
 // Limits are the bounds of a Core.
 type Limits struct {
-	ConnectMs float64 // for a connection to come up
-	IdleMs    float64 // a host closes a connection that stood idle so long
-	Conns     int     // to all hosts together
-	Requests  int     // held at a time
-	GreetMs   float64 // each host is probed so often, where the module may not probe; 0: never
+	ConnectTimeoutMs      float64 // for a connection to come up
+	HostIdleTimeoutMs     float64 // a host closes a connection that stood idle so long
+	MaxConns              int     // to all hosts together
+	MaxRequests           int     // held at a time
+	HealthCheckIntervalMs float64 // each host is probed so often, where the module may not probe; 0: never
 }
 
 const (
@@ -119,9 +119,9 @@
 	lastID   uint64
 	conns    int
 	bans     map[string]float64 // hosts taken out by hand, and since when
-	replies  []Replies          // by class
+	replies  []ReplyCounts      // by class
 	written  int                // attempts whose last byte is out
-	turns    fleet.Turns        // among the gateways that share the hosts
+	turns    fleet.SlotSchedule // among the gateways that share the hosts
 	stepping bool               // what the module has decided is being carried out
 	left     []*request         // whose clients have left meanwhile
 	until    float64            // when all requests have to be answered; 0: each has its own time alone
@@ -163,7 +163,7 @@
 	c := &Core{
 		timers: t, log: log, router: r, set: set, limits: limits, dialer: d, probe: probe, report: report,
 		hosts: map[string]*host{}, requests: map[uint64]*request{}, bans: map[string]float64{},
-		replies: make([]Replies, len(set.Classes)), turns: set.Turns(),
+		replies: make([]ReplyCounts, len(set.Classes)), turns: set.Schedule(),
 	}
 	c.sweep()
 	c.greet()
@@ -177,46 +177,46 @@
 // are held already, or its time is up.
 func (c *Core) Submit(r Request) (uint64, bool) {
 	if c.until > 0 {
-		r.LeftMs = min(r.LeftMs, c.until-c.Now())
+		r.TimeLeftMs = min(r.TimeLeftMs, c.until-c.Now())
 	}
-	if len(c.requests) >= c.limits.Requests || r.LeftMs <= 0 {
+	if len(c.requests) >= c.limits.MaxRequests || r.TimeLeftMs <= 0 {
 		c.replies[r.Class].Overload++
 		return 0, false
 	}
 	c.lastID++
-	q := &request{Request: r, id: c.lastID, deadline: c.timers.Clock.Now() + r.LeftMs}
+	q := &request{Request: r, id: c.lastID, deadline: c.timers.Clock.Now() + r.TimeLeftMs}
 	c.requests[q.id] = q
-	q.lastWord = q.deadline - min(answerEarlyMs, answerEarly*r.LeftMs)
+	q.lastWord = q.deadline - min(answerEarlyMs, answerEarly*r.TimeLeftMs)
 	q.timer = c.timers.At(q.lastWord, func() { c.expire(q) })
 	c.events = append(c.events, routing.Request{
 		ID: q.id, Class: r.Class, Tenant: r.Tenant, Group: r.Group, Session: r.Session,
-		Left: span(r.LeftMs), Repeat: r.Repeat,
+		TimeLeft: span(r.TimeLeftMs), ClientRetry: r.ClientRetry,
 	})
 	return q.id, true
 }
 
-// AnswerBy bounds the time of all requests that come from now on: the program ends then, and whoever has no answer by then
+// SetFinalDeadline bounds the time of all requests that come from now on: the program ends then, and whoever has no answer by then
 // gets none. Guards requests that come on connections that have been kept, as something was in hand there.
-func (c *Core) AnswerBy(ms float64) { c.until = ms }
+func (c *Core) SetFinalDeadline(ms float64) { c.until = ms }
 
-// SetPeers takes in the gateways that share the hosts.
-func (c *Core) SetPeers(r *fleet.Roster) {
-	c.turns = r.Turns()
-	c.events = append(c.events, routing.Peers{Roster: r})
+// SetRoster takes in the gateways that share the hosts.
+func (c *Core) SetRoster(r *fleet.Roster) {
+	c.turns = r.Schedule()
+	c.events = append(c.events, routing.RosterUpdate{Roster: r})
 }
 
-// Taken is how many requests were taken in all.
-func (c *Core) Taken() int { return int(c.lastID) }
+// AcceptedRequests is how many requests were taken in all.
+func (c *Core) AcceptedRequests() int { return int(c.lastID) }
 
-// Gone tells that a request's client has left. What is written stays out: it may run, and its answer still tells
+// ClientGone tells that a request's client has left. What is written stays out: it may run, and its answer still tells
 // something. What is not, as it waits for a connection or for room on one, ends at once as never sent: sent later it
 // would be work for nobody.
-func (c *Core) Gone(id uint64) {
+func (c *Core) ClientGone(id uint64) {
 	if q := c.requests[id]; q != nil && !q.answered {
 		q.answered = true
 		c.events = append(c.events, routing.ClientGone{Request: id})
 		if t := q.open; t != nil && (!t.written || q.stream != nil) { // of a large answer nobody takes the rest
-			c.giveUp(t, routing.Cancelled)
+			c.giveUp(t, routing.OutcomeCancelled)
 		}
 		if c.stepping { // an attempt of it may be among what is still to be carried out, and needs its result
 			c.left = append(c.left, q)
@@ -226,17 +226,17 @@
 	}
 }
 
-// Withdraw calls a request off for its client, who hears of it from the front: what is out is ended.
-func (c *Core) Withdraw(id uint64) {
+// CancelRequest calls a request off for its client, who hears of it from the front: what is out is ended.
+func (c *Core) CancelRequest(id uint64) {
 	q := c.requests[id]
-	c.Gone(id)
+	c.ClientGone(id)
 	if q != nil && q.open != nil {
-		c.giveUp(q.open, routing.Cancelled)
+		c.giveUp(q.open, routing.OutcomeCancelled)
 	}
 }
 
-// Open is how many requests have no final answer yet.
-func (c *Core) Open() int {
+// OpenRequests is how many requests have no final answer yet.
+func (c *Core) OpenRequests() int {
 	n := 0
 	for _, q := range c.requests {
 		if !q.answered {
@@ -263,7 +263,7 @@
 	}
 	events := c.events
 	if c.woken {
-		events = append(events, routing.Woken{})
+		events = append(events, routing.TimerFired{})
 	}
 	c.events, c.woken = nil, false
 	c.stepping = true
@@ -284,24 +284,24 @@
 	switch a := a.(type) {
 	case routing.Attempt:
 		c.attempt(a)
-	case routing.Cancel:
+	case routing.CancelAttempt:
 		if q := c.requests[a.Request]; q != nil && q.open != nil && q.open.number == a.Attempt {
-			c.giveUp(q.open, routing.Cancelled)
+			c.giveUp(q.open, routing.OutcomeCancelled)
 		}
-	case routing.Refuse:
+	case routing.Reject:
 		if q := c.final(a.Request); q != nil {
 			c.replies[q.Class].Overload++
-			q.Reply.Refused(a.After.Seconds() * 1000)
+			q.Responder.Reject(a.RetryAfter.Seconds() * 1000)
 		}
 	case routing.Fail:
 		if q := c.final(a.Request); q != nil {
 			c.replies[q.Class].Error++
-			q.Reply.Failed(q.words)
+			q.Responder.Fail(q.words)
 		}
-	case routing.Probe:
-		c.sendProbe(a.Member)
-	case routing.Wake:
-		c.wakeAfter(a.In.Seconds() * 1000)
+	case routing.HealthCheck:
+		c.sendProbe(a.Host)
+	case routing.SetTimer:
+		c.wakeAfter(a.After.Seconds() * 1000)
 	case routing.Log:
 		c.log.Info("decided", zap.String("text", a.Text))
 	}
@@ -334,7 +334,7 @@
 // expire ends what is out when the client's time is over; the module then gives the last word.
 func (c *Core) expire(q *request) {
 	if q.open != nil {
-		c.giveUp(q.open, routing.Timeout)
+		c.giveUp(q.open, routing.OutcomeTimeout)
 	}
 	if late := c.timers.Clock.Now() - q.lastWord; late > answerEarlyMs {
 		c.log.Warn("the loop was held up at a deadline", zap.Float64("ms", late))
@@ -344,7 +344,7 @@
 			if !q.answered {
 				c.log.Error("no final answer", zap.Uint64("request", q.id), zap.Int("class", q.Class),
 					zap.Int("group", q.Group), zap.Int("attempts", q.attempts), zap.Bool("out", q.open != nil),
-					zap.Float64("left", q.LeftMs))
+					zap.Float64("left", q.TimeLeftMs))
 			}
 		})
 	}
@@ -358,20 +358,20 @@
 	t := &attempt{request: q, number: q.attempts}
 	q.attempts++
 	q.open = t
-	h := c.hosts[a.Member]
+	h := c.hosts[a.Host]
 	// Once the timer has fired nothing else would end it; and nobody waits for one whose client has left since it was decided.
 	if h == nil || q.answered || c.timers.Clock.Now() >= q.lastWord {
-		c.result(t, routing.Moot, Answer{})
+		c.result(t, routing.OutcomeNotSent, Response{})
 		return
 	}
 	t.host = h
-	if a.GiveUp > 0 {
-		t.timer = c.timers.At(a.GiveUp.Seconds()*1000, func() { c.giveUp(t, routing.Timeout) })
+	if a.GiveUpAt > 0 {
+		t.timer = c.timers.At(a.GiveUpAt.Seconds()*1000, func() { c.giveUp(t, routing.OutcomeTimeout) })
 	}
-	if t.before = a.Before.Seconds() * 1000; t.before > 0 {
+	if t.before = a.SendBefore.Seconds() * 1000; t.before > 0 {
 		c.timers.At(t.before, func() {
 			if !t.written { // it waits for a connection, or for room on one
-				c.giveUp(t, routing.Moot)
+				c.giveUp(t, routing.OutcomeNotSent)
 			}
 		})
 	}
@@ -381,27 +381,27 @@
 func (c *Core) sendProbe(member string) {
 	t := &attempt{host: c.hosts[member]}
 	if t.host == nil {
-		c.events = append(c.events, routing.Probed{Member: member, Outcome: routing.Moot})
+		c.events = append(c.events, routing.HealthCheckResult{Host: member, Outcome: routing.OutcomeNotSent})
 		return
 	}
-	t.timer = c.timers.After(probeMs, func() { c.giveUp(t, routing.Timeout) })
+	t.timer = c.timers.After(probeMs, func() { c.giveUp(t, routing.OutcomeTimeout) })
 	c.assign(t)
 }
 
 // greet asks all hosts for their roles. Guards against a group whose primary nobody knows while only reads come:
 // the module looks for a primary with writes only, and would refuse each read that belongs there.
 func (c *Core) greet() {
-	if c.limits.GreetMs <= 0 {
+	if c.limits.HealthCheckIntervalMs <= 0 {
 		return
 	}
 	for _, h := range c.inOrder() {
 		c.greetHost(h)
 	}
-	c.timers.After(c.turns.Every(c.limits.GreetMs, greetGapMs), c.greet)
+	c.timers.After(c.turns.Interval(c.limits.HealthCheckIntervalMs, greetGapMs), c.greet)
 }
 
 func (c *Core) greetHost(h *host) {
-	if c.limits.GreetMs > 0 && h.inUse() {
+	if c.limits.HealthCheckIntervalMs > 0 && h.inUse() {
 		c.sendProbe(h.ID)
 	}
 }
@@ -413,18 +413,18 @@
 		return
 	}
 	if !t.written {
-		o = routing.Moot
+		o = routing.OutcomeNotSent
 	}
 	if l := t.link; l != nil {
 		l.close()
 	} else {
 		t.host.drop(t)
 	}
-	c.result(t, o, Answer{})
+	c.result(t, o, Response{})
 }
 
 // result ends an attempt and tells the module.
-func (c *Core) result(t *attempt, o routing.Outcome, a Answer) {
+func (c *Core) result(t *attempt, o routing.Outcome, a Response) {
 	if t.over {
 		return
 	}
@@ -436,46 +436,46 @@
 	}
 	q := t.request
 	q.open = nil
-	e := routing.Result{
-		Request: q.id, Attempt: t.number, Outcome: o, Role: a.Role, Position: c.position(a.Position),
+	e := routing.AttemptResult{
+		Request: q.id, Attempt: t.number, Outcome: o, Role: a.Role, Position: c.position(a.PositionMs),
 	}
 	if t.host != nil {
-		e.Member = t.host.ID
+		e.Host = t.host.ID
 	}
-	if !q.answered && q.stream != nil && o != routing.OK {
+	if !q.answered && q.stream != nil && o != routing.OutcomeOK {
 		q.answered = true
 		c.replies[q.Class].Error++
-		c.log.Warn("a large answer broke off", zap.String("host", e.Member), zap.Int("outcome", int(o)),
+		c.log.Warn("a large answer broke off", zap.String("host", e.Host), zap.Int("outcome", int(o)),
 			zap.Float64("ms since a part moved", c.Now()-q.movedAt))
-		q.stream.Cut()
+		q.stream.AbortStream()
 	}
-	if !q.answered && (o == routing.OK || a.Final) {
+	if !q.answered && (o == routing.OutcomeOK || a.StatementError) {
 		q.answered = true
-		if o == routing.OK {
+		if o == routing.OutcomeOK {
 			c.replies[q.Class].Success++
-			q.Reply.Served(a.Body)
+			q.Responder.Succeed(a.Body)
 		} else {
 			c.replies[q.Class].Error++
-			q.Reply.Failed(a.Body)
+			q.Responder.Fail(a.Body)
 		}
 	}
-	if o == routing.Error {
+	if o == routing.OutcomeError {
 		q.words = a.Body
 	}
-	if o == routing.OK && e.Position == 0 && c.set.Classes[q.Class].Need == routing.NeedPrimary {
+	if o == routing.OutcomeOK && e.Position == 0 && c.set.Classes[q.Class].Consistency == routing.ConsistencyWrite {
 		e.Position = c.position(c.timers.Clock.Now()) // a commit that is told nowhere is no later
 	}
-	e.Done = q.answered
-	if a.Final { // the statement's own error: the host did its part, and nothing was written
-		e.Outcome = routing.OK
+	e.RequestDone = q.answered
+	if a.StatementError { // the statement's own error: the host did its part, and nothing was written
+		e.Outcome = routing.OutcomeOK
 	}
 	c.events = append(c.events, e)
 	c.forget(q)
 }
 
-func (c *Core) probed(t *attempt, o routing.Outcome, a Answer) {
-	e := routing.Probed{Member: t.host.ID, Outcome: o, Role: a.Role, Position: c.position(a.Position)}
-	if o == routing.OK {
+func (c *Core) probed(t *attempt, o routing.Outcome, a Response) {
+	e := routing.HealthCheckResult{Host: t.host.ID, Outcome: o, Role: a.Role, Position: c.position(a.PositionMs)}
+	if o == routing.OutcomeOK {
 		if role, position, ok := c.report(a.Body); ok {
 			e.Role, e.Position = role, c.position(position)
 		}
@@ -491,7 +491,7 @@
 	if !(unixMs > 0 && unixMs < math.MaxInt64/1e6) {
 		return 0
 	}
-	return max(0, span(unixMs)-c.set.Epoch)
+	return max(0, span(unixMs)-c.set.PositionEpoch)
 }
 
 // span is the one place where milliseconds become the module's time, to the microsecond.
--- a/internal/proxy/state_test.go
+++ b/internal/proxy/state_test.go
@@ -23,7 +23,7 @@
 }
 
 type fakeConn struct {
-	owner  ConnOwner
+	owner  UpstreamHandler
 	addr   string
 	sent   []any
 	closed bool
@@ -33,12 +33,12 @@
 func (c *fakeConn) Send(cmd any, _ float64) {
 	c.sent = append(c.sent, cmd)
 	if !c.stuck {
-		c.owner.Written()
+		c.owner.RequestWritten()
 	}
 }
 func (c *fakeConn) Close() { c.closed = true }
 
-func (b *bench) Dial(addr string, o ConnOwner) (Conn, error) {
+func (b *bench) Dial(addr string, o UpstreamHandler) (UpstreamConn, error) {
 	c := &fakeConn{owner: o, addr: addr}
 	b.conns = append(b.conns, c)
 	return c, nil
@@ -47,9 +47,9 @@
 func (b *bench) say(format string, args ...any) {
 	b.got = append(b.got, fmt.Sprintf("%v %s", b.now, fmt.Sprintf(format, args...)))
 }
-func (b *bench) Served(body []byte)      { b.say("served %s", body) }
-func (b *bench) Refused(afterMs float64) { b.say("refused %v", afterMs) }
-func (b *bench) Failed(body []byte)      { b.say("failed %s", body) }
+func (b *bench) Succeed(body []byte)    { b.say("served %s", body) }
+func (b *bench) Reject(afterMs float64) { b.say("refused %v", afterMs) }
+func (b *bench) Fail(body []byte)       { b.say("failed %s", body) }
 
 func newBench(t *testing.T, hosts ...string) *bench {
 	t.Helper()
@@ -57,28 +57,28 @@
 	b.timers = &eventloop.Timers{Clock: eventloop.ManualClock(&b.now)}
 	set := routing.Settings{
 		Classes: []routing.Class{
-			{Name: "read", Need: routing.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
-			{Name: "write", Need: routing.NeedPrimary, Effect: routing.EffectUnsafe, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
-			{Name: "keyed", Need: routing.NeedPrimary, Effect: routing.EffectKeyed, Aim: 400 * time.Millisecond, Deadline: time.Second,
-				RepeatWindow: 200 * time.Millisecond, Worth: 1, LateWorth: 0.5},
+			{Name: "read", Consistency: routing.ConsistencyAny, LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+			{Name: "write", Consistency: routing.ConsistencyWrite, Idempotency: routing.NotIdempotent, LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+			{Name: "keyed", Consistency: routing.ConsistencyWrite, Idempotency: routing.IdempotentWithKey, LatencyObjective: 400 * time.Millisecond, Deadline: time.Second,
+				DedupWindow: 200 * time.Millisecond, PriorityWeight: 1, LateWeightShare: 0.5},
 		},
-		Routers: 1, MaxAttempts: 4, MayCancel: true, DrainGrace: 300 * time.Millisecond, Check: routing.CheckRefuse,
+		GatewayCount: 1, MaxAttempts: 4, CancelAllowed: true, DrainGrace: 300 * time.Millisecond, StalenessCheck: routing.StalenessCheckReject,
 	}
 	var err error
-	b.Core, err = New(b.timers, zap.NewNop(), set, 1, Limits{ConnectMs: 250, IdleMs: 3000, Conns: 4, Requests: 3}, b, nil, nil)
+	b.Core, err = New(b.timers, zap.NewNop(), set, 1, Limits{ConnectTimeoutMs: 250, HostIdleTimeoutMs: 3000, MaxConns: 4, MaxRequests: 3}, b, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.list(routing.Ready, hosts...)
+	b.list(routing.StateReady, hosts...)
 	return b
 }
 
-func (b *bench) list(s routing.State, ids ...string) {
+func (b *bench) list(s routing.EndpointState, ids ...string) {
 	var list []Host
 	for _, id := range ids {
-		list = append(list, Host{Addr: id, Member: routing.Member{ID: id, State: s}})
+		list = append(list, Host{Address: id, Endpoint: routing.Endpoint{ID: id, State: s}})
 	}
-	b.SetHosts(true, list)
+	b.UpdateHosts(true, list)
 	b.Step()
 }
 
@@ -91,7 +91,7 @@
 }
 
 func (b *bench) submit(class int, left float64) {
-	if _, ok := b.Submit(Request{Class: class, Tenant: -1, LeftMs: left, Command: "command", Reply: b}); !ok {
+	if _, ok := b.Submit(Request{Class: class, Tenant: -1, TimeLeftMs: left, Command: "command", Responder: b}); !ok {
 		b.say("full")
 	}
 	b.timers.Fire() // as in a round of the loop
@@ -112,10 +112,10 @@
 		b := newBench(t, "a")
 		b.submit(0, left)
 		if len(b.conns) > 0 {
-			b.conns[0].owner.Up()
+			b.conns[0].owner.Established()
 		}
 		b.pass(left + 1)
-		if len(b.got) != 1 || b.Open() != 0 {
+		if len(b.got) != 1 || b.OpenRequests() != 0 {
 			t.Errorf("%v ms left: got %q at %v", left, b.got, b.now)
 		}
 	}
@@ -124,13 +124,13 @@
 func TestOneAnswerByTheDeadline(t *testing.T) {
 	b := newBench(t, "a")
 	b.submit(1, 500)
-	b.conns[0].owner.Up()
+	b.conns[0].owner.Established()
 	b.pass(600)
 	b.want(t, "1495 failed ")
 	if !b.conns[0].closed {
 		t.Error("giving up did not close the connection")
 	}
-	b.conns[0].owner.Answered(Answer{Outcome: routing.OK}) // too late
+	b.conns[0].owner.ResponseReceived(Response{Outcome: routing.OutcomeOK}) // too late
 	b.pass(10)
 	b.want(t, "1495 failed ")
 }
@@ -140,8 +140,8 @@
 		b := newBench(t, "a", "b")
 		b.submit(1, 500) // an unsafe write: repeated only if it can't have run
 		b.conns[0].stuck = stuck
-		b.conns[0].owner.Up()
-		b.conns[0].owner.Down(errors.New("reset"))
+		b.conns[0].owner.Established()
+		b.conns[0].owner.ConnectionClosed(errors.New("reset"))
 		b.pass(400)
 		if again := len(b.conns) > 1; again != stuck {
 			t.Errorf("stuck %v: sent again %v", stuck, again)
@@ -153,9 +153,9 @@
 func TestSlowConnectIsCheckedAgainstTheDrain(t *testing.T) {
 	b := newBench(t, "a")
 	b.submit(0, 900)
-	b.list(routing.Draining, "a")
+	b.list(routing.StateDraining, "a")
 	b.now += 290
-	b.conns[0].owner.Up()
+	b.conns[0].owner.Established()
 	if len(b.conns[0].sent) != 0 {
 		t.Error("sent to a host whose drain is over")
 	}
@@ -170,9 +170,9 @@
 	for i := range 2 {
 		b.submit(0, 500)
 		if i == 0 {
-			b.conns[0].owner.Up()
+			b.conns[0].owner.Established()
 		}
-		b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Body: []byte("x")})
+		b.conns[0].owner.ResponseReceived(Response{Outcome: routing.OutcomeOK, Body: []byte("x")})
 		b.pass(settleMs)
 	}
 	b.want(t, "1000 served x", "1002 served x")
@@ -191,16 +191,16 @@
 	for _, ends := range []bool{false, true} {
 		b := newBench(t, "a")
 		b.submit(0, 500)
-		b.conns[0].owner.Up()
-		b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Body: []byte("x")})
+		b.conns[0].owner.Established()
+		b.conns[0].owner.ResponseReceived(Response{Outcome: routing.OutcomeOK, Body: []byte("x")})
 		b.submit(0, 500)
 		if len(b.conns[0].sent) != 1 {
 			t.Error("sent in the round of the answer before")
 		}
 		if ends {
-			b.conns[0].owner.Down(errors.New("closed"))
+			b.conns[0].owner.ConnectionClosed(errors.New("closed"))
 			b.pass(1)
-			b.conns[1].owner.Up()
+			b.conns[1].owner.Established()
 		}
 		b.pass(settleMs + 1)
 		last := b.conns[len(b.conns)-1]
@@ -214,8 +214,8 @@
 func TestTheLastAnswerOfAConnection(t *testing.T) {
 	b := newBench(t, "a")
 	b.submit(0, 500)
-	b.conns[0].owner.Up()
-	b.conns[0].owner.Answered(Answer{Outcome: routing.OK, Body: []byte("x"), Last: true})
+	b.conns[0].owner.Established()
+	b.conns[0].owner.ResponseReceived(Response{Outcome: routing.OutcomeOK, Body: []byte("x"), ConnectionEnds: true})
 	b.submit(0, 500)
 	if !b.conns[0].closed || len(b.conns) != 2 {
 		t.Errorf("closed %v, %d connections", b.conns[0].closed, len(b.conns))
@@ -234,14 +234,14 @@
 func TestHostsThatAreBackAreNoticed(t *testing.T) {
 	b := newBench(t, "a")
 	b.submit(0, 300)
-	b.conns[0].owner.Down(errors.New("refused"))
+	b.conns[0].owner.ConnectionClosed(errors.New("refused"))
 	b.pass(400)
 	if b.Ready() {
 		t.Fatal("ready without a host")
 	}
 	b.pass(600)
 	last := b.conns[len(b.conns)-1]
-	last.owner.Up()
+	last.owner.Established()
 	if !b.Ready() {
 		t.Error("not ready with a host that is back")
 	}
@@ -253,19 +253,19 @@
 	for _, c := range []struct{ gateways, least, most int }{{1, 9, 11}, {300, 3, 5}} {
 		b := &bench{now: 1000}
 		b.timers = &eventloop.Timers{Clock: eventloop.ManualClock(&b.now)}
-		set := routing.Settings{Classes: []routing.Class{{Name: "read", Need: routing.NeedAny, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1}},
-			Routers: c.gateways, MaxAttempts: 4, Check: routing.CheckRefuse}
+		set := routing.Settings{Classes: []routing.Class{{Name: "read", Consistency: routing.ConsistencyAny, LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
+			GatewayCount: c.gateways, MaxAttempts: 4, StalenessCheck: routing.StalenessCheckReject}
 		var err error
-		b.Core, err = New(b.timers, zap.NewNop(), set, 1, Limits{ConnectMs: 250, IdleMs: 60_000, Conns: 4, Requests: 3, GreetMs: 1000}, b, "greeting", nil)
+		b.Core, err = New(b.timers, zap.NewNop(), set, 1, Limits{ConnectTimeoutMs: 250, HostIdleTimeoutMs: 60_000, MaxConns: 4, MaxRequests: 3, HealthCheckIntervalMs: 1000}, b, "greeting", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.list(routing.Ready, "a")
+		b.list(routing.StateReady, "a")
 		for range 1000 {
 			for _, conn := range b.conns {
 				conn := conn
 				if !conn.closed && len(conn.sent) == 0 {
-					conn.owner.Up()
+					conn.owner.Established()
 				}
 			}
 			b.now += 10
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -17,19 +17,19 @@
 
 // Config is what the program is told at its start, whichever front it serves.
 type Config struct {
-	Name, Listen, Discovery string
-	ListenFD                int    // descriptor of the clients' listener; 0: none was handed down
-	StateDir                string // for what the processes of one gateway share
-	Management              string // address of the management calls; "": none
-	Seed                    uint64
-	MemoryMB, Sockets       int
-	Settings                routing.Settings
-	ConnectMs, IdleMs       float64
-	Known                   []proxy.Host
-	KnownAt                 int64     // its version
-	Operator                *Operator // nil: the platform's front
-	Path                    string    // of the file, to be read again at SIGHUP
-	Watched                 string    // discovery as the file names it, whatever the environment says
+	Name, Listen, Discovery             string
+	ListenFD                            int    // descriptor of the clients' listener; 0: none was handed down
+	StateDir                            string // for what the processes of one gateway share
+	Management                          string // address of the management calls; "": none
+	Seed                                uint64
+	MemoryMB, Sockets                   int
+	Settings                            routing.Settings
+	ConnectTimeoutMs, HostIdleTimeoutMs float64
+	KnownHosts                          []proxy.Host
+	KnownRevision                       int64           // its version
+	Operator                            *OperatorConfig // nil: the platform's front
+	Path                                string          // of the file, to be read again at SIGHUP
+	FileDiscovery                       string          // discovery as the file names it, whatever the environment says
 }
 
 // What is taken where a configuration says nothing.
@@ -74,8 +74,8 @@
 	}
 	c := &Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management, Seed: seedOf(f.Seed),
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Path: path, Watched: watched,
-		KnownAt: discovery.None,
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Path: path, FileDiscovery: watched,
+		KnownRevision: discovery.NoRevision,
 	}
 	if c.Settings, err = simulator.DecodeSettings(string(f.Settings)); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -86,16 +86,16 @@
 	if err := json.Unmarshal(f.Settings, &more); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	c.ConnectMs, c.IdleMs = more.Permissions.ConnectTimeoutMs, more.Permissions.ConnIdleMs
+	c.ConnectTimeoutMs, c.HostIdleTimeoutMs = more.Permissions.ConnectTimeoutMs, more.Permissions.ConnIdleMs
 	if f.Known != nil {
-		if c.Known, err = f.Known.Hosts(); err != nil {
+		if c.KnownHosts, err = f.Known.Hosts(); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 		if f.Known.Complete {
-			c.KnownAt = f.Known.Revision
+			c.KnownRevision = f.Known.Revision
 		}
 	}
-	for _, addr := range []string{c.Discovery, c.Watched} {
+	for _, addr := range []string{c.Discovery, c.FileDiscovery} {
 		if err := checkAddr("discovery", addr); err != nil && (addr != "" || c.Discovery == "") {
 			return nil, err
 		}
@@ -103,9 +103,9 @@
 	return c, c.complete()
 }
 
-// Again reads the configuration anew from the file that it came from. Where discovery is, the file says alone: the
+// Reload reads the configuration anew from the file that it came from. Where discovery is, the file says alone: the
 // environment is still that of the start.
-func (c *Config) Again() (*Config, error) {
+func (c *Config) Reload() (*Config, error) {
 	if c.Operator != nil {
 		return LoadOperator(c.Path)
 	}
@@ -125,11 +125,11 @@
 	if c.Sockets <= 0 {
 		c.Sockets = defaultSockets
 	}
-	if c.ConnectMs <= 0 {
-		c.ConnectMs = defaultConnectMs
+	if c.ConnectTimeoutMs <= 0 {
+		c.ConnectTimeoutMs = defaultConnectMs
 	}
-	if c.IdleMs <= 0 {
-		c.IdleMs = defaultIdleMs
+	if c.HostIdleTimeoutMs <= 0 {
+		c.HostIdleTimeoutMs = defaultIdleMs
 	}
 	if c.Sockets < 64 {
 		return fmt.Errorf("limits.sockets: %d is too few, 64 are needed", c.Sockets)
--- a/internal/server/crossings_test.go
+++ b/internal/server/crossings_test.go
@@ -47,7 +47,7 @@
 		t.Cleanup(web.Close)
 		cfg, err := loadOperator(t, operatorText(t, web.Listener.Addr().String()))
 		if err == nil {
-			cfg.ConnectMs = 20_000
+			cfg.ConnectTimeoutMs = 20_000
 		}
 		return run(t, cfg, err)
 	})
@@ -68,7 +68,7 @@
 	}
 	cfg, err := LoadPlatform(path, func(string) string { return "" })
 	if err == nil {
-		cfg.ConnectMs = 20_000
+		cfg.ConnectTimeoutMs = 20_000
 	}
 	return cfg, err
 }
@@ -76,7 +76,7 @@
 // InHand is how many requests have no answer yet.
 func (r *running) InHand() int {
 	n := make(chan int, 1)
-	r.loop.Notify(func() { n <- r.core.Open() })
+	r.loop.Notify(func() { n <- r.core.OpenRequests() })
 	select {
 	case v := <-n:
 		return v
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.running = &running{Program: p, done: make(chan struct{})}
+	g.running = &running{Server: p, done: make(chan struct{})}
 	return g
 }
 
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -48,8 +48,8 @@
 	if err := p.Gateway.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	if g := p.Gateway.(*running); g.core.Open() != 0 || g.abandoned != 0 {
-		t.Errorf("%d requests and %d connections were left", g.core.Open(), g.abandoned)
+	if g := p.Gateway.(*running); g.core.OpenRequests() != 0 || g.abandoned != 0 {
+		t.Errorf("%d requests and %d connections were left", g.core.OpenRequests(), g.abandoned)
 	}
 }
 
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -88,18 +88,18 @@
 }
 
 // joinFleet opens the fleet's socket where an operator has set one up.
-func (p *Program) joinFleet() (err error) {
+func (p *Server) joinFleet() (err error) {
 	if p.cfg.Operator == nil || p.cfg.Operator.Fleet == nil {
 		return nil
 	}
 	if p.peer, err = transport.New(p.loop, p.log, *p.cfg.Operator.Fleet); err == nil {
-		p.loop.Soon(func() {}) // it has something to do in the first round
+		p.loop.NextRound(func() {}) // it has something to do in the first round
 	}
 	return err
 }
 
 // fleetAddr is the address that the fleet's datagrams come to; "" without a fleet.
-func (p *Program) fleetAddr() string {
+func (p *Server) fleetAddr() string {
 	if p.peer == nil {
 		return ""
 	}
@@ -107,7 +107,7 @@
 }
 
 // step is what each round of the loop does when all has been gathered.
-func (p *Program) step() {
+func (p *Server) step() {
 	p.core.Step()
 	if p.peer != nil {
 		p.peer.Step()
@@ -120,7 +120,7 @@
 	edition int     // of the view that the core knows
 	at      float64 // it was told then
 	taken   int     // requests by then
-	teller  fleet.Teller
+	teller  fleet.LoadAnnouncer
 	load    float64 // that the others are told, requests a second
 	roster  *fleet.Roster
 }
@@ -131,45 +131,45 @@
 )
 
 // share tells the others how much traffic comes here, and the core who shares the hosts, when that has changed.
-func (p *Program) share() {
+func (p *Server) share() {
 	s, now := &p.sharing, p.loop.Clock.Now()
 	if s.roster == nil {
 		s.at = now - lookMs
 		p.loop.After(lookMs, p.shareLater)
 	}
-	changed := p.peer.Edition() != s.edition
+	changed := p.peer.ChangeCount() != s.edition
 	if s.roster != nil && now < s.at+lookMs && !(changed && now >= s.at+changeMs) {
 		return
 	}
 	if passed := now - s.at; passed >= lookMs {
-		taken := p.core.Taken()
-		s.load = s.teller.Look(now, float64(taken-s.taken)*1000/passed)
+		taken := p.core.AcceptedRequests()
+		s.load = s.teller.Observe(now, float64(taken-s.taken)*1000/passed)
 		s.taken, s.at = taken, now
-		p.peer.Tell(transport.Payload{Load: s.load})
+		p.peer.Announce(transport.Payload{Load: s.load})
 	}
-	s.edition = p.peer.Edition()
+	s.edition = p.peer.ChangeCount()
 	members, _ := p.peer.Members()
-	r := transport.Roster(fleet.Peer{Name: p.cfg.Name, Zone: p.cfg.Operator.Fleet.Zone, Load: s.load}, members)
-	if s.roster != nil && s.roster.Same(r) {
+	r := transport.NewRoster(fleet.Gateway{Name: p.cfg.Name, Zone: p.cfg.Operator.Fleet.Zone, Load: s.load}, members)
+	if s.roster != nil && s.roster.Equivalent(r) {
 		return
 	}
 	s.roster = r
-	p.core.SetPeers(r)
+	p.core.SetRoster(r)
 	if p.watch != nil {
-		p.watch.SetTurns(r.Turns())
+		p.watch.SetSchedule(r.Schedule())
 	}
-	p.loop.Soon(func() {})
+	p.loop.NextRound(func() {})
 }
 
 // shareLater sees to it that there is a round each second.
-func (p *Program) shareLater() {
+func (p *Server) shareLater() {
 	if !p.stopping {
 		p.loop.After(lookMs, p.shareLater)
 	}
 }
 
 // reloadFleet takes in the keys of a configuration that was read again.
-func (p *Program) reloadFleet(cfg *Config) {
+func (p *Server) reloadFleet(cfg *Config) {
 	if p.peer == nil || cfg.Operator == nil || cfg.Operator.Fleet == nil {
 		return
 	}
@@ -188,14 +188,14 @@
 func same(a, b [][]byte) bool { return bytes.Equal(bytes.Join(a, []byte{0}), bytes.Join(b, []byte{0})) }
 
 // Fleet is what is known of the other gateways; nil where no fleet is set up.
-func (p *Program) Fleet() *management.Fleet {
+func (p *Server) Fleet() *management.Fleet {
 	if p.peer == nil {
 		return nil
 	}
 	members, s := p.peer.Members()
 	now := p.loop.Clock.Now()
 	f := &management.Fleet{
-		Name: p.cfg.Operator.Fleet.Fleet, Self: p.cfg.Name, Standing: s.Standing.String(), Part: s.Part, Alive: s.Alive, Suspect: s.Suspect,
+		Name: p.cfg.Operator.Fleet.Fleet, Self: p.cfg.Name, Status: s.Status.String(), Partial: s.Partial, Alive: s.Alive, Suspect: s.Suspect,
 		Unreachable: s.Unreachable, Dead: s.Dead, Left: s.Left, Health: s.Health, Loss: s.Loss, RoundTripMs: s.RoundTripMs,
 	}
 	for _, m := range members {
@@ -206,7 +206,7 @@
 }
 
 // FleetMetrics are the fleet's figures in the text form of Prometheus; "" where no fleet is set up.
-func (p *Program) FleetMetrics() string {
+func (p *Server) FleetMetrics() string {
 	if p.peer == nil {
 		return ""
 	}
--- a/internal/server/fleet_test.go
+++ b/internal/server/fleet_test.go
@@ -64,7 +64,7 @@
 
 // An address in use is a start with one line; without [fleet] there is no socket and no fleet.
 func TestFleetAddress(t *testing.T) {
-	open := func(fleet string) (*Program, error) {
+	open := func(fleet string) (*Server, error) {
 		c, err := loadFleet(t, fleet)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/server/manage.go
+++ b/internal/server/manage.go
@@ -11,15 +11,15 @@
 const awayMs = 500.0
 
 // TakesClients tells whether clients are taken now.
-func (p *Program) TakesClients() bool { return !p.stopping && !p.held && p.ready() }
+func (p *Server) TakesClients() bool { return !p.stopping && !p.held && p.ready() }
 
 // Telemetry is what has been counted since this process started.
-func (p *Program) Telemetry() management.Telemetry {
+func (p *Server) Telemetry() management.Telemetry {
 	t := management.Telemetry{
-		Replies: map[string]proxy.Replies{}, Figures: p.core.Figures(),
+		Replies: map[string]proxy.ReplyCounts{}, Stats: p.core.Stats(),
 		ReloadFailure: p.reloads[0], ReloadSuccess: p.reloads[1],
 	}
-	for i, n := range p.core.Replies() {
+	for i, n := range p.core.ReplyCounts() {
 		t.Replies[p.cfg.Settings.Classes[i].Name] = n
 	}
 	if t.Fleet = p.Fleet(); t.Fleet != nil {
@@ -29,7 +29,7 @@
 }
 
 // Exclude takes a database host out of use.
-func (p *Program) Exclude(id string) bool {
+func (p *Server) Exclude(id string) bool {
 	p.learn()
 	known := p.core.Exclude(id, p.loop.Clock.Now())
 	if known {
@@ -40,7 +40,7 @@
 }
 
 // Include uses a database host again.
-func (p *Program) Include(id string) bool {
+func (p *Server) Include(id string) bool {
 	p.learn()
 	known := p.core.Include(id)
 	if known {
@@ -52,7 +52,7 @@
 
 // Evacuate sends the clients away: from now on the empty query says no. Those that the front still sends meanwhile are
 // served; then connections close as they become idle, new ones too. The gateway itself stays.
-func (p *Program) Evacuate() {
+func (p *Server) Evacuate() {
 	if p.away || p.stopping {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 // Rejoin takes clients again.
-func (p *Program) Rejoin() {
+func (p *Server) Rejoin() {
 	if !p.away {
 		return
 	}
@@ -70,6 +70,6 @@
 	p.away = false
 	p.leaving.Stop()
 	if !p.stopping {
-		p.clients.Stay()
+		p.clients.StopDraining()
 	}
 }
--- a/internal/server/operator.go
+++ b/internal/server/operator.go
@@ -17,14 +17,14 @@
 	"merlinjunction/routing"
 )
 
-// Operator is the part of a configuration that sets up the extended front.
-type Operator struct {
-	AgentCheck, HTTP string
-	Rules            extended.Rules
-	Login            login
-	Probe            pg.Command // nil: none
-	GreetMs          float64
-	Fleet            *transport.Config // nil: this gateway talks to no other
+// OperatorConfig is the part of a configuration that sets up the extended front.
+type OperatorConfig struct {
+	AgentCheck, HTTP      string
+	Rules                 extended.Rules
+	Login                 login
+	HealthCheck           pg.Command // nil: none
+	HealthCheckIntervalMs float64
+	Fleet                 *transport.Config // nil: this gateway talks to no other
 }
 
 // login is how hosts are greeted, and what they tell of themselves.
@@ -107,14 +107,14 @@
 const greetMs = 1000.0
 
 var (
-	needs = map[string]routing.Need{"any": routing.NeedAny, "bounded": routing.NeedBounded,
-		"session": routing.NeedSession, "fresh": routing.NeedFresh, "write": routing.NeedPrimary}
-	effects = map[string]routing.Effect{"safe": routing.EffectSafe, "keyed": routing.EffectKeyed, "unsafe": routing.EffectUnsafe}
-	checks  = map[string]routing.Check{"": routing.CheckNone, "none": routing.CheckNone, "refuse": routing.CheckRefuse,
-		"wait": routing.CheckWait}
+	needs = map[string]routing.Consistency{"any": routing.ConsistencyAny, "bounded": routing.ConsistencyBounded,
+		"session": routing.ConsistencySession, "fresh": routing.ConsistencyStrong, "write": routing.ConsistencyWrite}
+	effects = map[string]routing.Idempotency{"safe": routing.Idempotent, "keyed": routing.IdempotentWithKey, "unsafe": routing.NotIdempotent}
+	checks  = map[string]routing.StalenessCheck{"": routing.StalenessCheckNone, "none": routing.StalenessCheckNone, "refuse": routing.StalenessCheckReject,
+		"wait": routing.StalenessCheckWait}
 	// A probe asks for a report, or only for what the greeting tells; the default.
-	probes = map[string]pg.Command{"": pg.Greeting{}, "greeting": pg.Greeting{}, "load": pg.Probe{}, "none": nil}
-	states = map[string]routing.State{"": routing.Ready, "ready": routing.Ready, "draining": routing.Draining}
+	probes = map[string]pg.Command{"": pg.EmptyQuery{}, "greeting": pg.EmptyQuery{}, "load": pg.LoadReportQuery{}, "none": nil}
+	states = map[string]routing.EndpointState{"": routing.StateReady, "ready": routing.StateReady, "draining": routing.StateDraining}
 )
 
 // LoadOperator reads an operator's file. Each error is one line that names the key.
@@ -140,11 +140,11 @@
 
 func (f *operatorFile) config() (*Config, error) {
 	r := f.Rules
-	op := &Operator{AgentCheck: f.Health.AgentCheck, HTTP: f.Health.HTTP, Login: f.Hosts}
+	op := &OperatorConfig{AgentCheck: f.Health.AgentCheck, HTTP: f.Health.HTTP, Login: f.Hosts}
 	c := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Watched: f.Discovery, Seed: uint64(time.Now().UnixNano()),
-		KnownAt: discovery.None, Management: f.Management,
-		MemoryMB: f.MemoryMB, Sockets: f.Sockets, ConnectMs: r.ConnectMs, IdleMs: r.IdleMs, Operator: op,
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, FileDiscovery: f.Discovery, Seed: uint64(time.Now().UnixNano()),
+		KnownRevision: discovery.NoRevision, Management: f.Management,
+		MemoryMB: f.MemoryMB, Sockets: f.Sockets, ConnectTimeoutMs: r.ConnectMs, HostIdleTimeoutMs: r.IdleMs, Operator: op,
 	}
 	var err error
 	if op.Fleet, err = f.Fleet.config(f.Name, c.Seed); err != nil {
@@ -174,15 +174,15 @@
 	if !ok {
 		return nil, fmt.Errorf("rules.probes: unknown word %q", r.Probes)
 	}
-	op.Probe = probe
+	op.HealthCheck = probe
 	if r.Probes == "" || r.Probes == "greeting" {
-		op.GreetMs = greetMs
+		op.HealthCheckIntervalMs = greetMs
 	}
 	c.Settings = routing.Settings{
-		Routers: r.Gateways, Index: r.Index, Subset: r.Subset, Tick: time.Millisecond, Check: check, MayCancel: true, MayProbe: r.Probes == "load",
-		MayHint: r.RetryHintMs > 0, MaxHint: millis(r.RetryHintMs), MaxAttempts: r.MaxAttempts,
-		DrainGrace: millis(r.DrainGraceMs), ColdShare: r.ColdShare, ColdTime: millis(r.ColdMs),
-		TipMultiple: r.TipMultiple, FallTime: millis(r.TipMs),
+		GatewayCount: r.Gateways, GatewayNumber: r.Index, SubsetSize: r.Subset, TickInterval: time.Millisecond, StalenessCheck: check, CancelAllowed: true, HealthChecksAllowed: r.Probes == "load",
+		RetryAfterAllowed: r.RetryHintMs > 0, MaxRetryAfter: millis(r.RetryHintMs), MaxAttempts: r.MaxAttempts,
+		DrainGrace: millis(r.DrainGraceMs), SlowStartMinShare: r.ColdShare, SlowStartWindow: millis(r.ColdMs),
+		OverloadMultiple: r.TipMultiple, OverloadWindow: millis(r.TipMs),
 	}
 	if f.Fleet != nil {
 		c.Settings.Zone = f.Fleet.Zone
@@ -193,10 +193,10 @@
 		}
 	}
 	op.Rules.Classes = c.Settings.Classes
-	if op.Rules.Describe = op.class(f.DescribeClass); op.Rules.Describe < 0 {
+	if op.Rules.DescribeClass = op.class(f.DescribeClass); op.Rules.DescribeClass < 0 {
 		return nil, fmt.Errorf("describe_class: no class %q", f.DescribeClass)
 	}
-	if err := op.Rules.Check(); err != nil {
+	if err := op.Rules.Validate(); err != nil {
 		return nil, err
 	}
 	for key, addr := range map[string]string{"health.agent_check": op.AgentCheck, "health.http": op.HTTP, "discovery": c.Discovery} {
@@ -214,11 +214,11 @@
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func (op *Operator) class(name string) int {
+func (op *OperatorConfig) class(name string) int {
 	return slices.IndexFunc(op.Rules.Classes, func(c routing.Class) bool { return c.Name == name })
 }
 
-func (f *operatorFile) classes(c *Config, op *Operator) error {
+func (f *operatorFile) classes(c *Config, op *OperatorConfig) error {
 	for i, l := range f.Class {
 		for key, v := range map[string]float64{
 			"max_age_ms": l.MaxAgeMs, "repeat_window_ms": l.RepeatWindowMs, "aim_ms": l.AimMs,
@@ -237,16 +237,16 @@
 			return fmt.Errorf("class %d (%q): name, need, effect, aim_ms or deadline_ms is missing or wrong", i+1, l.Name)
 		}
 		c.Settings.Classes = append(c.Settings.Classes, routing.Class{
-			Name: l.Name, Need: need, MaxAge: millis(l.MaxAgeMs), Effect: effect, RepeatAnyHost: l.RepeatAnyHost,
-			RepeatWindow: millis(l.RepeatWindowMs), Aim: millis(l.AimMs), Deadline: millis(l.DeadlineMs),
-			Worth: l.Worth, LateWorth: l.LateWorth,
+			Name: l.Name, Consistency: need, MaxStaleness: millis(l.MaxAgeMs), Idempotency: effect, KeySharedByAllHosts: l.RepeatAnyHost,
+			DedupWindow: millis(l.RepeatWindowMs), LatencyObjective: millis(l.AimMs), Deadline: millis(l.DeadlineMs),
+			PriorityWeight: l.Worth, LateWeightShare: l.LateWorth,
 		})
 	}
 	op.Rules.Classes = c.Settings.Classes
 	return nil
 }
 
-func (f *operatorFile) statements(op *Operator) error {
+func (f *operatorFile) statements(op *OperatorConfig) error {
 	for i, l := range f.Statement {
 		p, err := regexp.Compile(l.Pattern)
 		if err != nil || l.Pattern == "" {
@@ -257,13 +257,13 @@
 			return fmt.Errorf("statement %d: class: no class %q", i+1, l.Class)
 		}
 		op.Rules.Rules = append(op.Rules.Rules, extended.Rule{
-			Pattern: p, Class: class, Session: l.SessionParam, Key: l.KeyParam,
+			Pattern: p, Class: class, SessionParam: l.SessionParam, KeyParam: l.KeyParam,
 		})
 	}
 	return nil
 }
 
-func (f *operatorFile) hosts(c *Config, op *Operator) error {
+func (f *operatorFile) hosts(c *Config, op *OperatorConfig) error {
 	op.Rules.Databases, op.Rules.Tenants = map[string]int{}, map[string]int{}
 	for _, d := range f.Database {
 		op.Rules.Databases[d.Name] = d.Group
@@ -282,11 +282,11 @@
 		if err := checkAddr(fmt.Sprintf("host %d: address", i+1), h.Addr); err != nil {
 			return err
 		}
-		c.Known = append(c.Known, proxy.Host{Addr: h.Addr, Member: routing.Member{
+		c.KnownHosts = append(c.KnownHosts, proxy.Host{Address: h.Addr, Endpoint: routing.Endpoint{
 			ID: h.ID, Group: h.Group, Primary: h.Primary, State: st,
 		}})
 	}
-	if len(c.Known) == 0 && c.Discovery == "" {
+	if len(c.KnownHosts) == 0 && c.Discovery == "" {
 		return fmt.Errorf("host: none is listed, and discovery is not set")
 	}
 	return nil
--- a/internal/server/pipeline_test.go
+++ b/internal/server/pipeline_test.go
@@ -56,8 +56,8 @@
 	if err := p.Gateway.Wait(); err != nil {
 		t.Error(err)
 	}
-	if g := p.Gateway.(*running); g.core.Open() != 0 {
-		t.Errorf("%d requests were left", g.core.Open())
+	if g := p.Gateway.(*running); g.core.OpenRequests() != 0 {
+		t.Errorf("%d requests were left", g.core.OpenRequests())
 	}
 }
 
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -50,13 +50,13 @@
 	doneMs = 5.0
 )
 
-// Program is the running gateway.
-type Program struct {
+// Server is the running gateway.
+type Server struct {
 	cfg       *Config
 	loop      *eventloop.Loop
 	log       *zap.Logger
 	core      *proxy.Core
-	clients   *pg.Clients
+	clients   *pg.ClientPool
 	listener  *eventloop.Listener
 	agent     *eventloop.Listener // nil where not set up
 	http      *eventloop.Listener
@@ -67,17 +67,17 @@
 	told      bool               // and has spoken
 	sharing   sharing
 	stopping  bool
-	stoppedAt float64          // when it was told to stop
-	away      bool             // clients are sent away
-	leaving   *eventloop.Timer // until those that still come are
-	reloads   [2]int           // that failed, that were taken in
-	peer      *transport.Peer  // nil: no fleet is set up
-	shared    *shared          // with other processes of this gateway; nil where no listener was handed down
-	held      bool             // the listener accepts nobody yet
-	beside    bool             // another process of this gateway lives
-	free      int              // descriptors for clients and hosts
-	conns     int              // of them for hosts
-	abandoned int              // client connections that were left when the time was over
+	stoppedAt float64              // when it was told to stop
+	away      bool                 // clients are sent away
+	leaving   *eventloop.Timer     // until those that still come are
+	reloads   [2]int               // that failed, that were taken in
+	peer      *transport.Transport // nil: no fleet is set up
+	shared    *shared              // with other processes of this gateway; nil where no listener was handed down
+	held      bool                 // the listener accepts nobody yet
+	beside    bool                 // another process of this gateway lives
+	free      int                  // descriptors for clients and hosts
+	conns     int                  // of them for hosts
+	abandoned int                  // client connections that were left when the time was over
 }
 
 // Serve runs the gateway until it has been told to stop and has finished what it had taken.
@@ -94,15 +94,15 @@
 }
 
 // New sets the gateway up; Run starts it.
-func New(cfg *Config, log *zap.Logger, clock *eventloop.Clock) (*Program, error) {
+func New(cfg *Config, log *zap.Logger, clock *eventloop.Clock) (*Server, error) {
 	debug.SetMemoryLimit(int64(heapShare * float64(cfg.MemoryMB) * (1 << 20)))
 	l, err := eventloop.New(clock)
 	if err != nil {
 		return nil, err
 	}
-	l.Most = int(bufferShare * float64(cfg.MemoryMB) * (1 << 20))
-	l.HeldUp = func(ms float64) { log.Warn("a round of the loop took long", zap.Float64("ms", ms)) }
-	p := &Program{cfg: cfg, loop: l, log: log}
+	l.MaxBufferedBytes = int(bufferShare * float64(cfg.MemoryMB) * (1 << 20))
+	l.OnDelay = func(ms float64) { log.Warn("a round of the loop took long", zap.Float64("ms", ms)) }
+	p := &Server{cfg: cfg, loop: l, log: log}
 	if err := p.open(); err != nil {
 		p.Close()
 		return nil, err
@@ -111,7 +111,7 @@
 }
 
 // Close gives back what a program that does not run holds.
-func (p *Program) Close() {
+func (p *Server) Close() {
 	if p.shared != nil {
 		p.shared.close()
 	}
@@ -121,7 +121,7 @@
 	p.loop.Close()
 }
 
-func (p *Program) open() error {
+func (p *Server) open() error {
 	cfg, l := p.cfg, p.loop
 	sockets := cfg.Sockets
 	var lim unix.Rlimit
@@ -130,26 +130,26 @@
 	}
 	p.free = sockets - ownDescriptors
 	p.conns = p.free * 2 / 5
-	limits := proxy.Limits{ConnectMs: cfg.ConnectMs, IdleMs: cfg.IdleMs, Conns: p.conns, Requests: p.free}
-	hosts, probe := pg.NewHosts(l), pg.Command(pg.Probe{})
+	limits := proxy.Limits{ConnectTimeoutMs: cfg.ConnectTimeoutMs, HostIdleTimeoutMs: cfg.HostIdleTimeoutMs, MaxConns: p.conns, MaxRequests: p.free}
+	hosts, probe := pg.NewHostDialer(l), pg.Command(pg.LoadReportQuery{})
 	if op := cfg.Operator; op != nil {
-		probe, limits.GreetMs = op.Probe, op.GreetMs
-		*hosts = pg.Hosts{
-			Loop: l, User: op.Login.User, Database: op.Login.Database, Role: op.Login.Role, Primary: op.Login.Primary,
-			Replica: op.Login.Replica, Position: op.Login.Position, Sticky: op.Login.RoleOnChange,
+		probe, limits.HealthCheckIntervalMs = op.HealthCheck, op.HealthCheckIntervalMs
+		*hosts = pg.HostDialer{
+			Loop: l, User: op.Login.User, Database: op.Login.Database, RoleParameter: op.Login.Role, PrimaryValue: op.Login.Primary,
+			ReplicaValue: op.Login.Replica, PositionParameter: op.Login.Position, RoleOnChange: op.Login.RoleOnChange,
 		}
 	}
 	var err error
-	p.core, err = proxy.New(l.Timers, p.log, cfg.Settings, cfg.Seed, limits, hosts, probe, pg.ReadReport)
+	p.core, err = proxy.New(l.Timers, p.log, cfg.Settings, cfg.Seed, limits, hosts, probe, pg.ParseLoadReport)
 	if err != nil {
 		return err
 	}
-	p.clients = &pg.Clients{Loop: l, Most: p.free - p.conns}
+	p.clients = &pg.ClientPool{Loop: l, MaxClients: p.free - p.conns}
 	if op := cfg.Operator; op != nil {
-		p.clients.Open = (&extended.Front{Core: p.core, Rules: &op.Rules, Ready: p.ready}).Open
+		p.clients.NewSession = (&extended.Frontend{Core: p.core, Rules: &op.Rules, Ready: p.ready}).NewSession
 	} else {
-		p.clients.IdleMs = clientIdleMs
-		p.clients.Open = platform.New(p.core, cfg.Settings, p.ready).Open
+		p.clients.IdleTimeoutMs = clientIdleMs
+		p.clients.NewSession = platform.New(p.core, cfg.Settings, p.ready).NewSession
 	}
 	if cfg.Management != "" {
 		if p.manage, err = management.Serve(l, cfg.Management, p, p.crowded); err != nil {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-func (p *Program) openHealth(op *Operator) (err error) {
+func (p *Server) openHealth(op *OperatorConfig) (err error) {
 	if op.AgentCheck != "" {
 		if p.agent, err = health.ServeAgent(p.loop, op.AgentCheck, p.health, p.crowded); err != nil {
 			return err
@@ -181,15 +181,15 @@
 }
 
 // Run serves until Stop has done its work.
-func (p *Program) Run() error {
-	if len(p.cfg.Known) > 0 {
-		p.core.SetHosts(true, p.cfg.Known)
+func (p *Server) Run() error {
+	if len(p.cfg.KnownHosts) > 0 {
+		p.core.UpdateHosts(true, p.cfg.KnownHosts)
 	}
 	p.told = p.cfg.Discovery == ""
 	p.newsByMs = p.loop.Clock.Now() + firstNewsMs
 	if p.cfg.Discovery != "" {
 		p.follow()
-		if p.watch.Waits(firstNewsMs) { // its clients need not wait for a word that will not have come by then
+		if p.watch.FirstCallLaterThan(firstNewsMs) { // its clients need not wait for a word that will not have come by then
 			p.newsByMs = 0
 		}
 	}
@@ -199,23 +199,23 @@
 	p.log.Info("serving", zap.String("name", p.cfg.Name), zap.String("listen", p.listener.Addr()),
 		zap.String("management", p.Management()), zap.String("fleet", p.fleetAddr()))
 	err := p.loop.Run(p.step)
-	p.log.Info("stopped", zap.Int("connections left", p.abandoned), zap.Int("requests left", p.core.Open()))
+	p.log.Info("stopped", zap.Int("connections left", p.abandoned), zap.Int("requests left", p.core.OpenRequests()))
 	return err
 }
 
 // Addrs are the addresses listened on: clients', agent checks' and HTTP checks'.
-func (p *Program) Addrs() (clients, agent, http string) {
+func (p *Server) Addrs() (clients, agent, http string) {
 	return addrOf(p.listener), addrOf(p.agent), addrOf(p.http)
 }
 
 // Management is the address of the management calls.
-func (p *Program) Management() string { return addrOf(p.manage) }
+func (p *Server) Management() string { return addrOf(p.manage) }
 
-func (p *Program) ready() bool {
+func (p *Server) ready() bool {
 	return !p.away && (p.told || p.loop.Clock.Now() >= p.newsByMs) && p.core.Ready()
 }
 
-func (p *Program) health() health.State {
+func (p *Server) health() health.State {
 	switch {
 	case p.stopping || p.away:
 		return health.Draining
@@ -226,12 +226,12 @@
 }
 
 // crowded makes room when no connection can be accepted.
-func (p *Program) crowded(err error) {
+func (p *Server) crowded(err error) {
 	p.log.Warn("accept", zap.Error(err))
 	p.clients.CloseIdle()
 }
 
-func (p *Program) onSignals(signals <-chan os.Signal) {
+func (p *Server) onSignals(signals <-chan os.Signal) {
 	for s := range signals {
 		if s == syscall.SIGHUP {
 			p.loop.Notify(func() { p.reload(reloadTries) })
@@ -244,9 +244,9 @@
 // reload reads the configuration anew and takes in where discovery is and, of an operator's file, the host list;
 // everything else there needs a restart. What can't be read leaves all as it is: it is tried again for a while, as
 // the file may be half written, and the program goes on serving either way.
-func (p *Program) reload(tries int) {
+func (p *Server) reload(tries int) {
 	p.reloading.Stop()
-	cfg, err := p.cfg.Again()
+	cfg, err := p.cfg.Reload()
 	if err != nil {
 		if tries == reloadTries || tries == 1 {
 			p.log.Error("reload: the old configuration stays", zap.Error(err), zap.Bool("tried again", tries > 1))
@@ -259,45 +259,45 @@
 		return
 	}
 	p.reloads[1]++
-	p.log.Info("reload", zap.String("discovery", cfg.Discovery), zap.Int("hosts", len(cfg.Known)))
-	if cfg.Watched != p.cfg.Watched && cfg.Discovery != "" {
-		p.cfg.Watched, p.cfg.Discovery = cfg.Watched, cfg.Discovery
+	p.log.Info("reload", zap.String("discovery", cfg.Discovery), zap.Int("hosts", len(cfg.KnownHosts)))
+	if cfg.FileDiscovery != p.cfg.FileDiscovery && cfg.Discovery != "" {
+		p.cfg.FileDiscovery, p.cfg.Discovery = cfg.FileDiscovery, cfg.Discovery
 		p.follow()
 	}
 	p.reloadFleet(cfg)
-	if p.cfg.Operator != nil && len(cfg.Known) > 0 {
-		p.core.SetHosts(true, cfg.Known)
+	if p.cfg.Operator != nil && len(cfg.KnownHosts) > 0 {
+		p.core.UpdateHosts(true, cfg.KnownHosts)
 	}
 }
 
 // follow follows the host list at the address that the configuration names now.
-func (p *Program) follow() {
+func (p *Server) follow() {
 	if p.watch != nil {
-		p.watch.Move(p.cfg.Discovery)
+		p.watch.SetAddress(p.cfg.Discovery)
 		return
 	}
 	set := &p.cfg.Settings
-	fleet := discovery.Fleet{Size: set.Routers, Grace: set.DrainGrace.Seconds() * 1000, Seed: p.cfg.Seed, Since: p.cfg.KnownAt,
-		Pushed: p.cfg.Operator == nil && !set.Subscribe} // an operator's discovery is one for all
+	fleet := discovery.Config{GatewayCount: set.GatewayCount, DrainGraceMs: set.DrainGrace.Seconds() * 1000, Seed: p.cfg.Seed, Revision: p.cfg.KnownRevision,
+		Pushed: p.cfg.Operator == nil && !set.SubscribeToEndpoints} // an operator's discovery is one for all
 	if p.cfg.Operator != nil { // the platform's rules count how long a watch may wait
-		fleet.Seat = set.Index
+		fleet.GatewayNumber = set.GatewayNumber
 	}
 	p.watch = discovery.Watch(p.loop, p.log, p.cfg.Discovery, fleet, func(full bool, hosts []proxy.Host, told float64) {
 		p.told = true
-		p.core.SetHostsTold(full, hosts, told)
+		p.core.UpdateHostsNotifiedAt(full, hosts, told)
 	})
 }
 
 // Stop drains the gateway; any goroutine may call it.
-func (p *Program) Stop() { p.loop.Notify(p.stop) }
+func (p *Server) Stop() { p.loop.Notify(p.stop) }
 
 // SetHosts replaces the host list; any goroutine may call it.
-func (p *Program) SetHosts(list []proxy.Host) {
-	p.loop.Notify(func() { p.core.SetHosts(true, list) })
+func (p *Server) SetHosts(list []proxy.Host) {
+	p.loop.Notify(func() { p.core.UpdateHosts(true, list) })
 }
 
 // stop drains: for a while all goes on, then nothing new is taken and what was taken is finished.
-func (p *Program) stop() {
+func (p *Server) stop() {
 	if p.stopping {
 		return
 	}
@@ -311,13 +311,13 @@
 		return
 	}
 	p.loop.After(stayMs, func() {
-		p.listener.SweepAll()
+		p.listener.AcceptAll()
 		p.shut()
 	})
 }
 
 // shut takes nothing new any more and ends when what was taken is finished.
-func (p *Program) shut() {
+func (p *Server) shut() {
 	longest := 0.0
 	for _, c := range p.cfg.Settings.Classes {
 		longest = max(longest, c.Deadline.Seconds()*1000)
@@ -327,13 +327,13 @@
 	if p.cfg.Operator == nil {
 		end = min(end, p.stoppedAt+min(longest, killMost)+killMs)
 	}
-	p.core.AnswerBy(end - endSlackMs)
+	p.core.SetFinalDeadline(end - endSlackMs)
 	p.listener.Close()
 	p.clients.Drain()
 	p.leaveWhenDone()
 }
 
-func (p *Program) leaveWhenDone() {
+func (p *Server) leaveWhenDone() {
 	if p.clients.Count() == 0 {
 		p.leave()
 		return
@@ -341,7 +341,7 @@
 	p.loop.After(doneMs, p.leaveWhenDone)
 }
 
-func (p *Program) leave() {
+func (p *Server) leave() {
 	p.abandoned = p.clients.Count()
 	p.loop.Stop()
 }
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -20,7 +20,7 @@
 
 // running is a gateway in a goroutine of the test.
 type running struct {
-	*Program
+	*Server
 	done chan struct{}
 	err  error
 }
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &running{Program: p, done: make(chan struct{})}
+	r := &running{Server: p, done: make(chan struct{})}
 	go func() {
 		r.err = p.Run()
 		close(r.done)
@@ -198,7 +198,7 @@
 func TestManyClients(t *testing.T) {
 	p := testkit.NewPlayer(t, func(t *testing.T, c *testkit.Cluster) testkit.Gateway {
 		g := startExtended(t, c).(*running)
-		g.loop.Notify(func() { g.clients.Most = 3 })
+		g.loop.Notify(func() { g.clients.MaxClients = 3 })
 		return g
 	}, "a", "b")
 	for i := range 10 {
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -20,8 +20,8 @@
 	waitMostMs = 3000.0 // and so long at most, if no database host can be reached: refusals are better than silence
 )
 
-// Inherit takes in what the environment says of a handed-down listener.
-func (c *Config) Inherit(env func(string) string) error {
+// ApplyInheritedListener takes in what the environment says of a handed-down listener.
+func (c *Config) ApplyInheritedListener(env func(string) string) error {
 	text := env("LB_LISTEN_FD")
 	if text == "" {
 		return nil
@@ -38,7 +38,7 @@
 }
 
 // listen opens the clients' listener, or takes over the one that was handed down.
-func (p *Program) listen() (err error) {
+func (p *Server) listen() (err error) {
 	if p.cfg.ListenFD == 0 {
 		p.listener, err = p.loop.Listen(p.cfg.Listen, p.clients.Accept, p.crowded)
 		return err
@@ -52,7 +52,7 @@
 }
 
 // takeOver accepts clients as soon as they can be served. Where nobody else serves them it does not wait.
-func (p *Program) takeOver() {
+func (p *Server) takeOver() {
 	p.hear()
 	start := p.loop.Clock.Now()
 	var look func()
@@ -60,7 +60,7 @@
 		now := p.loop.Clock.Now()
 		if !p.beside || p.ready() && now >= start+releaseMs || now >= start+waitMostMs {
 			p.held = false
-			p.listener.Release()
+			p.listener.StartAccepting()
 			p.log.Info("accepting", zap.Bool("beside another process", p.beside))
 			return
 		}
@@ -70,7 +70,7 @@
 }
 
 // hear takes in what other processes of this gateway have said, and whether there are any, and does so again and again.
-func (p *Program) hear() {
+func (p *Server) hear() {
 	p.learn()
 	if live := p.shared.others(); live != p.beside {
 		p.beside = live
@@ -81,14 +81,14 @@
 }
 
 // learn applies the bans that others have spoken or taken back.
-func (p *Program) learn() {
+func (p *Server) learn() {
 	if p.shared == nil {
 		return
 	}
 	for id, w := range p.shared.news() {
 		p.log.Info("heard", zap.String("host", id), zap.Bool("out", w.Out))
 		if w.Out {
-			p.core.Restore(id, w.At)
+			p.core.RestoreExclusion(id, w.At)
 		} else {
 			p.core.Include(id)
 		}
@@ -97,20 +97,20 @@
 
 // divide gives this process the gateway's limits, or half of them while another process lives: they hold for both
 // together.
-func (p *Program) divide() {
+func (p *Server) divide() {
 	part := 1
 	if p.beside {
 		part = 2
 	}
 	memory := p.cfg.MemoryMB << 20 / part
 	debug.SetMemoryLimit(int64(heapShare * float64(memory)))
-	p.loop.Most = int(bufferShare * float64(memory))
-	p.clients.Most = (p.free - p.conns) / part
-	p.core.Beside(p.beside, p.conns/part)
+	p.loop.MaxBufferedBytes = int(bufferShare * float64(memory))
+	p.clients.MaxClients = (p.free - p.conns) / part
+	p.core.SetSiblingProcess(p.beside, p.conns/part)
 }
 
 // pass on a word on a host to the other processes.
-func (p *Program) tell(id string, out bool) {
+func (p *Server) tell(id string, out bool) {
 	if p.shared != nil {
 		p.shared.say(id, word{Out: out, At: p.loop.Clock.Now()})
 	}
--- a/internal/stubserver/standin.go
+++ b/internal/stubserver/standin.go
@@ -28,8 +28,8 @@
 	return head[0], body, err
 }
 
-// Welcome reads a client's startup message and returns the answer's beginning: no password is asked for.
-func Welcome(r io.Reader) ([]byte, error) {
+// AcceptStartup reads a client's startup message and returns the answer's beginning: no password is asked for.
+func AcceptStartup(r io.Reader) ([]byte, error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
 		return nil, err
@@ -37,24 +37,24 @@
 	if _, err := io.CopyN(io.Discard, r, int64(binary.BigEndian.Uint32(size[:]))-4); err != nil {
 		return nil, err
 	}
-	return pg.Message(nil, pg.MsgAuthentication, 0, 0, 0, 0), nil
+	return pg.AppendMessage(nil, pg.MsgAuthentication, 0, 0, 0, 0), nil
 }
 
-// Column appends the description of a row with one column of text.
-func Column(out []byte) []byte {
+// AppendColumnDescription appends the description of a row with one column of text.
+func AppendColumnDescription(out []byte) []byte {
 	column := append([]byte{0, 1, 'v', 0}, make([]byte, 18)...)
 	column[13] = 25 // text
-	return pg.Message(out, pg.MsgRowDescription, column...)
+	return pg.AppendMessage(out, pg.MsgRowDescription, column...)
 }
 
-// Row appends a row of one short value.
-func Row(out []byte, value string) []byte {
-	return pg.Message(out, pg.MsgDataRow, append([]byte{0, 1, 0, 0, 0, byte(len(value))}, value...)...)
+// AppendRow appends a row of one short value.
+func AppendRow(out []byte, value string) []byte {
+	return pg.AppendMessage(out, pg.MsgDataRow, append([]byte{0, 1, 0, 0, 0, byte(len(value))}, value...)...)
 }
 
-// AwaitNews holds a watch of discovery until there is something newer than the version that the call names, or its time is
+// AwaitChange holds a watch of discovery until there is something newer than the version that the call names, or its time is
 // over. state tells whether there is, and is closed when there will be.
-func AwaitNews(r *http.Request, state func(since int) (news bool, changed <-chan struct{})) {
+func AwaitChange(r *http.Request, state func(since int) (news bool, changed <-chan struct{})) {
 	since, err := strconv.Atoi(r.FormValue("since"))
 	if err != nil {
 		return
--- a/internal/testkit/scenario.go
+++ b/internal/testkit/scenario.go
@@ -216,24 +216,24 @@
 		if arg(0) != "" {
 			database = arg(0)
 		}
-		out, m := pg.Begin(out, 0)
+		out, m := pg.BeginMessage(out, 0)
 		out = append(out, 0, 3, 0, 0)
 		for _, s := range []string{"user", "svc", "database", database, ""} {
 			out = append(append(out, s...), 0)
 		}
-		return pg.End(out, m), nil
+		return pg.EndMessage(out, m), nil
 	case "raw":
 		b, err := hex.DecodeString(strings.Join(f, ""))
 		return append(out, b...), err
 	case "query":
-		return pg.Texts(out, pg.MsgQuery, rest), nil
+		return pg.AppendStrings(out, pg.MsgQuery, rest), nil
 	case "parse":
 		_, sql, _ := strings.Cut(rest, " ")
-		out, m := pg.Begin(out, pg.MsgParse)
+		out, m := pg.BeginMessage(out, pg.MsgParse)
 		out = append(append(out, arg(0)+"\x00"+sql...), 0, 0, 0)
-		return pg.End(out, m), nil
+		return pg.EndMessage(out, m), nil
 	case "bind":
-		out, m := pg.Begin(out, pg.MsgBind)
+		out, m := pg.BeginMessage(out, pg.MsgBind)
 		out = append(out, arg(0)+"\x00"+arg(1)+"\x00\x00\x00"...)
 		values := f[min(2, len(f)):]
 		out = append(out, 0, byte(len(values)))
@@ -244,20 +244,20 @@
 			}
 			out = append(binary.BigEndian.AppendUint32(out, uint32(len(v))), v...)
 		}
-		return pg.End(append(out, 0, 0), m), nil
+		return pg.EndMessage(append(out, 0, 0), m), nil
 	case "execute":
 		most, _ := strconv.Atoi(arg(1))
-		out, m := pg.Begin(out, pg.MsgExecute)
-		return pg.End(binary.BigEndian.AppendUint32(append(out, arg(0)+"\x00"...), uint32(most)), m), nil
+		out, m := pg.BeginMessage(out, pg.MsgExecute)
+		return pg.EndMessage(binary.BigEndian.AppendUint32(append(out, arg(0)+"\x00"...), uint32(most)), m), nil
 	case "describe", "close":
 		kind := map[string]byte{"describe": pg.MsgDescribe, "close": pg.MsgClose}[word]
-		return pg.Texts(out, kind, arg(0)+arg(1)), nil
+		return pg.AppendStrings(out, kind, arg(0)+arg(1)), nil
 	case "sync":
-		return pg.Message(out, pg.MsgSync), nil
+		return pg.AppendMessage(out, pg.MsgSync), nil
 	case "flush":
-		return pg.Message(out, pg.MsgFlush), nil
+		return pg.AppendMessage(out, pg.MsgFlush), nil
 	case "terminate":
-		return pg.Message(out, pg.MsgEnd), nil
+		return pg.AppendMessage(out, pg.MsgEnd), nil
 	}
 	return nil, fmt.Errorf("unknown message %q", word)
 }
@@ -305,7 +305,7 @@
 		if err != nil {
 			return "", err
 		}
-		f := pg.Read(body)
+		f := pg.NewFieldReader(body)
 		switch kind {
 		case pg.MsgParameterStatus, pg.MsgNotice:
 			continue
--- a/internal/testkit/standin.go
+++ b/internal/testkit/standin.go
@@ -23,7 +23,7 @@
 // Cluster is one group of stand-in hosts that share their data: a list of what ran where.
 type Cluster struct {
 	mu       sync.Mutex
-	hosts    map[string]*StandIn
+	hosts    map[string]*StubHost
 	order    []string
 	primary  string
 	runs     map[string][]string // by value: the hosts where it ran
@@ -31,10 +31,10 @@
 	changed  chan struct{}
 }
 
-// StandIn is one host. What it does with a statement depends on a word in its values: fail, hang, slow, reset,
+// StubHost is one host. What it does with a statement depends on a word in its values: fail, hang, slow, reset,
 // error, rowsN, largeN (so many KiB in one row; with cut its second half does not come, with pause it comes later, with
 // noise it is followed by some); twice: its answer comes twice; raw-HEX: the first time these bytes come in its place.
-type StandIn struct {
+type StubHost struct {
 	Name     string
 	Addr     string
 	cluster  *Cluster
@@ -64,9 +64,9 @@
 
 // NewCluster starts hosts; the first one is the primary.
 func NewCluster(names ...string) (*Cluster, error) {
-	c := &Cluster{hosts: map[string]*StandIn{}, primary: names[0], runs: map[string][]string{}, changed: make(chan struct{})}
+	c := &Cluster{hosts: map[string]*StubHost{}, primary: names[0], runs: map[string][]string{}, changed: make(chan struct{})}
 	for _, name := range names {
-		h := &StandIn{Name: name, cluster: c, conns: map[net.Conn]bool{}, phase: "active", Addr: "127.0.0.1:0"}
+		h := &StubHost{Name: name, cluster: c, conns: map[net.Conn]bool{}, phase: "active", Addr: "127.0.0.1:0"}
 		c.hosts[name] = h
 		c.order = append(c.order, name)
 		if err := h.up(); err != nil {
@@ -76,7 +76,7 @@
 	return c, nil
 }
 
-func (h *StandIn) up() error {
+func (h *StubHost) up() error {
 	ln, err := net.Listen("tcp4", h.Addr)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 
 // ServeHTTP is discovery: the whole list, or a watch.
 func (c *Cluster) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	stubserver.AwaitNews(r, func(since int) (bool, <-chan struct{}) {
+	stubserver.AwaitChange(r, func(since int) (bool, <-chan struct{}) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.revision > since, c.changed
@@ -177,9 +177,9 @@
 	return text
 }
 
-func (h *StandIn) serve(conn net.Conn) {
+func (h *StubHost) serve(conn net.Conn) {
 	defer conn.Close()
-	out, err := stubserver.Welcome(conn)
+	out, err := stubserver.AcceptStartup(conn)
 	if err != nil {
 		return
 	}
@@ -206,7 +206,7 @@
 
 // hostSession is one connection to a stand-in. It keeps one statement and one portal, both unnamed.
 type hostSession struct {
-	host   *StandIn
+	host   *StubHost
 	conn   net.Conn
 	out    []byte
 	text   string
@@ -222,10 +222,10 @@
 		standby, role = "off", "leader"
 	}
 	c.mu.Unlock()
-	s.out = pg.Texts(s.out, pg.MsgParameterStatus, "in_hot_standby", standby)
-	s.out = pg.Texts(s.out, pg.MsgParameterStatus, "node_role", role)
-	s.out = pg.Texts(s.out, pg.MsgParameterStatus, "replay_position", strconv.FormatInt(time.Now().UnixMilli(), 10))
-	s.out = pg.Ready(s.out)
+	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "in_hot_standby", standby)
+	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "node_role", role)
+	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "replay_position", strconv.FormatInt(time.Now().UnixMilli(), 10))
+	s.out = pg.AppendReadyForQuery(s.out)
 	if strings.Contains(strings.Join(s.values, " "), "twice") {
 		s.out = append(s.out, s.out...)
 	}
@@ -234,13 +234,13 @@
 }
 
 func (s *hostSession) fail(state string) bool {
-	s.out = pg.Failure{State: state, Text: "stand-in"}.Append(s.out)
+	s.out = pg.ErrorResponse{State: state, Text: "stand-in"}.Append(s.out)
 	s.skip = true
 	return true
 }
 
 func (s *hostSession) message(kind byte, body []byte) bool {
-	f := pg.Read(body)
+	f := pg.NewFieldReader(body)
 	switch {
 	case kind == pg.MsgSync:
 		s.skip = false
@@ -255,7 +255,7 @@
 			s.columns()
 		}
 		if s.text == "" {
-			s.out = pg.Message(s.out, pg.MsgEmptyQuery)
+			s.out = pg.AppendMessage(s.out, pg.MsgEmptyQuery)
 		} else if !s.execute() {
 			return false
 		}
@@ -267,7 +267,7 @@
 		if strings.Contains(s.text, "syntax") {
 			return s.fail(pg.StateSyntax)
 		}
-		s.out = pg.Message(s.out, pg.MsgParseComplete)
+		s.out = pg.AppendMessage(s.out, pg.MsgParseComplete)
 	case kind == pg.MsgBind:
 		f.Text()
 		f.Text()
@@ -276,18 +276,18 @@
 		for range f.Int16() {
 			s.values = append(s.values, string(f.Value()))
 		}
-		s.out = pg.Message(s.out, pg.MsgBindComplete)
+		s.out = pg.AppendMessage(s.out, pg.MsgBindComplete)
 	case kind == pg.MsgDescribe:
 		c := s.host.cluster
 		c.mu.Lock()
 		c.runs["described"] = append(c.runs["described"], s.host.Name)
 		c.mu.Unlock()
 		n := byte(strings.Count(s.text, "$"))
-		s.out = pg.Message(s.out, pg.MsgParamDesc, append([]byte{0, n}, make([]byte, 4*int(n))...)...)
+		s.out = pg.AppendMessage(s.out, pg.MsgParamDesc, append([]byte{0, n}, make([]byte, 4*int(n))...)...)
 		if strings.HasPrefix(s.text, "SELECT") {
 			s.columns()
 		} else {
-			s.out = pg.Message(s.out, pg.MsgNoData)
+			s.out = pg.AppendMessage(s.out, pg.MsgNoData)
 		}
 	case kind == pg.MsgExecute:
 		return s.execute()
@@ -301,7 +301,7 @@
 
 var literal = regexp.MustCompile(`'([^']*)'`)
 
-func (s *hostSession) columns() { s.out = stubserver.Column(s.out) }
+func (s *hostSession) columns() { s.out = stubserver.AppendColumnDescription(s.out) }
 
 // execute runs the statement once and takes it down; false where the connection is to end.
 func (s *hostSession) execute() bool {
@@ -344,9 +344,9 @@
 	}
 	if write {
 		if strings.Contains(s.text, "RETURNING") {
-			s.out = pg.Message(s.out, pg.MsgDataRow, 0, 1, 0, 0, 0, 1, 'v')
+			s.out = pg.AppendMessage(s.out, pg.MsgDataRow, 0, 1, 0, 0, 0, 1, 'v')
 		}
-		s.out = pg.Texts(s.out, pg.MsgComplete, "INSERT 0 1")
+		s.out = pg.AppendStrings(s.out, pg.MsgComplete, "INSERT 0 1")
 		return true
 	}
 	if _, n, ok := strings.Cut(all, "large"); ok {
@@ -357,9 +357,9 @@
 		rows, _ = strconv.Atoi(n[:1])
 	}
 	for i := range rows {
-		s.out = stubserver.Row(s.out, fmt.Sprintf("%s%d", s.host.Name, i))
+		s.out = stubserver.AppendRow(s.out, fmt.Sprintf("%s%d", s.host.Name, i))
 	}
-	s.out = pg.Texts(s.out, pg.MsgComplete, "SELECT "+strconv.Itoa(rows))
+	s.out = pg.AppendStrings(s.out, pg.MsgComplete, "SELECT "+strconv.Itoa(rows))
 	return true
 }
 
@@ -370,7 +370,7 @@
 	for i := range kib << 10 {
 		body = append(body, byte(i))
 	}
-	out := pg.Message(s.out, pg.MsgDataRow, body...)
+	out := pg.AppendMessage(s.out, pg.MsgDataRow, body...)
 	s.out = nil
 	if strings.Contains(all, "cut") {
 		out = out[:len(out)/2]
@@ -390,6 +390,6 @@
 	if strings.Contains(all, "cut") || strings.Contains(all, "noise") {
 		return false
 	}
-	s.out = pg.Texts(s.out, pg.MsgComplete, "SELECT 1")
+	s.out = pg.AppendStrings(s.out, pg.MsgComplete, "SELECT 1")
 	return true
 }
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -19,10 +19,10 @@
 	Version     uint8    `cbor:"2,keyasint,omitempty"`
 	Needs       uint8    `cbor:"3,keyasint,omitempty"`
 	From        uint64   `cbor:"4,keyasint"`
-	Boot        uint64   `cbor:"5,keyasint"`
+	BootID      uint64   `cbor:"5,keyasint"`
 	Incarnation uint64   `cbor:"6,keyasint"`
 	Seq         uint32   `cbor:"7,keyasint,omitempty"`
-	Try         uint8    `cbor:"8,keyasint,omitempty"`
+	Attempt     uint8    `cbor:"8,keyasint,omitempty"`
 	Target      uint64   `cbor:"9,keyasint,omitempty"`
 	Addr        []byte   `cbor:"10,keyasint,omitempty"`
 	Digest      uint64   `cbor:"11,keyasint,omitempty"`
@@ -32,23 +32,23 @@
 }
 
 type rumor struct {
-	About       uint64   `cbor:"1,keyasint"`
+	Subject     uint64   `cbor:"1,keyasint"`
 	Incarnation uint64   `cbor:"2,keyasint"`
 	State       uint8    `cbor:"3,keyasint"`
-	By          []uint64 `cbor:"4,keyasint,omitempty"`
-	Tag         uint32   `cbor:"5,keyasint,omitempty"`
+	Accusers    []uint64 `cbor:"4,keyasint,omitempty"`
+	BootTag     uint32   `cbor:"5,keyasint,omitempty"`
 }
 
 type record struct {
-	Name        string `cbor:"1,keyasint"`
-	Addr        []byte `cbor:"2,keyasint"`
-	Zone        string `cbor:"3,keyasint,omitempty"`
-	Version     uint8  `cbor:"4,keyasint"`
-	Boot        uint64 `cbor:"5,keyasint"`
-	Incarnation uint64 `cbor:"6,keyasint"`
-	State       uint8  `cbor:"7,keyasint"`
-	Payload     []byte `cbor:"8,keyasint,omitempty"`
-	Edition     uint64 `cbor:"9,keyasint,omitempty"`
+	Name           string `cbor:"1,keyasint"`
+	Addr           []byte `cbor:"2,keyasint"`
+	Zone           string `cbor:"3,keyasint,omitempty"`
+	Version        uint8  `cbor:"4,keyasint"`
+	BootID         uint64 `cbor:"5,keyasint"`
+	Incarnation    uint64 `cbor:"6,keyasint"`
+	State          uint8  `cbor:"7,keyasint"`
+	Payload        []byte `cbor:"8,keyasint,omitempty"`
+	PayloadVersion uint64 `cbor:"9,keyasint,omitempty"`
 }
 
 // Limits on what is read, whatever a sender claims.
@@ -75,29 +75,29 @@
 }
 
 // ErrFuture is a message that says that it can't be understood by this version.
-var ErrFuture = errors.New("the message needs a newer version")
+var ErrUnsupportedVersion = errors.New("the message needs a newer version")
 
 // Encode appends a message's body.
 func Encode(to []byte, m *membership.Message) ([]byte, error) {
 	b := body{
-		Kind: uint8(m.Kind), Version: m.Version, From: uint64(m.From), Boot: m.Boot, Incarnation: m.Incarnation, Seq: m.Seq,
-		Try: m.Try, Target: uint64(m.Target), Digest: m.Digest, Buckets: m.Buckets,
+		Kind: uint8(m.Kind), Version: m.Version, From: uint64(m.From), BootID: m.BootID, Incarnation: m.Incarnation, Seq: m.Seq,
+		Attempt: m.Attempt, Target: uint64(m.Target), Digest: m.Digest, Buckets: m.Buckets,
 	}
 	b.Addr = addrBytes(m.Addr)
 	if len(m.Rumors) > 0 {
 		b.Rumors = make([]rumor, len(m.Rumors))
 	}
 	for i, r := range m.Rumors {
-		b.Rumors[i] = rumor{uint64(r.About), r.Incarnation, uint8(r.State), nil, r.Tag}
-		for _, id := range r.By {
-			b.Rumors[i].By = append(b.Rumors[i].By, uint64(id))
+		b.Rumors[i] = rumor{uint64(r.Subject), r.Incarnation, uint8(r.State), nil, r.BootTag}
+		for _, id := range r.Accusers {
+			b.Rumors[i].Accusers = append(b.Rumors[i].Accusers, uint64(id))
 		}
 	}
 	if len(m.Records) > 0 {
 		b.Records = make([]record, len(m.Records))
 	}
 	for i, r := range m.Records {
-		b.Records[i] = record{r.Name, addrBytes(r.Addr), r.Zone, r.Version, r.Boot, r.Incarnation, uint8(r.State), r.Payload, r.Edition}
+		b.Records[i] = record{r.Name, addrBytes(r.Addr), r.Zone, r.Version, r.BootID, r.Incarnation, uint8(r.State), r.Payload, r.PayloadVersion}
 	}
 	text, err := encoding.Marshal(&b)
 	if err != nil {
@@ -123,15 +123,15 @@
 		return m, fmt.Errorf("decode: %w", err)
 	}
 	m = membership.Message{
-		Kind: membership.Kind(b.Kind), Version: b.Version, From: membership.ID(b.From), Boot: b.Boot, Incarnation: b.Incarnation,
-		Seq: b.Seq, Try: b.Try, Target: membership.ID(b.Target), Digest: b.Digest, Buckets: b.Buckets,
+		Kind: membership.Kind(b.Kind), Version: b.Version, From: membership.ID(b.From), BootID: b.BootID, Incarnation: b.Incarnation,
+		Seq: b.Seq, Attempt: b.Attempt, Target: membership.ID(b.Target), Digest: b.Digest, Buckets: b.Buckets,
 	}
 	var err error
 	switch {
 	case b.Needs > membership.Version:
-		return m, ErrFuture
-	case !m.Kind.Known() || b.Boot == 0 || b.Incarnation == 0 || b.Incarnation > 1<<62:
-		return m, fmt.Errorf("decode: kind %d, boot %d or incarnation %d is out of range", b.Kind, b.Boot, b.Incarnation)
+		return m, ErrUnsupportedVersion
+	case !m.Kind.Known() || b.BootID == 0 || b.Incarnation == 0 || b.Incarnation > 1<<62:
+		return m, fmt.Errorf("decode: kind %d, boot %d or incarnation %d is out of range", b.Kind, b.BootID, b.Incarnation)
 	case len(b.Buckets) > mostBuckets || len(b.Rumors) > mostRumors || len(b.Records) > mostRecords:
 		return m, fmt.Errorf("decode: %d digests, %d rumors or %d records are too many", len(b.Buckets), len(b.Rumors), len(b.Records))
 	}
@@ -139,17 +139,17 @@
 		return m, err
 	}
 	for _, r := range b.Rumors {
-		if !stateKnown(r.State) || r.Incarnation == 0 || r.Incarnation > 1<<62 || len(r.By) > mostBy {
+		if !stateKnown(r.State) || r.Incarnation == 0 || r.Incarnation > 1<<62 || len(r.Accusers) > mostBy {
 			return m, fmt.Errorf("decode: a rumor's state %d, incarnation or observers are out of range", r.State)
 		}
-		out := membership.Rumor{About: membership.ID(r.About), Tag: r.Tag, Incarnation: r.Incarnation, State: membership.State(r.State)}
-		for _, id := range r.By {
-			out.By = append(out.By, membership.ID(id))
+		out := membership.Rumor{Subject: membership.ID(r.Subject), BootTag: r.BootTag, Incarnation: r.Incarnation, State: membership.State(r.State)}
+		for _, id := range r.Accusers {
+			out.Accusers = append(out.Accusers, membership.ID(id))
 		}
 		m.Rumors = append(m.Rumors, out)
 	}
 	for _, r := range b.Records {
-		if !stateKnown(r.State) || r.Incarnation == 0 || r.Incarnation > 1<<62 || r.Boot == 0 || r.Name == "" ||
+		if !stateKnown(r.State) || r.Incarnation == 0 || r.Incarnation > 1<<62 || r.BootID == 0 || r.Name == "" ||
 			len(r.Name) > membership.MaxName || len(r.Zone) > membership.MaxZone || len(r.Payload) > membership.MaxPayload {
 			return m, fmt.Errorf("decode: a field of the record of %.64q is out of range", r.Name)
 		}
@@ -158,8 +158,8 @@
 			return m, err
 		}
 		m.Records = append(m.Records, membership.Record{Name: r.Name, Addr: addr, Zone: r.Zone, Version: r.Version,
-			Boot: r.Boot, Incarnation: r.Incarnation, State: membership.State(r.State), Payload: r.Payload,
-			Edition: r.Edition})
+			BootID: r.BootID, Incarnation: r.Incarnation, State: membership.State(r.State), Payload: r.Payload,
+			PayloadVersion: r.PayloadVersion})
 	}
 	return m, nil
 }
--- a/internal/transport/payload.go
+++ b/internal/transport/payload.go
@@ -14,16 +14,16 @@
 	Load float64 `cbor:"1,keyasint,omitempty"` // requests a second that it takes, rounded; 0: not told
 }
 
-// Roster is the gateways that share the hosts with this one: those that live, as far as its view tells. One that only this
+// NewRoster is the gateways that share the hosts with this one: those that live, as far as its view tells. One that only this
 // gateway can't reach counts too: it serves.
-func Roster(self fleet.Peer, members []membership.Member) *fleet.Roster {
-	var peers []fleet.Peer
+func NewRoster(self fleet.Gateway, members []membership.Member) *fleet.Roster {
+	var peers []fleet.Gateway
 	for _, m := range members {
 		if m.State == membership.Alive || m.State == membership.Suspect || m.State == membership.Unreachable {
-			peers = append(peers, fleet.Peer{Name: m.Name, Zone: m.Zone, Load: ReadPayload(m.Payload).Load})
+			peers = append(peers, fleet.Gateway{Name: m.Name, Zone: m.Zone, Load: ParsePayload(m.Payload).Load})
 		}
 	}
-	return fleet.Named(self, peers)
+	return fleet.NewNamedRoster(self, peers)
 }
 
 // mostLoad bounds what is believed, requests a second.
@@ -38,8 +38,8 @@
 	return text
 }
 
-// ReadPayload reads a member's payload; what can't be read, or makes no sense, tells nothing.
-func ReadPayload(text []byte) (p Payload) {
+// ParsePayload reads a member's payload; what can't be read, or makes no sense, tells nothing.
+func ParsePayload(text []byte) (p Payload) {
 	if len(text) == 0 || cbor.Unmarshal(text, &p) != nil || !(p.Load >= 0 && p.Load <= mostLoad) || math.IsNaN(p.Load) {
 		return Payload{}
 	}
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -32,13 +32,13 @@
 // logEveryMs is how often a dropped datagram is logged at the most; the others are counted.
 const logEveryMs = 1000.0
 
-// Peer drives a membership.View on a loop. It decides nothing.
-type Peer struct {
+// Transport drives a membership.View on a loop. It decides nothing.
+type Transport struct {
 	loop     *eventloop.Loop
 	log      *zap.Logger
 	socket   *eventloop.Packet
 	sealer   *Sealer
-	replays  Replays
+	replays  ReplayFilter
 	allowed  *netipx.IPSet
 	view     *membership.View
 	events   []membership.Event
@@ -47,7 +47,7 @@
 	unsaid   map[string]int // dropped and not logged, by reason
 	set      *metrics.Set
 	counts   counters
-	stands   membership.Standing
+	stands   membership.Status
 	edition  int // of the view: grows when a member's state changes
 	payload  Payload
 	part     bool
@@ -60,12 +60,12 @@
 }
 
 // New opens the socket and makes the View; Step starts it. The errors name the key that is wrong.
-func New(l *eventloop.Loop, log *zap.Logger, cfg Config) (*Peer, error) {
+func New(l *eventloop.Loop, log *zap.Logger, cfg Config) (*Transport, error) {
 	sealer, err := NewSealer(cfg.Fleet, cfg.Keys)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.keys: %w", err)
 	}
-	p := &Peer{loop: l, log: log, sealer: sealer, allowed: cfg.Networks, unsaid: map[string]int{}, set: metrics.NewSet(), loggedMs: -logEveryMs}
+	p := &Transport{loop: l, log: log, sealer: sealer, allowed: cfg.Networks, unsaid: map[string]int{}, set: metrics.NewSet(), loggedMs: -logEveryMs}
 	if p.socket, err = l.ListenPacket(cfg.Listen, p.receive); err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
@@ -79,7 +79,7 @@
 	var boot [8]byte
 	_, _ = rand.Read(boot[:]) // never fails
 	p.view, err = membership.New(membership.Config{
-		Name: cfg.Name, Addr: cfg.Advertise, Zone: cfg.Zone, Version: cfg.Version, Boot: binary.BigEndian.Uint64(boot[:]) | 1, Seeds: cfg.Seeds,
+		Name: cfg.Name, Addr: cfg.Advertise, Zone: cfg.Zone, Version: cfg.Version, BootID: binary.BigEndian.Uint64(boot[:]) | 1, Seeds: cfg.Seeds,
 	}, cfg.Seed)
 	if err != nil {
 		p.socket.Close()
@@ -89,7 +89,7 @@
 	return p, nil
 }
 
-func (p *Peer) count() {
+func (p *Transport) count() {
 	c := &p.counts
 	c.in, c.out = p.set.NewCounter("merlinjunction_fleet_datagrams_received_total"), p.set.NewCounter("merlinjunction_fleet_datagrams_sent_total")
 	c.bytesIn, c.bytesOut = p.set.NewCounter("merlinjunction_fleet_bytes_received_total"), p.set.NewCounter("merlinjunction_fleet_bytes_sent_total")
@@ -109,9 +109,9 @@
 	gauge("health", func(s membership.Summary) float64 { return float64(s.Health) })
 	gauge("loss_ratio", func(s membership.Summary) float64 { return s.Loss })
 	gauge("round_trip_seconds", func(s membership.Summary) float64 { return s.RoundTripMs / 1000 })
-	gauge("news_pending", func(s membership.Summary) float64 { return float64(s.Pending) })
+	gauge("news_pending", func(s membership.Summary) float64 { return float64(s.PendingRumors) })
 	gauge("part", func(s membership.Summary) float64 {
-		if s.Part {
+		if s.Partial {
 			return 1
 		}
 		return 0
@@ -119,13 +119,13 @@
 }
 
 // Metrics are the figures, for the management address.
-func (p *Peer) Metrics() *metrics.Set { return p.set }
+func (p *Transport) Metrics() *metrics.Set { return p.set }
 
 // Addr is the address that datagrams come to.
-func (p *Peer) Addr() netip.AddrPort { return p.socket.Addr() }
+func (p *Transport) Addr() netip.AddrPort { return p.socket.Addr() }
 
 // SetKeys changes the keys in service; on an error the old ones stay.
-func (p *Peer) SetKeys(keys [][]byte) error {
+func (p *Transport) SetKeys(keys [][]byte) error {
 	if err := p.sealer.SetKeys(keys); err != nil {
 		return fmt.Errorf("fleet.keys: %w", err)
 	}
@@ -133,36 +133,36 @@
 }
 
 // Members is everybody known, and the figures of the view.
-func (p *Peer) Members() ([]membership.Member, membership.Summary) {
+func (p *Transport) Members() ([]membership.Member, membership.Summary) {
 	return p.view.Members(), p.view.Summary()
 }
 
-// Edition grows with each change of a member's state.
-func (p *Peer) Edition() int { return p.edition }
+// ChangeCount grows with each change of a member's state.
+func (p *Transport) ChangeCount() int { return p.edition }
 
-// Tell tells the others what this gateway says of itself; nothing is sent where it is the same.
-func (p *Peer) Tell(what Payload) {
+// Announce tells the others what this gateway says of itself; nothing is sent where it is the same.
+func (p *Transport) Announce(what Payload) {
 	if what == p.payload {
 		return
 	}
 	p.payload = what
-	p.events = append(p.events, membership.Tell{Payload: what.Bytes()})
+	p.events = append(p.events, membership.SetPayload{Payload: what.Bytes()})
 }
 
 // Leave says goodbye.
-func (p *Peer) Leave() {
-	p.events = append(p.events, membership.Goodbye{})
+func (p *Transport) Leave() {
+	p.events = append(p.events, membership.Leave{})
 	p.Step()
 }
 
 // Close gives the socket back.
-func (p *Peer) Close() {
+func (p *Transport) Close() {
 	p.wake.Stop()
 	p.socket.Close()
 }
 
 // receive proves a datagram and keeps its message for the next Step.
-func (p *Peer) receive(from netip.AddrPort, data []byte) {
+func (p *Transport) receive(from netip.AddrPort, data []byte) {
 	p.counts.in.Inc()
 	p.counts.bytesIn.Add(len(data))
 	if p.allowed != nil && !p.allowed.Contains(from.Addr()) {
@@ -170,7 +170,7 @@
 		return
 	}
 	m, counter, err := p.sealer.Open(data)
-	if err == nil && !p.replays.Fresh(m.From, m.Boot, counter) {
+	if err == nil && !p.replays.Accept(m.From, m.BootID, counter) {
 		err = ErrReplay
 	}
 	if err != nil {
@@ -185,7 +185,7 @@
 	for _, r := range []struct {
 		err  error
 		word string
-	}{{ErrShort, "malformed"}, {ErrFleet, "fleet"}, {ErrKey, "key"}, {ErrMAC, "mac"}, {ErrReplay, "replay"}, {ErrNetwork, "network"}, {ErrFuture, "version"}} {
+	}{{ErrMalformed, "malformed"}, {ErrOtherFleet, "fleet"}, {ErrUnknownKey, "key"}, {ErrBadMAC, "mac"}, {ErrReplay, "replay"}, {ErrNetwork, "network"}, {ErrUnsupportedVersion, "version"}} {
 		if errors.Is(err, r.err) {
 			return r.word
 		}
@@ -194,7 +194,7 @@
 }
 
 // drop counts a datagram that is not taken, and logs one of them a second.
-func (p *Peer) drop(from netip.AddrPort, err error) {
+func (p *Transport) drop(from netip.AddrPort, err error) {
 	word := reason(err)
 	p.set.GetOrCreateCounter(fmt.Sprintf(`merlinjunction_fleet_datagrams_dropped_total{reason=%q}`, word)).Inc()
 	if now := p.loop.Clock.Now(); now < p.loggedMs+logEveryMs {
@@ -208,7 +208,7 @@
 }
 
 // Step steps the view if something came or is due, and carries out what it wants. It is called once in each round.
-func (p *Peer) Step() {
+func (p *Transport) Step() {
 	now := p.loop.Clock.Now()
 	if len(p.events) == 0 && p.wake != nil && now < p.view.Wake() {
 		return
@@ -218,24 +218,24 @@
 		switch a := a.(type) {
 		case membership.Send:
 			p.send(&a)
-		case membership.Changed:
+		case membership.MemberChanged:
 			p.changed(&a)
-		case membership.Self:
-			p.stands = a.Standing
-			p.log.Info("fleet: standing", zap.Stringer("standing", a.Standing), zap.String("cause", a.Cause))
+		case membership.StatusChanged:
+			p.stands = a.Status
+			p.log.Info("fleet: standing", zap.Stringer("standing", a.Status), zap.String("cause", a.Cause))
 		}
 	}
 	p.events = p.events[:0]
-	if s := p.view.Summary(); s.Part != p.part {
-		p.part = s.Part
-		p.log.Warn("fleet: only a part is seen", zap.Bool("part", s.Part), zap.Int("alive", s.Alive), zap.Int("dead", s.Dead),
+	if s := p.view.Summary(); s.Partial != p.part {
+		p.part = s.Partial
+		p.log.Warn("fleet: only a part is seen", zap.Bool("part", s.Partial), zap.Int("alive", s.Alive), zap.Int("dead", s.Dead),
 			zap.Int("unreachable", s.Unreachable))
 	}
 	p.wake.Stop()
 	p.wake = p.loop.At(p.view.Wake(), func() {})
 }
 
-func (p *Peer) send(a *membership.Send) {
+func (p *Transport) send(a *membership.Send) {
 	data, err := p.sealer.Seal(&a.Message)
 	if err != nil {
 		p.log.Error("fleet: a message is not sent", zap.Error(err))
@@ -249,11 +249,11 @@
 	p.counts.bytesOut.Add(len(data))
 }
 
-func (p *Peer) changed(a *membership.Changed) {
+func (p *Transport) changed(a *membership.MemberChanged) {
 	p.edition++
 	m := &a.Member
 	if a.New == 0 {
-		p.replays.Forget(membership.IDOf(m.Name), m.Boot)
+		p.replays.Forget(membership.IDOf(m.Name), m.BootID)
 	} else {
 		p.counts.changes[a.New].Inc()
 	}
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -44,24 +44,24 @@
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte(rapid.SliceOfN(rapid.Byte(), 4, 4).Draw(t, "ip"))), rapid.Uint16().Draw(t, "port"))
 	}
 	m := membership.Message{
-		Kind: membership.Kind(rapid.IntRange(1, 10).Draw(t, "kind")), Version: 2, From: id("from"), Boot: rapid.Uint64Min(1).Draw(t, "boot"),
-		Incarnation: rapid.Uint64Range(1, 1<<62).Draw(t, "incarnation"), Seq: rapid.Uint32().Draw(t, "seq"), Try: rapid.Byte().Draw(t, "try"),
+		Kind: membership.Kind(rapid.IntRange(1, 10).Draw(t, "kind")), Version: 2, From: id("from"), BootID: rapid.Uint64Min(1).Draw(t, "boot"),
+		Incarnation: rapid.Uint64Range(1, 1<<62).Draw(t, "incarnation"), Seq: rapid.Uint32().Draw(t, "seq"), Attempt: rapid.Byte().Draw(t, "try"),
 		Target: id("target"), Digest: rapid.Uint64().Draw(t, "digest"),
 	}
 	if rapid.Bool().Draw(t, "addressed") {
 		m.Addr = addr()
 	}
 	for range rapid.IntRange(0, names).Draw(t, "rumors") {
-		r := membership.Rumor{About: id("about"), Tag: rapid.Uint32().Draw(t, "tag"), Incarnation: rapid.Uint64Range(1, 1<<62).Draw(t, "n"), State: membership.State(rapid.IntRange(1, 5).Draw(t, "state"))}
+		r := membership.Rumor{Subject: id("about"), BootTag: rapid.Uint32().Draw(t, "tag"), Incarnation: rapid.Uint64Range(1, 1<<62).Draw(t, "n"), State: membership.State(rapid.IntRange(1, 5).Draw(t, "state"))}
 		for range rapid.IntRange(0, 8).Draw(t, "observers") {
-			r.By = append(r.By, id("observer"))
+			r.Accusers = append(r.Accusers, id("observer"))
 		}
 		m.Rumors = append(m.Rumors, r)
 	}
 	for range rapid.IntRange(0, names).Draw(t, "records") {
 		r := membership.Record{Name: rapid.StringN(1, 16, membership.MaxName).Draw(t, "name"), Addr: addr(), Zone: rapid.StringN(0, 8, membership.MaxZone).Draw(t, "zone"),
-			Version: 2, Boot: rapid.Uint64Min(1).Draw(t, "its boot"), Incarnation: rapid.Uint64Range(1, 1<<62).Draw(t, "its"), State: membership.Alive,
-			Edition: rapid.Uint64().Draw(t, "edition")}
+			Version: 2, BootID: rapid.Uint64Min(1).Draw(t, "its boot"), Incarnation: rapid.Uint64Range(1, 1<<62).Draw(t, "its"), State: membership.Alive,
+			PayloadVersion: rapid.Uint64().Draw(t, "edition")}
 		if n := rapid.IntRange(0, membership.MaxPayload).Draw(t, "payload"); n > 0 {
 			r.Payload = bytes.Repeat([]byte{7}, n)
 		}
@@ -89,7 +89,7 @@
 	big := ^uint64(0)
 	long := strings.Repeat("x", membership.MaxName)
 	addr := netip.AddrPortFrom(netip.MustParseAddr("2001:db8::1"), 65535)
-	head := membership.Message{Kind: membership.Page, Version: 2, From: membership.ID(big), Boot: big, Incarnation: 1 << 62, Seq: 1<<32 - 1, Try: 255,
+	head := membership.Message{Kind: membership.SyncResponse, Version: 2, From: membership.ID(big), BootID: big, Incarnation: 1 << 62, Seq: 1<<32 - 1, Attempt: 255,
 		Target: membership.ID(big), Addr: addr, Digest: big}
 	size := func(m membership.Message) int {
 		text, err := Encode(nil, &m)
@@ -98,15 +98,15 @@
 		}
 		return len(text) + SealSize
 	}
-	if n := size(head); n > membership.Overhead {
-		t.Errorf("a head has %d bytes, %d are counted", n, membership.Overhead)
+	if n := size(head); n > membership.DatagramOverhead {
+		t.Errorf("a head has %d bytes, %d are counted", n, membership.DatagramOverhead)
 	}
-	rumor := membership.Rumor{About: membership.ID(big), Tag: 1<<32 - 1, Incarnation: 1 << 62, State: membership.Suspect}
+	rumor := membership.Rumor{Subject: membership.ID(big), BootTag: 1<<32 - 1, Incarnation: 1 << 62, State: membership.Suspect}
 	for range 5 {
-		rumor.By = append(rumor.By, membership.ID(big))
+		rumor.Accusers = append(rumor.Accusers, membership.ID(big))
 	}
-	record := membership.Record{Name: long, Addr: addr, Zone: long[:membership.MaxZone], Version: 255, Boot: big, Incarnation: 1 << 62,
-		State: membership.Left, Payload: make([]byte, membership.MaxPayload), Edition: big}
+	record := membership.Record{Name: long, Addr: addr, Zone: long[:membership.MaxZone], Version: 255, BootID: big, Incarnation: 1 << 62,
+		State: membership.Left, Payload: make([]byte, membership.MaxPayload), PayloadVersion: big}
 	with := head
 	with.Rumors = []membership.Rumor{rumor}
 	if n := size(with) - size(head); n > rumor.Size() {
@@ -123,15 +123,15 @@
 		compare.Buckets[i] = big
 	}
 	compare.Records = []membership.Record{record, record}
-	if n := size(compare); n > membership.MaxBytes {
+	if n := size(compare); n > membership.MaxDatagramBytes {
 		t.Errorf("a comparison has %d bytes", n)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	m := membership.Message{Kind: membership.Gossip, Version: 2, From: 1, Boot: 2, Incarnation: 3,
-		Rumors:  []membership.Rumor{{About: 4, Incarnation: 5, State: membership.Suspect, By: []membership.ID{6}}},
-		Records: []membership.Record{{Name: "g", Addr: netip.MustParseAddrPort("127.0.0.1:1"), Boot: 1, Incarnation: 1, State: membership.Alive}}}
+	m := membership.Message{Kind: membership.Gossip, Version: 2, From: 1, BootID: 2, Incarnation: 3,
+		Rumors:  []membership.Rumor{{Subject: 4, Incarnation: 5, State: membership.Suspect, Accusers: []membership.ID{6}}},
+		Records: []membership.Record{{Name: "g", Addr: netip.MustParseAddrPort("127.0.0.1:1"), BootID: 1, Incarnation: 1, State: membership.Alive}}}
 	text, err := Encode(nil, &m)
 	if err != nil {
 		f.Fatal(err)
@@ -145,7 +145,7 @@
 		if err != nil {
 			return
 		}
-		if len(m.Rumors) > mostRumors || len(m.Records) > mostRecords || len(m.Buckets) > mostBuckets || m.Boot == 0 || !m.Kind.Known() {
+		if len(m.Rumors) > mostRumors || len(m.Records) > mostRecords || len(m.Buckets) > mostBuckets || m.BootID == 0 || !m.Kind.Known() {
 			t.Errorf("taken: %+v", m)
 		}
 		again, err := Encode(nil, &m)
@@ -170,13 +170,13 @@
 	}
 	newer[3] = membership.Version + 1
 	text, _ = encoding.Marshal(newer)
-	if _, err := Decode(text); !errors.Is(err, ErrFuture) {
+	if _, err := Decode(text); !errors.Is(err, ErrUnsupportedVersion) {
 		t.Errorf("needs a newer one: %v", err)
 	}
 }
 
 func TestOpen(t *testing.T) {
-	m := &membership.Message{Kind: membership.Gossip, Version: 2, From: 1, Boot: 2, Incarnation: 3}
+	m := &membership.Message{Kind: membership.Gossip, Version: 2, From: 1, BootID: 2, Incarnation: 3}
 	a := sealer(t, "fleet", string(key))
 	data, err := a.Seal(m)
 	if err != nil {
@@ -194,16 +194,16 @@
 		want error
 	}{
 		"good":          {sealer(t, "fleet", "another key, also long", string(key)), data, nil},
-		"other fleet":   {sealer(t, "elsewhere", string(key)), data, ErrFleet},
-		"other key":     {sealer(t, "fleet", "another key, also long"), data, ErrKey},
-		"changed":       {a, change(headSize + 3), ErrMAC},
-		"changed count": {a, change(15), ErrMAC},
-		"changed MAC":   {a, change(len(data) - 1), ErrMAC},
-		"truncated":     {a, data[:headSize+macSize-1], ErrShort},
-		"cut":           {a, data[:len(data)-4], ErrMAC},
-		"too large":     {a, make([]byte, membership.MaxBytes+1), ErrShort},
-		"noise":         {a, bytes.Repeat([]byte("x"), 100), ErrShort},
-		"empty":         {a, nil, ErrShort},
+		"other fleet":   {sealer(t, "elsewhere", string(key)), data, ErrOtherFleet},
+		"other key":     {sealer(t, "fleet", "another key, also long"), data, ErrUnknownKey},
+		"changed":       {a, change(headSize + 3), ErrBadMAC},
+		"changed count": {a, change(15), ErrBadMAC},
+		"changed MAC":   {a, change(len(data) - 1), ErrBadMAC},
+		"truncated":     {a, data[:headSize+macSize-1], ErrMalformed},
+		"cut":           {a, data[:len(data)-4], ErrBadMAC},
+		"too large":     {a, make([]byte, membership.MaxDatagramBytes+1), ErrMalformed},
+		"noise":         {a, bytes.Repeat([]byte("x"), 100), ErrMalformed},
+		"empty":         {a, nil, ErrMalformed},
 	} {
 		got, counter, err := c.by.Open(c.data)
 		if !errors.Is(err, c.want) || err == nil && (got.From != 1 || counter != 1) {
@@ -221,14 +221,14 @@
 // The window answers as a set would, for all that is not far behind.
 func TestReplays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Replays
+		var r ReplayFilter
 		seen := map[uint64]bool{}
 		var top uint64
 		for range rapid.IntRange(1, 200).Draw(t, "datagrams") {
 			step := rapid.SampledFrom([]int{1, 1, 1, 2, -1, -3, -60, 64, 300, 511, 512, 513, 5000}).Draw(t, "step")
 			c := uint64(max(1, int(top)+step))
 			want := !seen[c] && (len(seen) == 0 || top < windowBits || c > top-windowBits)
-			if got := r.Fresh(7, 9, c); got != want {
+			if got := r.Accept(7, 9, c); got != want {
 				t.Fatalf("%d after %d: fresh %v, want %v", c, top, got, want)
 			}
 			if want {
@@ -236,14 +236,14 @@
 				top = max(top, c)
 			}
 		}
-		if r.Fresh(7, 9, top) || !r.Fresh(7, 10, top) || !r.Fresh(8, 9, top) {
+		if r.Accept(7, 9, top) || !r.Accept(7, 10, top) || !r.Accept(8, 9, top) {
 			t.Fatal("processes are not told apart")
 		}
 	})
 }
 
 // rig is one Peer on a loop that a test runs, and its log.
-func rig(t *testing.T, cfg Config) (*eventloop.Loop, *Peer, *observer.ObservedLogs) {
+func rig(t *testing.T, cfg Config) (*eventloop.Loop, *Transport, *observer.ObservedLogs) {
 	t.Helper()
 	l, err := eventloop.New(eventloop.SystemClock())
 	if err != nil {
@@ -263,10 +263,10 @@
 }
 
 // runUntil runs a loop for some rounds until a condition holds.
-func runUntil(t *testing.T, l *eventloop.Loop, p *Peer, ok func() bool) {
+func runUntil(t *testing.T, l *eventloop.Loop, p *Transport, ok func() bool) {
 	t.Helper()
 	rounds := 0
-	l.Soon(func() {})
+	l.NextRound(func() {})
 	err := l.Run(func() {
 		p.Step()
 		if rounds++; ok() || rounds > 500 {
@@ -300,7 +300,7 @@
 			t.Fatal("not sent")
 		}
 	}
-	m := &membership.Message{Kind: membership.Gossip, Version: 2, From: 1, Boot: 2, Incarnation: 3}
+	m := &membership.Message{Kind: membership.Gossip, Version: 2, From: 1, BootID: 2, Incarnation: 3}
 	seal := func(s *Sealer) []byte {
 		data, err := s.Seal(m)
 		if err != nil {
@@ -357,7 +357,7 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	state := func(p *Peer, name string) membership.State {
+	state := func(p *Transport, name string) membership.State {
 		list, _ := p.Members()
 		for _, m := range list {
 			if m.Name == name {
--- a/internal/transport/seal.go
+++ b/internal/transport/seal.go
@@ -29,12 +29,12 @@
 
 // The reasons for which a datagram is dropped.
 var (
-	ErrShort   = errors.New("truncated, too large or no datagram of this kind")
-	ErrFleet   = errors.New("of another fleet")
-	ErrKey     = errors.New("under an unknown key")
-	ErrMAC     = errors.New("its MAC is wrong")
-	ErrReplay  = errors.New("a replay")
-	ErrNetwork = errors.New("from outside the allowed networks")
+	ErrMalformed  = errors.New("truncated, too large or no datagram of this kind")
+	ErrOtherFleet = errors.New("of another fleet")
+	ErrUnknownKey = errors.New("under an unknown key")
+	ErrBadMAC     = errors.New("its MAC is wrong")
+	ErrReplay     = errors.New("a replay")
+	ErrNetwork    = errors.New("from outside the allowed networks")
 )
 
 // Sealer seals datagrams under the first of its keys and opens them under any.
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	s.out = k.sum(b, b)
-	if len(s.out) > membership.MaxBytes {
+	if len(s.out) > membership.MaxDatagramBytes {
 		return nil, fmt.Errorf("a %s of %d bytes is too large", m.Kind, len(s.out))
 	}
 	return s.out, nil
@@ -105,11 +105,11 @@
 
 // Open proves a datagram and reads its message and counter. The errors are those above, ErrFuture and Decode's.
 func (s *Sealer) Open(text []byte) (m membership.Message, counter uint64, err error) {
-	if len(text) < SealSize || len(text) > membership.MaxBytes || text[0] != 'm' || text[1] != 'j' || text[2] != format {
-		return m, 0, ErrShort
+	if len(text) < SealSize || len(text) > membership.MaxDatagramBytes || text[0] != 'm' || text[1] != 'j' || text[2] != format {
+		return m, 0, ErrMalformed
 	}
 	if [4]byte(text[7:11]) != s.fleet {
-		return m, 0, ErrFleet
+		return m, 0, ErrOtherFleet
 	}
 	for i := range s.keys {
 		k := &s.keys[i]
@@ -118,18 +118,18 @@
 		}
 		cut := len(text) - macSize
 		if !hmac.Equal(text[cut:], k.sum(nil, text[:cut])) {
-			return m, 0, ErrMAC
+			return m, 0, ErrBadMAC
 		}
 		m, err = Decode(text[headSize:cut])
 		return m, binary.BigEndian.Uint64(text[11:19]), err
 	}
-	return m, 0, ErrKey
+	return m, 0, ErrUnknownKey
 }
 
 const windowBits = 512
 
-// Replays remembers which datagrams of each process came already.
-type Replays struct{ seen map[process]*window }
+// ReplayFilter remembers which datagrams of each process came already.
+type ReplayFilter struct{ seen map[process]*window }
 
 type process struct {
 	id   membership.ID
@@ -144,9 +144,9 @@
 
 const mostWindows = 1 << 14
 
-// Fresh tells whether a datagram comes for the first time, and remembers it. One whose counter is far below others' counts
+// Accept tells whether a datagram comes for the first time, and remembers it. One whose counter is far below others' counts
 // as a replay.
-func (r *Replays) Fresh(from membership.ID, boot, counter uint64) bool {
+func (r *ReplayFilter) Accept(from membership.ID, boot, counter uint64) bool {
 	if r.seen == nil || len(r.seen) >= mostWindows {
 		r.seen = map[process]*window{}
 	}
@@ -175,4 +175,4 @@
 }
 
 // Forget drops what is remembered of a process.
-func (r *Replays) Forget(id membership.ID, boot uint64) { delete(r.seen, process{id, boot}) }
+func (r *ReplayFilter) Forget(id membership.ID, boot uint64) { delete(r.seen, process{id, boot}) }
--- a/membership/api.go
+++ b/membership/api.go
@@ -44,16 +44,16 @@
 
 // Member is what is known of one gateway.
 type Member struct {
-	Name        string
-	Addr        netip.AddrPort
-	Zone        string
-	Version     uint8  // the newest version of messages that it speaks
-	Boot        uint64 // tells processes of one name apart
-	Incarnation uint64 // grows whenever the member contradicts what is said of it
-	State       State
-	Payload     []byte
-	Edition     uint64  // of the payload; grows with each change
-	Since       float64 // time of the last change of state, on the driver's clock
+	Name           string
+	Addr           netip.AddrPort
+	Zone           string
+	Version        uint8  // the newest version of messages that it speaks
+	BootID         uint64 // tells processes of one name apart
+	Incarnation    uint64 // grows whenever the member contradicts what is said of it
+	State          State
+	Payload        []byte
+	PayloadVersion uint64  // of the payload; grows with each change
+	Since          float64 // time of the last change of state, on the driver's clock
 }
 
 // Config is what a View is made from.
@@ -62,7 +62,7 @@
 	Addr    netip.AddrPort
 	Zone    string // up to 32 bytes
 	Payload []byte // up to 64 bytes, for whatever comes later
-	Boot    uint64 // random, not 0
+	BootID  uint64 // random, not 0
 	Seeds   []netip.AddrPort
 	Version uint8 // 0: the newest
 	Tuning
@@ -70,22 +70,22 @@
 
 // Tuning holds the protocol's times, ms, and counts. Zeroes stand for the defaults, which docs/membership.md derives.
 type Tuning struct {
-	ProbeMs   float64 // between a member's regular probes: 350
-	TryMs     float64 // least time between two tries of a probe: 100
-	GossipMs  float64 // between rounds of gossip while there is news: 100
-	RefuteMs  float64 // from enough observers to dead: 500
-	ForgetMs  float64 // dead members are remembered and tried again for so long: 600,000
-	LeftMs    float64 // and those that left are remembered for: 30,000
-	Observers int     // that make a member dead: 4, or all that can see it where there are fewer
-	Helpers   int     // asked to probe where a probe stays unanswered: 4
+	ProbeIntervalMs    float64 // between a member's regular probes: 350
+	ProbeRetryMs       float64 // least time between two tries of a probe: 100
+	GossipIntervalMs   float64 // between rounds of gossip while there is news: 100
+	SuspicionTimeoutMs float64 // from enough observers to dead: 500
+	DeadRetentionMs    float64 // dead members are remembered and tried again for so long: 600,000
+	LeftRetentionMs    float64 // and those that left are remembered for: 30,000
+	DeathQuorum        int     // that make a member dead: 4, or all that can see it where there are fewer
+	IndirectProbes     int     // asked to probe where a probe stays unanswered: 4
 }
 
 // Names and payloads are bounded so that one record always fits into a datagram.
 const (
-	MaxName    = 64
-	MaxZone    = 32
-	MaxPayload = 64
-	MaxBytes   = 1200 // of a datagram with everything round it
+	MaxName          = 64
+	MaxZone          = 32
+	MaxPayload       = 64
+	MaxDatagramBytes = 1200 // of a datagram with everything round it
 )
 
 func (c *Config) check() error {
@@ -98,7 +98,7 @@
 		return fmt.Errorf("zone: %q is longer than %d bytes", c.Zone, MaxZone)
 	case len(c.Payload) > MaxPayload:
 		return fmt.Errorf("payload: %d bytes, %d at most", len(c.Payload), MaxPayload)
-	case c.Boot == 0:
+	case c.BootID == 0:
 		return errors.New("boot: 0 tells no processes apart")
 	case c.Version > Version:
 		return fmt.Errorf("version: %d is not spoken, %d at most", c.Version, Version)
@@ -107,7 +107,7 @@
 	for _, d := range []struct {
 		v   *float64
 		def float64
-	}{{&t.ProbeMs, 350}, {&t.TryMs, 100}, {&t.GossipMs, 100}, {&t.RefuteMs, 500}, {&t.ForgetMs, 600_000}, {&t.LeftMs, 30_000}} {
+	}{{&t.ProbeIntervalMs, 350}, {&t.ProbeRetryMs, 100}, {&t.GossipIntervalMs, 100}, {&t.SuspicionTimeoutMs, 500}, {&t.DeadRetentionMs, 600_000}, {&t.LeftRetentionMs, 30_000}} {
 		if *d.v == 0 {
 			*d.v = d.def
 		}
@@ -115,13 +115,13 @@
 			return fmt.Errorf("tuning: %v ms is out of range", *d.v)
 		}
 	}
-	if t.Observers == 0 {
-		t.Observers = 4
+	if t.DeathQuorum == 0 {
+		t.DeathQuorum = 4
 	}
-	if t.Helpers == 0 {
-		t.Helpers = 4
+	if t.IndirectProbes == 0 {
+		t.IndirectProbes = 4
 	}
-	if t.Observers < 1 || t.Observers > mostObservers || t.Helpers < 1 || t.Helpers > mostObservers {
+	if t.DeathQuorum < 1 || t.DeathQuorum > mostObservers || t.IndirectProbes < 1 || t.IndirectProbes > mostObservers {
 		return fmt.Errorf("tuning: observers and helpers have to be 1 to %d", mostObservers)
 	}
 	if c.Version == 0 {
@@ -135,16 +135,16 @@
 
 // The kinds of messages.
 const (
-	Ping    Kind = iota + 1 // asks Target for an Ack
-	Ack                     // answers a Ping, or an Ask for Target
-	Ask                     // asks a helper to ping Target at Addr
-	Nack                    // a helper's answer: Target did not answer it
-	Gossip                  // only carries news
-	Join                    // Records[0] is the sender; asks to be let in
-	Welcome                 // answers Join: let in
-	Refused                 // answers Join: Addr lives under that name
-	Compare                 // Buckets holds a digest of each part of the sender's view
-	Page                    // answers Compare: records of parts that differ
+	Ping         Kind = iota + 1 // asks Target for an Ack
+	Ack                          // answers a Ping, or an Ask for Target
+	PingRequest                  // asks a helper to ping Target at Addr
+	Nack                         // a helper's answer: Target did not answer it
+	Gossip                       // only carries news
+	Join                         // Records[0] is the sender; asks to be let in
+	JoinAccepted                 // answers Join: let in
+	JoinRejected                 // answers Join: Addr lives under that name
+	SyncRequest                  // Buckets holds a digest of each part of the sender's view
+	SyncResponse                 // answers Compare: records of parts that differ
 	kinds
 )
 
@@ -163,10 +163,10 @@
 	Kind        Kind
 	Version     uint8
 	From        ID
-	Boot        uint64
+	BootID      uint64
 	Incarnation uint64
 	Seq         uint32 // of the Ping or Ask, and of its answer
-	Try         uint8  // which try of a Ping; its answer repeats it
+	Attempt     uint8  // which try of a Ping; its answer repeats it
 	Target      ID
 	Addr        netip.AddrPort
 	Digest      uint64 // of all that the sender holds to be alive
@@ -177,24 +177,24 @@
 
 // Rumor is news of a member that the receiver knows.
 type Rumor struct {
-	About       ID
-	Tag         uint32 // the low half of Boot: news of another process of that name is not for this record
+	Subject     ID
+	BootTag     uint32 // the low half of Boot: news of another process of that name is not for this record
 	Incarnation uint64
 	State       State
-	By          []ID // of Suspect: who got no answer
+	Accusers    []ID // of Suspect: who got no answer
 }
 
 // Record is all that is told of a member.
 type Record struct {
-	Name        string
-	Addr        netip.AddrPort
-	Zone        string
-	Version     uint8
-	Boot        uint64
-	Incarnation uint64
-	State       State
-	Payload     []byte
-	Edition     uint64
+	Name           string
+	Addr           netip.AddrPort
+	Zone           string
+	Version        uint8
+	BootID         uint64
+	Incarnation    uint64
+	State          State
+	Payload        []byte
+	PayloadVersion uint64
 }
 
 // Event is something that happened: Received, Goodbye or Tell.
@@ -206,15 +206,15 @@
 	Message Message
 }
 
-// Goodbye makes this member leave: it says so to the others and answers nobody from then on.
-type Goodbye struct{}
+// Leave makes this member leave: it says so to the others and answers nobody from then on.
+type Leave struct{}
 
-// Tell changes this member's payload, up to MaxPayload bytes; a longer one is ignored.
-type Tell struct{ Payload []byte }
+// SetPayload changes this member's payload, up to MaxPayload bytes; a longer one is ignored.
+type SetPayload struct{ Payload []byte }
 
-func (Received) event() {}
-func (Goodbye) event()  {}
-func (Tell) event()     {}
+func (Received) event()   {}
+func (Leave) event()      {}
+func (SetPayload) event() {}
 
 // Action is something to do: Send, Changed or Self.
 type Action interface{ action() }
@@ -225,53 +225,53 @@
 	Message Message
 }
 
-// Changed tells of a member's new state. Old is 0 for a new member, New is 0 for one that is forgotten.
-type Changed struct {
+// MemberChanged tells of a member's new state. Old is 0 for a new member, New is 0 for one that is forgotten.
+type MemberChanged struct {
 	Member   Member
 	Old, New State
 	Cause    string
 }
 
-// Self tells of a new Standing of this member.
-type Self struct {
-	Standing Standing
-	Cause    string
+// StatusChanged tells of a new Standing of this member.
+type StatusChanged struct {
+	Status Status
+	Cause  string
 }
 
-func (Send) action()    {}
-func (Changed) action() {}
-func (Self) action()    {}
+func (Send) action()          {}
+func (MemberChanged) action() {}
+func (StatusChanged) action() {}
 
-// Standing is what a member thinks of itself.
-type Standing uint8
+// Status is what a member thinks of itself.
+type Status uint8
 
 // The standings.
 const (
-	Joining Standing = iota // nobody has let it in yet; it tries again and again
-	Fine
-	Slow    // it gets too little processor time, or too few answers: it waits longer before it accuses
-	Deaf    // it hears nobody, though there should be somebody
-	Unheard // it hears others call it dead although it contradicts
-	Taken   // another process lives under its name: it stays out, and tries again and again
-	Gone    // it has left
+	StatusJoining Status = iota // nobody has let it in yet; it tries again and again
+	StatusHealthy
+	StatusSlow      // it gets too little processor time, or too few answers: it waits longer before it accuses
+	StatusIsolated  // it hears nobody, though there should be somebody
+	StatusDisputed  // it hears others call it dead although it contradicts
+	StatusNameTaken // another process lives under its name: it stays out, and tries again and again
+	StatusLeft      // it has left
 )
 
-func (s Standing) String() string {
+func (s Status) String() string {
 	return [...]string{"joining", "fine", "slow", "deaf", "unheard", "taken", "gone"}[s]
 }
 
 // MarshalText is the standing's name.
-func (s Standing) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (s Status) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // Summary is a View in figures.
 type Summary struct {
-	Standing                       Standing
-	Alive, Suspect, Unreachable    int // this member counts among the living
-	Dead, Left                     int
-	Part                           bool    // it sees only a part: a fifth of the fleet and two members at least went away lately
-	Health                         int     // 0 is well, 8 the worst: times are stretched by half of it
-	Loss                           float64 // share of answered probes that needed another try
-	RoundTripMs                    float64
-	Pending                        int // news still to be passed on
-	Accused, Refuted, Late, Synced uint64
+	Status                                       Status
+	Alive, Suspect, Unreachable                  int // this member counts among the living
+	Dead, Left                                   int
+	Partial                                      bool    // it sees only a part: a fifth of the fleet and two members at least went away lately
+	Health                                       int     // 0 is well, 8 the worst: times are stretched by half of it
+	Loss                                         float64 // share of answered probes that needed another try
+	RoundTripMs                                  float64
+	PendingRumors                                int // news still to be passed on
+	Accusations, Refutations, LateAnswers, Syncs uint64
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -9,20 +9,20 @@
 
 // Sizes in bytes that Send keeps to: upper bounds for the encoding in internal/transport, whose tests hold them against it.
 const (
-	Overhead    = 170 // all but rumors, records and digests
-	rumorSize   = 34
-	idSize      = 9
-	recordSize  = 92
-	allNews     = MaxBytes - Overhead
-	smallNews   = 330 // beside a Ping or an Ack
-	fan         = 3
-	mostPieces  = 3 // datagrams for one receiver in a round of gossip
-	spread      = 4.0
-	mostPages   = 8
-	syncMs      = 600.0
-	syncFreshMs = 200.0
-	calmMs      = 300.0
-	freshMs     = 5000.0
+	DatagramOverhead = 170 // all but rumors, records and digests
+	rumorSize        = 34
+	idSize           = 9
+	recordSize       = 92
+	allNews          = MaxDatagramBytes - DatagramOverhead
+	smallNews        = 330 // beside a Ping or an Ack
+	fan              = 3
+	mostPieces       = 3 // datagrams for one receiver in a round of gossip
+	spread           = 4.0
+	mostPages        = 8
+	syncMs           = 600.0
+	syncFreshMs      = 200.0
+	calmMs           = 300.0
+	freshMs          = 5000.0
 )
 
 // news is what is still to be passed on about a member. What is said is looked up when it is sent.
@@ -44,12 +44,12 @@
 }
 
 func (v *View) rumor(m *member) Rumor {
-	r := Rumor{About: m.id, Tag: uint32(m.Boot), Incarnation: m.Incarnation, State: m.State}
+	r := Rumor{Subject: m.id, BootTag: uint32(m.BootID), Incarnation: m.Incarnation, State: m.State}
 	if m.doubt == nil {
 		r.State = told(m.State)
 		return r
 	}
-	r.By = slices.Clone(m.doubt.by[:min(len(m.doubt.by), v.cfg.Observers+1)])
+	r.Accusers = slices.Clone(m.doubt.by[:min(len(m.doubt.by), v.cfg.DeathQuorum+1)])
 	return r
 }
 
@@ -57,7 +57,7 @@
 func (r *Record) Size() int { return recordSize + len(r.Name) + len(r.Zone) + len(r.Payload) }
 
 // Size is an upper bound of what a rumor takes in a datagram, bytes.
-func (r *Rumor) Size() int { return rumorSize + idSize*len(r.By) }
+func (r *Rumor) Size() int { return rumorSize + idSize*len(r.Accusers) }
 
 // pack puts news into a message, as much as room allows; the newest and those told to the fewest go first.
 func (v *View) pack(m *Message, room int) {
@@ -109,17 +109,17 @@
 	if m != nil {
 		msg.Version = min(msg.Version, m.Version)
 	}
-	msg.From, msg.Boot, msg.Incarnation, msg.Digest = v.id, v.cfg.Boot, v.self.Incarnation, v.digest
+	msg.From, msg.BootID, msg.Incarnation, msg.Digest = v.id, v.cfg.BootID, v.self.Incarnation, v.digest
 	if room > 0 {
 		v.pack(msg, room)
 	}
 	if msg.Version < 2 {
 		for i := range msg.Records {
-			msg.Records[i].Payload, msg.Records[i].Edition = nil, 0
+			msg.Records[i].Payload, msg.Records[i].PayloadVersion = nil, 0
 		}
 		for i := range msg.Rumors {
-			if by := msg.Rumors[i].By; len(by) > 1 {
-				msg.Rumors[i].By = []ID{by[v.rng.IntN(len(by))]} // all of them, by and by
+			if by := msg.Rumors[i].Accusers; len(by) > 1 {
+				msg.Rumors[i].Accusers = []ID{by[v.rng.IntN(len(by))]} // all of them, by and by
 			}
 		}
 	}
@@ -131,9 +131,9 @@
 	if len(v.queue) == 0 || v.now < v.gossipAt || !v.joined {
 		return
 	}
-	v.gossipAt = v.now + v.cfg.GossipMs
+	v.gossipAt = v.now + v.cfg.GossipIntervalMs
 	if v.alarm() {
-		v.gossipAt = v.now + v.cfg.GossipMs/2
+		v.gossipAt = v.now + v.cfg.GossipIntervalMs/2
 	}
 	var chosen []*member
 	for range fan {
@@ -159,26 +159,26 @@
 
 // receive takes in a message.
 func (v *View) receive(from netip.AddrPort, m *Message) {
-	if m.From == v.id && m.Boot == v.cfg.Boot {
+	if m.From == v.id && m.BootID == v.cfg.BootID {
 		return // its own, sent back
 	}
 	v.heardAt = v.now
-	if v.standing == Deaf {
+	if v.standing == StatusIsolated {
 		v.lookAgain()
 	}
 	switch m.Kind {
 	case Join:
 		v.onJoin(from, m)
 		return
-	case Welcome:
+	case JoinAccepted:
 		v.onWelcome(from, m)
 		return
-	case Refused:
+	case JoinRejected:
 		v.onRefused(m)
 		return
 	}
 	if !v.joined {
-		if m.Kind != Ping || m.Target != v.id || v.standing == Taken {
+		if m.Kind != Ping || m.Target != v.id || v.standing == StatusNameTaken {
 			return
 		}
 		v.letIn() // somebody knows it at this address: the welcome was lost
@@ -188,7 +188,7 @@
 		return
 	}
 	s := v.members[m.From]
-	if s == nil || s.Boot != m.Boot {
+	if s == nil || s.BootID != m.BootID {
 		v.stranger(from, s, m)
 		return
 	}
@@ -200,20 +200,20 @@
 		v.hear(&m.Rumors[i], believed)
 	}
 	for i := range m.Records {
-		v.learn(&m.Records[i], m.Kind != Page && m.Kind != Compare)
+		v.learn(&m.Records[i], m.Kind != SyncResponse && m.Kind != SyncRequest)
 	}
 	switch m.Kind {
 	case Ping:
 		v.onPing(from, s, m)
 	case Ack:
 		v.onAck(s, m)
-	case Ask:
+	case PingRequest:
 		v.onAsk(from, s, m)
 	case Nack:
 		if p := v.find(m.Seq); p != nil && p.target.id == m.Target && believed && !slices.Contains(p.by, s.id) && len(p.by) < mostObservers-1 {
 			p.by = append(p.by, s.id)
 		}
-	case Compare:
+	case SyncRequest:
 		v.onCompare(from, s, m)
 	}
 	if m.Kind == Ping || m.Kind == Ack && m.Target == 0 {
@@ -234,7 +234,7 @@
 	if m.Target != v.id {
 		return // for whoever had this address before
 	}
-	ack := &Message{Kind: Ack, Seq: m.Seq, Try: m.Try}
+	ack := &Message{Kind: Ack, Seq: m.Seq, Attempt: m.Attempt}
 	if s != nil && (s.State == Suspect || !living(s.State)) {
 		ack.Rumors = append(ack.Rumors, v.rumor(s))
 	}
@@ -249,14 +249,14 @@
 		if e.seq != m.Seq || e.m != s || m.Target != 0 {
 			return
 		}
-		v.measure(e.start, e.unit, m.Try, false)
+		v.measure(e.start, e.unit, m.Attempt, false)
 		v.heardFrom()
 		s.weak = 0
 		if s.State == Unreachable {
 			v.set(s, Alive, s.Incarnation, "answers again, late")
 		}
 	case p.target == s && m.Target == 0:
-		v.measure(p.start, p.unit, m.Try, p.purpose == regular)
+		v.measure(p.start, p.unit, m.Attempt, p.purpose == regular)
 		v.heardFrom()
 		v.answered(p)
 	case m.Target == p.target.id:
@@ -301,12 +301,12 @@
 // hear takes in a rumor. Accusations and deaths count only from senders that are alive here: others may be the ones who
 // are cut off.
 func (v *View) hear(r *Rumor, believed bool) {
-	if r.About == v.id {
+	if r.Subject == v.id {
 		v.aboutMe(r)
 		return
 	}
-	m := v.members[r.About]
-	if m == nil || r.Tag != uint32(m.Boot) || r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && !living(m.State) {
+	m := v.members[r.Subject]
+	if m == nil || r.BootTag != uint32(m.BootID) || r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && !living(m.State) {
 		return
 	}
 	switch r.State {
@@ -321,7 +321,7 @@
 		if r.Incarnation > m.Incarnation {
 			v.set(m, Alive, r.Incarnation, "a newer accusation")
 		}
-		v.doubt(m, r.By, "accused by others")
+		v.doubt(m, r.Accusers, "accused by others")
 	case Dead:
 		if believed {
 			v.set(m, Dead, r.Incarnation, "others found it dead")
@@ -365,8 +365,8 @@
 		return
 	}
 	m := v.members[id]
-	if m != nil && r.Boot == m.Boot && r.Edition > m.Edition {
-		m.Payload, m.Edition = bytes.Clone(r.Payload), r.Edition
+	if m != nil && r.BootID == m.BootID && r.PayloadVersion > m.PayloadVersion {
+		m.Payload, m.PayloadVersion = bytes.Clone(r.Payload), r.PayloadVersion
 		if pass {
 			v.tell(m, true)
 		}
@@ -385,10 +385,10 @@
 		if pass {
 			v.tell(m, true)
 		}
-	case r.State == Dead && m.State == Suspect && r.Incarnation == m.Incarnation && r.Boot == m.Boot:
+	case r.State == Dead && m.State == Suspect && r.Incarnation == m.Incarnation && r.BootID == m.BootID:
 		v.set(m, Dead, r.Incarnation, "others found it dead")
 	case r.State == Dead && living(m.State) && r.Incarnation >= m.Incarnation:
-		v.look(m, &Rumor{About: id, Tag: uint32(r.Boot), Incarnation: r.Incarnation, State: Dead})
+		v.look(m, &Rumor{Subject: id, BootTag: uint32(r.BootID), Incarnation: r.Incarnation, State: Dead})
 	case r.State == Left && m.State != Left && r.Incarnation >= m.Incarnation:
 		v.set(m, Left, r.Incarnation, "said goodbye")
 	}
@@ -415,7 +415,7 @@
 
 // comparison introduces this member and asks for what is known elsewhere.
 func (v *View) comparison() *Message {
-	return &Message{Kind: Compare, Buckets: slices.Clone(v.parts[:]), Records: []Record{v.record(v.self)}}
+	return &Message{Kind: SyncRequest, Buckets: slices.Clone(v.parts[:]), Records: []Record{v.record(v.self)}}
 }
 
 // onCompare answers with the records of the parts that differ, a bounded number at a time.
@@ -424,12 +424,12 @@
 		return
 	}
 	first := v.rng.IntN(buckets)
-	page, pages, room := &Message{Kind: Page}, 0, allNews
+	page, pages, room := &Message{Kind: SyncResponse}, 0, allNews
 	flush := func() {
 		if len(page.Records) > 0 {
 			v.send(from, s, page, 0)
 			pages++
-			page, room = &Message{Kind: Page}, allNews
+			page, room = &Message{Kind: SyncResponse}, allNews
 		}
 	}
 	var differ [buckets][]*member
--- a/membership/join.go
+++ b/membership/join.go
@@ -16,12 +16,12 @@
 
 // start sets the first times. A member that is a seed itself, or has none, founds a fleet.
 func (v *View) start() {
-	v.probeAt = v.rng.Float64() * v.cfg.ProbeMs
+	v.probeAt = v.rng.Float64() * v.cfg.ProbeIntervalMs
 	v.retryAt = retryMs
 	v.awakeAt, v.bumpedAt = -graceMs, -1e9
 	if len(v.cfg.Seeds) == 0 || slices.Contains(v.cfg.Seeds, v.cfg.Addr) {
 		v.letIn()
-		v.stand(Fine, "a seed")
+		v.stand(StatusHealthy, "a seed")
 	}
 }
 
@@ -39,7 +39,7 @@
 	wait := min(joinMs*float64(uint64(1)<<min(v.seedTries, 10)), longestJoin)
 	v.seedTries++
 	switch {
-	case v.standing == Taken:
+	case v.standing == StatusNameTaken:
 		wait = takenMs
 	case v.joined && (len(v.live) > 0 || len(v.cfg.Seeds) < 2):
 		wait = seedMs
@@ -66,25 +66,25 @@
 		return
 	}
 	if m.From == v.id {
-		v.send(from, nil, &Message{Kind: Refused, Addr: v.cfg.Addr}, 0)
+		v.send(from, nil, &Message{Kind: JoinRejected, Addr: v.cfg.Addr}, 0)
 		return
 	}
 	old := v.members[m.From]
 	switch {
 	case old == nil:
 		old = v.takeIn(nil, r, "joined")
-	case old.Boot == r.Boot:
+	case old.BootID == r.BootID:
 		if r.Incarnation > old.Incarnation {
 			v.revive(old, r.Incarnation, "joined again")
 		}
 	case old.Addr != r.Addr && (old.State == Alive || old.State == Suspect):
 		v.look(old, nil)
-		v.send(from, nil, &Message{Kind: Refused, Addr: old.Addr}, 0)
+		v.send(from, nil, &Message{Kind: JoinRejected, Addr: old.Addr}, 0)
 		return
 	default:
 		v.takeIn(old, r, "")
 	}
-	w := &Message{Kind: Welcome, Rumors: []Rumor{v.rumor(old)}, Records: []Record{v.record(v.self)}}
+	w := &Message{Kind: JoinAccepted, Rumors: []Rumor{v.rumor(old)}, Records: []Record{v.record(v.self)}}
 	room := allNews - w.Records[0].Size() - w.Rumors[0].Size()
 	var chosen []*member
 	for range 16 {
@@ -104,7 +104,7 @@
 
 // introduction is the sender's own record, where the message begins with it; else nil.
 func (m *Message) introduction() *Record {
-	if len(m.Records) == 0 || IDOf(m.Records[0].Name) != m.From || m.Records[0].Boot != m.Boot {
+	if len(m.Records) == 0 || IDOf(m.Records[0].Name) != m.From || m.Records[0].BootID != m.BootID {
 		return nil
 	}
 	return &m.Records[0]
@@ -132,15 +132,15 @@
 		v.letIn()
 		v.seedTries = 0
 		v.judgeSelf()
-		if v.standing == Taken {
-			v.stand(Fine, "let in")
+		if v.standing == StatusNameTaken {
+			v.stand(StatusHealthy, "let in")
 		}
 	}
 	for i := range m.Records {
 		v.learn(&m.Records[i], false)
 	}
 	for i := range m.Rumors {
-		if m.Rumors[i].About == v.id {
+		if m.Rumors[i].Subject == v.id {
 			v.aboutMe(&m.Rumors[i])
 		}
 	}
@@ -156,7 +156,7 @@
 
 // onRefused keeps out a process whose name another one has.
 func (v *View) onRefused(m *Message) {
-	if v.joined && !(m.From == v.id && m.Boot < v.cfg.Boot) {
+	if v.joined && !(m.From == v.id && m.BootID < v.cfg.BootID) {
 		return
 	}
 	v.yield(m.Addr)
@@ -170,34 +170,34 @@
 		p.target.trying = false
 	}
 	v.probes = nil
-	v.stand(Taken, "another process under this name lives at "+to.String())
+	v.stand(StatusNameTaken, "another process under this name lives at "+to.String())
 }
 
 // namesake is a message of another process under this member's name. Both were let in by parts of the fleet that were
 // apart; the one with the lower boot number stays.
 func (v *View) namesake(from netip.AddrPort, m *Message) {
-	if m.Boot < v.cfg.Boot {
+	if m.BootID < v.cfg.BootID {
 		v.yield(from)
 		return
 	}
 	v.bump(m.Incarnation)
-	v.send(from, nil, &Message{Kind: Refused, Addr: v.cfg.Addr}, 0)
+	v.send(from, nil, &Message{Kind: JoinRejected, Addr: v.cfg.Addr}, 0)
 }
 
 // recordOfMe takes in what is said of this member's name.
 func (v *View) recordOfMe(r *Record) {
 	switch {
-	case r.Boot == v.cfg.Boot || r.Addr == v.cfg.Addr:
-		v.aboutMe(&Rumor{About: v.id, Tag: uint32(r.Boot), Incarnation: r.Incarnation, State: r.State})
+	case r.BootID == v.cfg.BootID || r.Addr == v.cfg.Addr:
+		v.aboutMe(&Rumor{Subject: v.id, BootTag: uint32(r.BootID), Incarnation: r.Incarnation, State: r.State})
 	case r.State != Alive || r.Incarnation < v.self.Incarnation:
 		if r.State != Alive {
-			v.aboutMe(&Rumor{About: v.id, Tag: uint32(r.Boot), Incarnation: r.Incarnation, State: r.State})
+			v.aboutMe(&Rumor{Subject: v.id, BootTag: uint32(r.BootID), Incarnation: r.Incarnation, State: r.State})
 		}
-	case r.Boot < v.cfg.Boot:
+	case r.BootID < v.cfg.BootID:
 		v.yield(r.Addr)
 	default:
 		v.bump(r.Incarnation)
-		v.send(r.Addr, nil, &Message{Kind: Refused, Addr: v.cfg.Addr}, 0)
+		v.send(r.Addr, nil, &Message{Kind: JoinRejected, Addr: v.cfg.Addr}, 0)
 	}
 }
 
@@ -205,7 +205,7 @@
 // of its name, and asks for what it knows.
 func (v *View) stranger(from netip.AddrPort, old *member, m *Message) {
 	for i := range m.Rumors {
-		if m.Rumors[i].About == v.id {
+		if m.Rumors[i].Subject == v.id {
 			v.aboutMe(&m.Rumors[i])
 		}
 	}
@@ -226,23 +226,23 @@
 		}
 		return
 	}
-	if m.Kind == Compare && m.introduction() != nil {
+	if m.Kind == SyncRequest && m.introduction() != nil {
 		v.acquaint(from, old, m)
 		return
 	}
 	switch m.Kind { // it may well know this member, even if this member has yet to hear of it
 	case Ping:
 		v.onPing(from, nil, m)
-	case Ask:
+	case PingRequest:
 		v.onAsk(from, nil, m)
 	}
-	if m.Kind != Ping && m.Kind != Ack && m.Kind != Compare || v.now < v.strangeAt+strangeEvery {
+	if m.Kind != Ping && m.Kind != Ack && m.Kind != SyncRequest || v.now < v.strangeAt+strangeEvery {
 		return
 	}
 	v.strangeAt = v.now
 	c := v.comparison()
 	if old != nil {
-		c.Rumors = append(c.Rumors, Rumor{About: old.id, Tag: uint32(old.Boot), Incarnation: old.Incarnation, State: told(old.State)})
+		c.Rumors = append(c.Rumors, Rumor{Subject: old.id, BootTag: uint32(old.BootID), Incarnation: old.Incarnation, State: told(old.State)})
 	}
 	v.send(from, nil, c, 0)
 }
@@ -267,8 +267,8 @@
 				continue
 			}
 			told = append(told, m)
-			v.send(m.Addr, m, &Message{Kind: Gossip, Rumors: []Rumor{{About: v.id, Tag: uint32(v.cfg.Boot), Incarnation: v.self.Incarnation, State: Left}}}, 0)
+			v.send(m.Addr, m, &Message{Kind: Gossip, Rumors: []Rumor{{Subject: v.id, BootTag: uint32(v.cfg.BootID), Incarnation: v.self.Incarnation, State: Left}}}, 0)
 		}
 	}
-	v.stand(Gone, "told to leave")
+	v.stand(StatusLeft, "told to leave")
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -109,7 +109,7 @@
 
 // unitMs is the time between two tries of a probe: the longest usual round trip.
 func (v *View) unitMs() float64 {
-	return min(max(v.cfg.TryMs, v.rtt+4*v.dev), longestTryMs) * v.scale()
+	return min(max(v.cfg.ProbeRetryMs, v.rtt+4*v.dev), longestTryMs) * v.scale()
 }
 
 // needed is how many tries find a live member all but surely at the present loss.
@@ -122,11 +122,11 @@
 
 // mayAccuse tells whether this member has reason to believe its own observations.
 func (v *View) mayAccuse() bool {
-	return v.joined && v.now-v.awakeAt >= graceMs && v.now-v.heardAt < hearMs && v.standing != Deaf && v.standing != Unheard
+	return v.joined && v.now-v.awakeAt >= graceMs && v.now-v.heardAt < hearMs && v.standing != StatusIsolated && v.standing != StatusDisputed
 }
 
 // quorum is how many observers make a member dead.
-func (v *View) quorum() int { return min(v.cfg.Observers, v.counts[Alive]+1) }
+func (v *View) quorum() int { return min(v.cfg.DeathQuorum, v.counts[Alive]+1) }
 
 // alarm tells whether so much has gone wrong lately that time matters more than bytes.
 func (v *View) alarm() bool {
@@ -139,13 +139,13 @@
 // startProbes begins what is due: a regular probe, checks, and tries of lost members.
 func (v *View) startProbes() {
 	if !v.joined {
-		v.probeAt, v.retryAt = v.now+v.cfg.ProbeMs, v.now+retryMs
+		v.probeAt, v.retryAt = v.now+v.cfg.ProbeIntervalMs, v.now+retryMs
 		return
 	}
 	if v.now >= v.probeAt {
-		period := v.cfg.ProbeMs
+		period := v.cfg.ProbeIntervalMs
 		if v.alarm() {
-			period = v.cfg.TryMs
+			period = v.cfg.ProbeRetryMs
 		}
 		v.probeAt = v.now + period*v.scale()*(0.9+0.2*v.rng.Float64())
 		if v.running(regular) < mostProbes {
@@ -233,7 +233,7 @@
 }
 
 func (v *View) try(p *probe) {
-	m := &Message{Kind: Ping, Seq: p.seq, Try: uint8(p.sent), Target: p.target.id}
+	m := &Message{Kind: Ping, Seq: p.seq, Attempt: uint8(p.sent), Target: p.target.id}
 	p.sent++
 	switch {
 	case p.target.State != Alive && p.target.State != Unreachable:
@@ -284,7 +284,7 @@
 // ask has other members probe the target.
 func (v *View) ask(p *probe) {
 	var chosen []*member
-	n := v.cfg.Helpers
+	n := v.cfg.IndirectProbes
 	if p.target.weak > 0 || v.alarm() { // helpers may be dead too
 		n = mostObservers
 	}
@@ -295,7 +295,7 @@
 		}
 		chosen = append(chosen, h)
 		p.asked++
-		v.send(h.Addr, h, &Message{Kind: Ask, Seq: p.seq, Target: p.target.id, Addr: p.target.Addr}, 0)
+		v.send(h.Addr, h, &Message{Kind: PingRequest, Seq: p.seq, Target: p.target.id, Addr: p.target.Addr}, 0)
 	}
 }
 
@@ -345,7 +345,7 @@
 	m.weak = 0
 	switch p.purpose {
 	case helping:
-		ack := &Message{Kind: Ack, Seq: p.theirs, Target: m.id, Rumors: []Rumor{{About: m.id, Tag: uint32(m.Boot), Incarnation: m.Incarnation, State: Alive}}}
+		ack := &Message{Kind: Ack, Seq: p.theirs, Target: m.id, Rumors: []Rumor{{Subject: m.id, BootTag: uint32(m.BootID), Incarnation: m.Incarnation, State: Alive}}}
 		v.send(p.replyTo, p.asker, ack, 0)
 	case retrying:
 		v.retries = min(mostRetries, v.retries+4)
@@ -413,7 +413,7 @@
 			continue
 		}
 		s.by = append(s.by, id)
-		news = news || len(s.by) <= v.cfg.Observers
+		news = news || len(s.by) <= v.cfg.DeathQuorum
 	}
 	if news {
 		v.tell(m, false)
@@ -423,7 +423,7 @@
 // due is when an accusation has to be looked at.
 func (s *suspicion) due(v *View) float64 {
 	if s.enoughAt > 0 {
-		return s.enoughAt + max(v.cfg.RefuteMs*v.scale(), refuteTries*v.unitMs())
+		return s.enoughAt + max(v.cfg.SuspicionTimeoutMs*v.scale(), refuteTries*v.unitMs())
 	}
 	return s.checkAt
 }
@@ -473,25 +473,25 @@
 		v.toldAt = v.toldAt[1:]
 	}
 	others := len(v.live) + len(v.lost)
-	s, cause := Fine, "answers come in time"
+	s, cause := StatusHealthy, "answers come in time"
 	switch {
-	case v.standing == Gone || v.standing == Taken && !v.joined:
+	case v.standing == StatusLeft || v.standing == StatusNameTaken && !v.joined:
 		return
 	case !v.joined:
-		s, cause = Joining, "nobody has let it in"
+		s, cause = StatusJoining, "nobody has let it in"
 	case others > 0 && v.now-v.heardAt > 1.5*hearMs:
-		s, cause = Deaf, "nobody is heard"
+		s, cause = StatusIsolated, "nobody is heard"
 	case len(v.toldAt) >= 3 && v.now-v.ackedAt > 1.5*hearMs:
-		s, cause = Unheard, "others call it dead, whatever it answers"
-	case v.health >= 3 || v.standing == Slow && v.health > 0:
-		s, cause = Slow, "answers or processor time come late"
+		s, cause = StatusDisputed, "others call it dead, whatever it answers"
+	case v.health >= 3 || v.standing == StatusSlow && v.health > 0:
+		s, cause = StatusSlow, "answers or processor time come late"
 	}
 	v.stand(s, cause)
 }
 
-func (v *View) stand(s Standing, cause string) {
+func (v *View) stand(s Status, cause string) {
 	if v.standing != s {
 		v.standing = s
-		v.out = append(v.out, Self{s, cause})
+		v.out = append(v.out, StatusChanged{s, cause})
 	}
 }
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -18,7 +18,7 @@
 			return fmt.Errorf("%s is kept under a wrong ID", m.Name)
 		}
 		if living(m.State) {
-			digest ^= mix(uint64(m.id)^mix(m.Incarnation)) ^ mix(m.Boot)
+			digest ^= mix(uint64(m.id)^mix(m.Incarnation)) ^ mix(m.BootID)
 		}
 		if m == v.self {
 			continue
@@ -38,7 +38,7 @@
 	if len(v.suspects) != counts[Suspect] || len(v.live)+len(v.lost)+len(v.left)+1 != len(v.members) {
 		return fmt.Errorf("%d suspects, %d live, %d lost, %d left of %d members", len(v.suspects), len(v.live), len(v.lost), len(v.left), len(v.members))
 	}
-	if v.standing != Gone && digest != v.digest {
+	if v.standing != StatusLeft && digest != v.digest {
 		return fmt.Errorf("the digest is %x, not %x", v.digest, digest)
 	}
 	if len(v.queue) != len(v.queued) {
@@ -56,8 +56,8 @@
 func anyMessage(t *rapid.T) Message {
 	m := Message{
 		Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind")), Version: uint8(rapid.IntRange(0, 3).Draw(t, "version")), From: anyID(t),
-		Boot: uint64(rapid.IntRange(1, 3).Draw(t, "boot")), Incarnation: uint64(rapid.IntRange(1, 4).Draw(t, "incarnation")),
-		Seq: uint32(rapid.IntRange(0, 6).Draw(t, "seq")), Try: uint8(rapid.IntRange(0, 2).Draw(t, "try")),
+		BootID: uint64(rapid.IntRange(1, 3).Draw(t, "boot")), Incarnation: uint64(rapid.IntRange(1, 4).Draw(t, "incarnation")),
+		Seq: uint32(rapid.IntRange(0, 6).Draw(t, "seq")), Attempt: uint8(rapid.IntRange(0, 2).Draw(t, "try")),
 		Digest: uint64(rapid.IntRange(0, 1).Draw(t, "digest")), Addr: addrOf(rapid.IntRange(0, 6).Draw(t, "addr")),
 	}
 	if rapid.Bool().Draw(t, "aimed") {
@@ -67,16 +67,16 @@
 		m.Buckets = make([]uint64, buckets)
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "rumors") {
-		r := Rumor{About: anyID(t), Tag: uint32(rapid.IntRange(1, 3).Draw(t, "tag")), Incarnation: uint64(rapid.IntRange(1, 4).Draw(t, "about")), State: anyState(t)}
+		r := Rumor{Subject: anyID(t), BootTag: uint32(rapid.IntRange(1, 3).Draw(t, "tag")), Incarnation: uint64(rapid.IntRange(1, 4).Draw(t, "about")), State: anyState(t)}
 		for range rapid.IntRange(0, 5).Draw(t, "observers") {
-			r.By = append(r.By, anyID(t))
+			r.Accusers = append(r.Accusers, anyID(t))
 		}
 		m.Rumors = append(m.Rumors, r)
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "records") {
 		m.Records = append(m.Records, Record{Name: fmt.Sprintf("g%d", rapid.IntRange(0, 5).Draw(t, "record")), Addr: addrOf(rapid.IntRange(0, 6).Draw(t, "at")),
-			Boot: uint64(rapid.IntRange(1, 3).Draw(t, "its boot")), Incarnation: uint64(rapid.IntRange(1, 4).Draw(t, "its incarnation")), State: anyState(t),
-			Version: uint8(rapid.IntRange(0, 2).Draw(t, "its version")), Edition: uint64(rapid.IntRange(0, 2).Draw(t, "edition"))})
+			BootID: uint64(rapid.IntRange(1, 3).Draw(t, "its boot")), Incarnation: uint64(rapid.IntRange(1, 4).Draw(t, "its incarnation")), State: anyState(t),
+			Version: uint8(rapid.IntRange(0, 2).Draw(t, "its version")), PayloadVersion: uint64(rapid.IntRange(0, 2).Draw(t, "edition"))})
 	}
 	return m
 }
@@ -85,7 +85,7 @@
 // itself for anything but alive, one seed gives one sequence, and it always wants to be called again later than now.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Name: "g0", Addr: addrOf(0), Boot: 1, Seeds: nil}
+		cfg := Config{Name: "g0", Addr: addrOf(0), BootID: 1, Seeds: nil}
 		if rapid.Bool().Draw(t, "joins") {
 			cfg.Seeds = append(cfg.Seeds, addrOf(1), addrOf(2))
 		}
@@ -112,7 +112,7 @@
 				t.Fatalf("it is %v and wants to be called at %v, now is %v", v.self.State, v.Wake(), now)
 			}
 			for id, m := range v.members {
-				if old, ok := before[id]; ok && old.Boot == m.Boot && m.Incarnation < old.Incarnation {
+				if old, ok := before[id]; ok && old.BootID == m.BootID && m.Incarnation < old.Incarnation {
 					t.Fatalf("the incarnation of %s goes back from %d to %d", m.Name, old.Incarnation, m.Incarnation)
 				}
 				before[id] = m.Member
--- a/membership/view.go
+++ b/membership/view.go
@@ -95,7 +95,7 @@
 	againAt   float64   // when lookAgain may be carried out
 	backAt    float64   // when it was answered again after a time without answers
 	strangeAt float64   // the last answer to a stranger
-	standing  Standing
+	standing  Status
 	stats     struct{ accused, refuted, late, synced uint64 }
 }
 
@@ -105,11 +105,11 @@
 		return nil, err
 	}
 	v := &View{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.Boot)), id: IDOf(cfg.Name),
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.BootID)), id: IDOf(cfg.Name),
 		members: map[ID]*member{}, queued: map[ID]*news{}, zones: map[string]string{},
 	}
 	v.self = &member{id: v.id, Member: Member{
-		Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Version: cfg.Version, Boot: cfg.Boot, Incarnation: 1, State: Alive,
+		Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Version: cfg.Version, BootID: cfg.BootID, Incarnation: 1, State: Alive,
 		Payload: bytes.Clone(cfg.Payload),
 	}}
 	v.members[v.id] = v.self
@@ -125,7 +125,7 @@
 		v.out = nil
 	}
 	v.advance(ms)
-	if v.standing == Gone {
+	if v.standing == StatusLeft {
 		v.wake = v.now + restMs
 		return v.out
 	}
@@ -133,14 +133,14 @@
 		switch e := e.(type) {
 		case Received:
 			v.receive(e.From, &e.Message)
-		case Goodbye:
+		case Leave:
 			v.goodbye()
 			v.wake = v.now + restMs
 			return v.out
-		case Tell:
+		case SetPayload:
 			if len(e.Payload) <= MaxPayload && !bytes.Equal(e.Payload, v.self.Payload) {
 				v.self.Payload = bytes.Clone(e.Payload)
-				v.self.Edition++
+				v.self.PayloadVersion++
 				v.bump(v.self.Incarnation)
 			}
 		}
@@ -195,15 +195,15 @@
 // Summary is the View in figures.
 func (v *View) Summary() Summary {
 	return Summary{
-		Standing: v.standing, Alive: v.counts[Alive] + 1, Suspect: v.counts[Suspect], Unreachable: v.counts[Unreachable],
-		Dead: v.counts[Dead], Left: v.counts[Left], Part: v.part(), Health: v.health, Loss: v.loss, RoundTripMs: v.rtt,
-		Pending: len(v.queue), Accused: v.stats.accused, Refuted: v.stats.refuted, Late: v.stats.late, Synced: v.stats.synced,
+		Status: v.standing, Alive: v.counts[Alive] + 1, Suspect: v.counts[Suspect], Unreachable: v.counts[Unreachable],
+		Dead: v.counts[Dead], Left: v.counts[Left], Partial: v.part(), Health: v.health, Loss: v.loss, RoundTripMs: v.rtt,
+		PendingRumors: len(v.queue), Accusations: v.stats.accused, Refutations: v.stats.refuted, LateAnswers: v.stats.late, Syncs: v.stats.synced,
 	}
 }
 
 // part tells whether much of the fleet went away lately. Whether it died or is cut off nobody can know from here.
 func (v *View) part() bool {
-	if v.standing == Deaf {
+	if v.standing == StatusIsolated {
 		return true
 	}
 	gone := v.counts[Unreachable]
@@ -248,7 +248,7 @@
 
 // toggle puts a member into the digests, or takes it out again.
 func (v *View) toggle(m *member) {
-	h := mix(uint64(m.id)^mix(m.Incarnation)) ^ mix(m.Boot)
+	h := mix(uint64(m.id)^mix(m.Incarnation)) ^ mix(m.BootID)
 	v.digest ^= h
 	v.parts[m.id%buckets] ^= h
 	v.newsAt = v.now
@@ -284,7 +284,7 @@
 		if s == Dead || s == Suspect {
 			v.freshAt = append(v.freshAt, v.now)
 		}
-		v.out = append(v.out, Changed{Member: m.Member, Old: old, New: s, Cause: cause})
+		v.out = append(v.out, MemberChanged{Member: m.Member, Old: old, New: s, Cause: cause})
 	}
 	if living(s) {
 		v.toggle(m)
@@ -297,14 +297,14 @@
 // add takes in a member that was not known.
 func (v *View) add(r *Record, cause string) *member {
 	m := &member{id: IDOf(r.Name), Member: Member{
-		Name: r.Name, Addr: r.Addr, Zone: v.intern(r.Zone), Version: r.Version, Boot: r.Boot, Incarnation: r.Incarnation,
-		State: Alive, Payload: bytes.Clone(r.Payload), Edition: r.Edition, Since: v.raw,
+		Name: r.Name, Addr: r.Addr, Zone: v.intern(r.Zone), Version: r.Version, BootID: r.BootID, Incarnation: r.Incarnation,
+		State: Alive, Payload: bytes.Clone(r.Payload), PayloadVersion: r.PayloadVersion, Since: v.raw,
 	}}
 	v.members[m.id] = m
 	v.putInto(m)
 	v.toggle(m)
 	v.visit(m)
-	v.out = append(v.out, Changed{Member: m.Member, New: Alive, Cause: cause})
+	v.out = append(v.out, MemberChanged{Member: m.Member, New: Alive, Cause: cause})
 	return m
 }
 
@@ -325,8 +325,8 @@
 	if living(m.State) {
 		v.toggle(m)
 	}
-	m.Addr, m.Zone, m.Version, m.Boot = r.Addr, v.intern(r.Zone), r.Version, r.Boot
-	m.Payload, m.Edition = bytes.Clone(r.Payload), r.Edition
+	m.Addr, m.Zone, m.Version, m.BootID = r.Addr, v.intern(r.Zone), r.Version, r.BootID
+	m.Payload, m.PayloadVersion = bytes.Clone(r.Payload), r.PayloadVersion
 	if living(m.State) {
 		v.toggle(m)
 	}
@@ -341,7 +341,7 @@
 	for _, l := range []struct {
 		list *[]*member
 		ms   float64
-	}{{&v.lost, v.cfg.ForgetMs}, {&v.left, v.cfg.LeftMs}} {
+	}{{&v.lost, v.cfg.DeadRetentionMs}, {&v.left, v.cfg.LeftRetentionMs}} {
 		for i := 0; i < len(*l.list); {
 			m := (*l.list)[i]
 			if v.now-m.lostAt < l.ms {
@@ -350,14 +350,14 @@
 			}
 			v.takeFrom(m)
 			delete(v.members, m.id)
-			v.out = append(v.out, Changed{Member: m.Member, Old: m.State, Cause: "forgotten"})
+			v.out = append(v.out, MemberChanged{Member: m.Member, Old: m.State, Cause: "forgotten"})
 		}
 	}
 }
 
 func (v *View) record(m *member) Record {
-	return Record{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Version: m.Version, Boot: m.Boot, Incarnation: m.Incarnation,
-		State: told(m.State), Payload: m.Payload, Edition: m.Edition}
+	return Record{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Version: m.Version, BootID: m.BootID, Incarnation: m.Incarnation,
+		State: told(m.State), Payload: m.Payload, PayloadVersion: m.PayloadVersion}
 }
 
 // told is the state that others are told of: what is only doubted, or only this member's own finding, counts as alive.
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -33,7 +33,7 @@
 	}
 	s.run(3000)
 	for i, v := range s.views {
-		if got := v.Summary(); got.Alive != n || got.Standing != Fine {
+		if got := v.Summary(); got.Alive != n || got.Status != StatusHealthy {
 			t.Fatalf("g%d sees %+v after the start", i, got)
 		}
 	}
@@ -43,7 +43,7 @@
 
 func (s *small) start(i int, c Config) {
 	s.boots++
-	c.Name, c.Addr, c.Boot = fmt.Sprintf("g%d", i), addrOf(i), c.Boot+s.boots
+	c.Name, c.Addr, c.BootID = fmt.Sprintf("g%d", i), addrOf(i), c.BootID+s.boots
 	if c.Seeds == nil {
 		c.Seeds = []netip.AddrPort{addrOf(0)}
 	}
@@ -76,10 +76,10 @@
 			if a.To.Port() == 7946 && to < len(s.views) && s.views[to] != nil && (s.cut == nil || !s.cut(i, to, &a.Message)) {
 				s.inbox[to] = append(s.inbox[to], Received{addrOf(i), a.Message})
 			}
-		case Changed:
+		case MemberChanged:
 			s.seen = append(s.seen, fmt.Sprintf("g%d %s %s %s", i, a.Member.Name, a.New, a.Cause))
-		case Self:
-			s.self = append(s.self, fmt.Sprintf("g%d %s", i, a.Standing))
+		case StatusChanged:
+			s.self = append(s.self, fmt.Sprintf("g%d %s", i, a.Status))
 		}
 	}
 }
@@ -103,15 +103,15 @@
 }
 
 func TestConfigNamesTheField(t *testing.T) {
-	good := Config{Name: "a", Addr: addrOf(1), Boot: 1}
+	good := Config{Name: "a", Addr: addrOf(1), BootID: 1}
 	for field, change := range map[string]func(*Config){
 		"name":    func(c *Config) { c.Name = strings.Repeat("x", MaxName+1) },
 		"address": func(c *Config) { c.Addr = netip.AddrPort{} },
 		"zone":    func(c *Config) { c.Zone = strings.Repeat("z", MaxZone+1) },
 		"payload": func(c *Config) { c.Payload = make([]byte, MaxPayload+1) },
-		"boot":    func(c *Config) { c.Boot = 0 },
+		"boot":    func(c *Config) { c.BootID = 0 },
 		"version": func(c *Config) { c.Version = Version + 1 },
-		"tuning":  func(c *Config) { c.ProbeMs = -1 },
+		"tuning":  func(c *Config) { c.ProbeIntervalMs = -1 },
 	} {
 		c := good
 		change(&c)
@@ -135,8 +135,8 @@
 // One member's word kills nobody.
 func TestOneObserverIsNotEnough(t *testing.T) {
 	s := newSmall(t, 6)
-	s.step(2, Received{addrOf(1), Message{Kind: Gossip, From: IDOf("g1"), Boot: s.views[1].cfg.Boot, Incarnation: 1,
-		Rumors: []Rumor{{About: IDOf("g4"), Tag: uint32(s.views[4].cfg.Boot), Incarnation: 1, State: Suspect, By: []ID{IDOf("g1")}}}}})
+	s.step(2, Received{addrOf(1), Message{Kind: Gossip, From: IDOf("g1"), BootID: s.views[1].cfg.BootID, Incarnation: 1,
+		Rumors: []Rumor{{Subject: IDOf("g4"), BootTag: uint32(s.views[4].cfg.BootID), Incarnation: 1, State: Suspect, Accusers: []ID{IDOf("g1")}}}}})
 	s.wantStates(Suspect, "g4", 2)
 	s.run(2000)
 	s.wantStates(Alive, "g4", 0, 1, 2, 3, 5)
@@ -150,9 +150,9 @@
 	s := newSmall(t, 6)
 	s.views[1] = nil
 	s.run(3000)
-	from := Message{Kind: Gossip, From: IDOf("g1"), Boot: 2, Incarnation: 1}
+	from := Message{Kind: Gossip, From: IDOf("g1"), BootID: 2, Incarnation: 1}
 	for _, state := range []State{Suspect, Dead} {
-		from.Rumors = []Rumor{{About: IDOf("g4"), Tag: uint32(s.views[4].cfg.Boot), Incarnation: 1, State: state, By: []ID{IDOf("g1"), IDOf("g0"), IDOf("g3"), IDOf("g5")}}}
+		from.Rumors = []Rumor{{Subject: IDOf("g4"), BootTag: uint32(s.views[4].cfg.BootID), Incarnation: 1, State: state, Accusers: []ID{IDOf("g1"), IDOf("g0"), IDOf("g3"), IDOf("g5")}}}
 		s.step(2, Received{addrOf(1), from})
 		s.wantStates(Alive, "g4", 2)
 	}
@@ -161,18 +161,18 @@
 // News of an earlier process of a name does not change what is known of the present one.
 func TestRumorsOfAnEarlierProcess(t *testing.T) {
 	s := newSmall(t, 4)
-	old := s.views[2].cfg.Boot
+	old := s.views[2].cfg.BootID
 	s.views[2] = nil
 	s.run(500)
-	s.start(2, Config{Boot: 1000})
+	s.start(2, Config{BootID: 1000})
 	s.run(3000)
 	s.wantStates(Alive, "g2", 0, 1, 3)
 	m := s.views[0].members[IDOf("g2")]
-	if m.Boot == old || m.Incarnation < 2 {
+	if m.BootID == old || m.Incarnation < 2 {
 		t.Fatalf("g0 knows %+v, not the new process", m.Member)
 	}
-	s.step(0, Received{addrOf(1), Message{Kind: Gossip, From: IDOf("g1"), Boot: s.views[1].cfg.Boot, Incarnation: 1,
-		Rumors: []Rumor{{About: IDOf("g2"), Tag: uint32(old), Incarnation: 90, State: Dead}}}})
+	s.step(0, Received{addrOf(1), Message{Kind: Gossip, From: IDOf("g1"), BootID: s.views[1].cfg.BootID, Incarnation: 1,
+		Rumors: []Rumor{{Subject: IDOf("g2"), BootTag: uint32(old), Incarnation: 90, State: Dead}}}})
 	s.wantStates(Alive, "g2", 0)
 }
 
@@ -202,7 +202,7 @@
 	if len(s.seen) > 0 {
 		t.Errorf("after steps: %v", s.seen)
 	}
-	if got := s.views[2].Summary().Late; got == 0 {
+	if got := s.views[2].Summary().LateAnswers; got == 0 {
 		t.Error("a step forward was not noticed")
 	}
 }
@@ -212,7 +212,7 @@
 	s := newSmall(t, 6)
 	s.cut = func(_, to int, _ *Message) bool { return to == 2 }
 	s.run(6000)
-	if !slices.Contains(s.self, "g2 deaf") || !s.views[2].Summary().Part {
+	if !slices.Contains(s.self, "g2 deaf") || !s.views[2].Summary().Partial {
 		t.Errorf("g2 stands %v", s.self)
 	}
 	for _, c := range s.seen {
@@ -260,14 +260,14 @@
 	s.cut = func(from, to int, _ *Message) bool { return from/4 != to/4 }
 	s.run(6000)
 	for i, v := range s.views {
-		if got := v.Summary(); got.Alive != 4 || !got.Part {
+		if got := v.Summary(); got.Alive != 4 || !got.Partial {
 			t.Errorf("g%d sees %+v", i, got)
 		}
 	}
 	s.cut = nil
 	s.run(4000)
 	for i, v := range s.views {
-		if got := v.Summary(); got.Alive != 8 || got.Part {
+		if got := v.Summary(); got.Alive != 8 || got.Partial {
 			t.Errorf("after the heal g%d sees %+v", i, got)
 		}
 	}
@@ -279,7 +279,7 @@
 	s.views[1] = nil
 	s.run(5000)
 	s.wantStates(Unreachable, "g1", 0)
-	if got := s.views[0].Summary(); !got.Part || got.Standing != Deaf {
+	if got := s.views[0].Summary(); !got.Partial || got.Status != StatusIsolated {
 		t.Errorf("g0 sees %+v", got)
 	}
 }
@@ -292,11 +292,11 @@
 		lost++
 		return from == 2 && lost%3 == 0
 	}
-	s.step(2, Goodbye{})
-	if got := s.views[2].Summary().Standing; got != Gone {
+	s.step(2, Leave{})
+	if got := s.views[2].Summary().Status; got != StatusLeft {
 		t.Errorf("g2 stands %v", got)
 	}
-	if acts := s.views[2].Step(s.now, []Event{Received{addrOf(1), Message{Kind: Ping, From: IDOf("g1"), Boot: 2, Incarnation: 1, Target: IDOf("g2")}}}); len(acts) > 0 {
+	if acts := s.views[2].Step(s.now, []Event{Received{addrOf(1), Message{Kind: Ping, From: IDOf("g1"), BootID: 2, Incarnation: 1, Target: IDOf("g2")}}}); len(acts) > 0 {
 		t.Errorf("it answers after its goodbye: %v", acts)
 	}
 	if wake := s.views[2].Wake(); wake < s.now+1000 {
@@ -314,21 +314,21 @@
 	s := newSmall(t, 4)
 	s.views = append(s.views, nil)
 	s.skew, s.still, s.inbox = append(s.skew, 0), append(s.still, false), append(s.inbox, nil)
-	v, err := New(Config{Name: "g2", Addr: addrOf(4), Boot: 99, Seeds: []netip.AddrPort{addrOf(0)}}, 9)
+	v, err := New(Config{Name: "g2", Addr: addrOf(4), BootID: 99, Seeds: []netip.AddrPort{addrOf(0)}}, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.views[4] = v
 	s.run(3000)
-	if got := v.Summary().Standing; got != Taken || len(s.seen) > 0 {
+	if got := v.Summary().Status; got != StatusNameTaken || len(s.seen) > 0 {
 		t.Errorf("it stands %v; %v", got, s.seen)
 	}
 	s.views[2] = nil
 	s.run(9000)
-	if got := v.Summary(); got.Standing != Fine || got.Alive != 4 {
+	if got := v.Summary(); got.Status != StatusHealthy || got.Alive != 4 {
 		t.Errorf("after the other's death: %+v", got)
 	}
-	if m := s.views[0].members[IDOf("g2")]; m.Boot != 99 || m.Addr != addrOf(4) || m.State != Alive {
+	if m := s.views[0].members[IDOf("g2")]; m.BootID != 99 || m.Addr != addrOf(4) || m.State != Alive {
 		t.Errorf("g0 knows %+v", m.Member)
 	}
 }
@@ -336,7 +336,7 @@
 // Two that were let in under one name by parts that were apart: one stays.
 func TestNamesakesMerge(t *testing.T) {
 	s := newSmall(t, 4)
-	v, err := New(Config{Name: "g2", Addr: addrOf(5), Boot: 99, Seeds: []netip.AddrPort{addrOf(5)}}, 9)
+	v, err := New(Config{Name: "g2", Addr: addrOf(5), BootID: 99, Seeds: []netip.AddrPort{addrOf(5)}}, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -346,9 +346,9 @@
 	}
 	s.views[5] = v
 	s.run(100)
-	s.step(5, Received{addrOf(1), Message{Kind: Ping, From: IDOf("g1"), Boot: s.views[1].cfg.Boot, Incarnation: 1, Target: IDOf("g2"), Seq: 7}})
+	s.step(5, Received{addrOf(1), Message{Kind: Ping, From: IDOf("g1"), BootID: s.views[1].cfg.BootID, Incarnation: 1, Target: IDOf("g2"), Seq: 7}})
 	s.run(3000)
-	if got := v.Summary().Standing; got != Taken {
+	if got := v.Summary().Status; got != StatusNameTaken {
 		t.Errorf("the later one stands %v", got)
 	}
 	s.wantStates(Alive, "g2", 0, 1, 3)
@@ -362,11 +362,11 @@
 	s := newSmall(t, 4)
 	s.views[3] = nil
 	s.run(40)
-	s.cut = func(_, to int, m *Message) bool { return to == 3 && m.Kind == Welcome }
-	s.start(3, Config{Boot: 50})
+	s.cut = func(_, to int, m *Message) bool { return to == 3 && m.Kind == JoinAccepted }
+	s.start(3, Config{BootID: 50})
 	s.run(2500)
 	s.wantStates(Alive, "g3", 0, 1, 2)
-	if got := s.views[3].Summary(); got.Standing != Fine || got.Alive != 4 {
+	if got := s.views[3].Summary(); got.Status != StatusHealthy || got.Alive != 4 {
 		t.Errorf("g3 sees %+v", got)
 	}
 	if s.changes("g3 dead") > 0 {
@@ -382,15 +382,15 @@
 	}
 	s.run(40_000)
 	for i := range 3 {
-		s.start(i+3, Config{Version: 1, Boot: 100})
+		s.start(i+3, Config{Version: 1, BootID: 100})
 	}
 	s.run(3000)
-	s.step(0, Tell{[]byte("payload")})
+	s.step(0, SetPayload{[]byte("payload")})
 	s.cut = func(from, to int, m *Message) bool {
 		if to >= 3 || from >= 3 {
 			for _, r := range m.Rumors {
-				if len(r.By) > 1 {
-					t.Errorf("g%d tells g%d of %d observers", from, to, len(r.By))
+				if len(r.Accusers) > 1 {
+					t.Errorf("g%d tells g%d of %d observers", from, to, len(r.Accusers))
 				}
 			}
 			for _, r := range m.Records {
--- a/routing/ban.go
+++ b/routing/ban.go
@@ -7,24 +7,24 @@
 // the ban on the rule on drains holds for it.
 
 // onExclude takes a member out, known or not. What is out at it may finish; a second ban changes nothing.
-func (r *Router) onExclude(e Exclude) {
+func (r *Router) onExclude(e ExcludeHost) {
 	at := r.now
-	if e.At > 0 {
-		at = min(at, e.At)
+	if e.Since > 0 {
+		at = min(at, e.Since)
 	}
-	if old, banned := r.bans[e.Member]; !banned || at < old {
-		r.bans[e.Member] = at
+	if old, banned := r.bans[e.Host]; !banned || at < old {
+		r.bans[e.Host] = at
 	}
 }
 
 // onInclude uses a member again, however often it was taken out. What was held against it belongs to the time
 // before: it gets requests at once, a cold one by its warmth.
-func (r *Router) onInclude(e Include) {
-	if _, banned := r.bans[e.Member]; !banned {
+func (r *Router) onInclude(e IncludeHost) {
+	if _, banned := r.bans[e.Host]; !banned {
 		return
 	}
-	delete(r.bans, e.Member)
-	if m := r.members[e.Member]; m != nil {
+	delete(r.bans, e.Host)
+	if m := r.members[e.Host]; m != nil {
 		m.strikes, m.silent, m.pauseUntil, m.lag, m.newsAt = 0, false, 0, 0, r.now
 		m.limit = max(m.limit, firstLimit)
 	}
@@ -35,22 +35,22 @@
 func (r *Router) listed(m *member) bool {
 	at, banned := r.bans[m.ID]
 	switch {
-	case m.State == Gone:
-		return r.set.ListedOnly && !m.wasListed && !banned
-	case m.State == Ready && !banned:
+	case m.State == StateGone:
+		return r.set.RemovalNotBinding && !m.wasListed && !banned
+	case m.State == StateReady && !banned:
 		return true
-	case m.State == Draining && (!banned || m.drainAt < at):
+	case m.State == StateDraining && (!banned || m.drainAt < at):
 		at = m.drainAt
 	}
-	return m.group.primary == m && r.now+2*r.set.Tick < at+r.set.DrainGrace
+	return m.group.primary == m && r.now+2*r.set.TickInterval < at+r.set.DrainGrace
 }
 
-// Avoided is how many of the listed members get nothing new now, by ban, by the list or by their own
+// UnavailableHosts is how many of the listed members get nothing new now, by ban, by the list or by their own
 // doing.
-func (r *Router) Avoided(now time.Duration) int {
+func (r *Router) UnavailableHosts(now time.Duration) int {
 	n := 0
 	for _, m := range r.members {
-		if m.State != Gone && (!r.listed(m) || m.silent || now < m.pauseUntil) {
+		if m.State != StateGone && (!r.listed(m) || m.silent || now < m.pauseUntil) {
 			n++
 		}
 	}
--- a/routing/ban_test.go
+++ b/routing/ban_test.go
@@ -9,8 +9,8 @@
 func (g *rig) read(id uint64) string {
 	for _, a := range g.ask(id, clsAny, "") {
 		if a, ok := a.(Attempt); ok {
-			g.step(ms, Result{Request: id, Member: a.Member, Done: true, Role: RoleReplica})
-			return a.Member
+			g.step(ms, AttemptResult{Request: id, Host: a.Host, RequestDone: true, Role: RoleReplica})
+			return a.Host
 		}
 	}
 	return ""
@@ -21,33 +21,33 @@
 	g := newRig(t, nil)
 	g.group()
 	g.level()
-	g.step(ms, Exclude{Member: "a"}, Exclude{Member: "new"})
-	g.step(ms, Exclude{Member: "a"})
-	for i, e := range []List{
-		{Members: []Member{{ID: "a", Group: 1, State: Draining}, {ID: "new", Group: 1, State: Ready}}},
-		{Members: []Member{{ID: "a", Group: 1, State: Gone}}},
-		{Members: []Member{{ID: "a", Group: 1, State: Ready, Started: g.now}}},
+	g.step(ms, ExcludeHost{Host: "a"}, ExcludeHost{Host: "new"})
+	g.step(ms, ExcludeHost{Host: "a"})
+	for i, e := range []EndpointUpdate{
+		{Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateDraining}, {ID: "new", Group: 1, State: StateReady}}},
+		{Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateGone}}},
+		{Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateReady, StartedAt: g.now}}},
 	} {
 		g.step(40*time.Second, e) // longer than a member that is gone is kept
-		g.step(ms, Probed{Member: "a", Role: RoleReplica, Position: g.now})
+		g.step(ms, HealthCheckResult{Host: "a", Role: RoleReplica, Position: g.now})
 		for n := range uint64(40) {
 			if m := g.read(uint64(i)*100 + n); m == "a" || m == "new" || m == "" {
 				t.Fatalf("after list %d read %d went to %q", i, n, m)
 			}
 		}
 	}
-	if n := g.r.Avoided(g.now); n != 2 {
+	if n := g.r.UnavailableHosts(g.now); n != 2 {
 		t.Errorf("%d members are said to be avoided", n)
 	}
 	g.r.members["a"].strikes, g.r.members["a"].silent, g.r.members["a"].pauseUntil = 6, true, g.now+time.Hour
-	g.step(ms, Include{Member: "a"})
+	g.step(ms, IncludeHost{Host: "a"})
 	seen := map[string]int{}
 	for n := range uint64(400) {
 		g.step(ms)
 		seen[g.read(1000+n)]++
 	}
-	if seen["a"] == 0 || seen["new"] > 0 || g.r.Avoided(g.now) != 1 {
-		t.Errorf("after the include: %v, %d avoided", seen, g.r.Avoided(g.now))
+	if seen["a"] == 0 || seen["new"] > 0 || g.r.UnavailableHosts(g.now) != 1 {
+		t.Errorf("after the include: %v, %d avoided", seen, g.r.UnavailableHosts(g.now))
 	}
 }
 
@@ -61,7 +61,7 @@
 		g := newRig(t, nil)
 		g.group()
 		g.level()
-		g.step(10*time.Second, Exclude{Member: "p", At: g.now + 10*time.Second - c.ago})
+		g.step(10*time.Second, ExcludeHost{Host: "p", Since: g.now + 10*time.Second - c.ago})
 		for _, passed := range []time.Duration{ms, 300 * ms} {
 			g.step(passed)
 			if got := g.r.listed(g.r.members["p"]); got != (c.want && passed == ms) {
@@ -74,28 +74,28 @@
 // Another process of the gateway may have answered a write of any session: while it lives, and for what it did until it
 // ended, no replica is taken to be fresh that has not said so since.
 func TestBesideAnotherRouterSessionsCountAsHavingWritten(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Check, s.MayProbe = CheckNone, false })
+	g := newRig(t, func(s *Settings) { s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, false })
 	g.group()
 	g.level()
 	id := uint64(0)
 	to := func() string {
 		id++
-		m := g.sent(g.step(ms, Request{ID: id, Class: clsSession, Tenant: -1, Group: 1, Session: "s", Left: time.Second}))
-		g.step(ms, Result{Request: id, Member: m, Done: true, Role: RoleUnknown})
+		m := g.sent(g.step(ms, Request{ID: id, Class: clsSession, Tenant: -1, Group: 1, Session: "s", TimeLeft: time.Second}))
+		g.step(ms, AttemptResult{Request: id, Host: m, RequestDone: true, Role: RoleUnknown})
 		return m
 	}
 	if m := to(); m == "p" {
 		t.Fatalf("a clean session's read goes to %s", m)
 	}
-	g.step(ms, Beside{Live: true})
+	g.step(ms, SiblingProcess{Running: true})
 	if m := to(); m != "p" {
 		t.Errorf("beside another router it goes to %s", m)
 	}
-	g.step(ms, Beside{Live: false})
+	g.step(ms, SiblingProcess{Running: false})
 	if m := to(); m != "p" {
 		t.Errorf("just after that has ended it goes to %s", m)
 	}
-	g.step(ms, Probed{Member: "a", Role: RoleReplica, Position: g.now})
+	g.step(ms, HealthCheckResult{Host: "a", Role: RoleReplica, Position: g.now})
 	if m := to(); m != "a" {
 		t.Errorf("once a replica has come so far it goes to %s", m)
 	}
--- a/routing/begun_test.go
+++ b/routing/begun_test.go
@@ -10,8 +10,8 @@
 	g.level()
 	for id := range uint64(40) {
 		m := g.sent(g.ask(id, clsAny, ""))
-		g.step(ms, Started{Request: id})
-		g.step(ms, Probed{Member: m, Role: RoleReplica, Position: g.now})
+		g.step(ms, StreamStarted{Request: id})
+		g.step(ms, HealthCheckResult{Host: m, Role: RoleReplica, Position: g.now})
 	}
 	for range 100 {
 		if a := g.step(100 * ms); len(a) > 0 {
@@ -23,7 +23,7 @@
 			t.Errorf("%s has %v strikes", m, s)
 		}
 	}
-	g.want(g.step(ms, Result{Request: 1, Member: g.r.requests[1].open.member.ID, Outcome: Broken, Done: true}))
+	g.want(g.step(ms, AttemptResult{Request: 1, Host: g.r.requests[1].open.member.ID, Outcome: OutcomeConnectionLost, RequestDone: true}))
 	if g.r.requests[1] != nil {
 		t.Error("one that broke off is still there")
 	}
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -17,7 +17,7 @@
 			id++
 			for _, a := range g.ask(id, clsAny, "") {
 				if a, ok := a.(Attempt); ok {
-					g.step(ms, Result{Request: id, Member: a.Member, Done: true, Role: RoleReplica})
+					g.step(ms, AttemptResult{Request: id, Host: a.Host, RequestDone: true, Role: RoleReplica})
 				}
 			}
 			g.step(time.Second/time.Duration(n) - 2*ms)
@@ -27,7 +27,7 @@
 		second(100)
 	}
 	warm := g.r.pace(g.r.members["a"])
-	g.step(ms, List{Members: []Member{{ID: "b", Group: 1, State: Ready, Started: g.now - 12*time.Second}}})
+	g.step(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: "b", Group: 1, State: StateReady, StartedAt: g.now - 12*time.Second}}})
 	second(10)
 	if now := g.r.pace(g.r.members["a"]); now < warm*0.98 {
 		t.Errorf("pace %v, and %v after a second with little let through", warm, now)
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -66,12 +66,13 @@
 	r := &Router{
 		set: set, rng: rand.New(rand.NewPCG(seed, seed)), members: map[string]*member{}, groups: map[int]*group{},
 		requests: map[uint64]*request{}, sessions: map[string]*session{}, bans: map[string]time.Duration{},
-		sent: 2, sentTop: 1, version: 1, roster: fleet.Numbered(set.Index-1, set.Routers, set.Zone),
+		sent: 2, sentTop: 1, version: 1,
+		roster: fleet.NewNumberedRoster(set.GatewayNumber-1, set.GatewayCount, set.Zone),
 	}
 	first := r.scaled(firstLatency).Seconds()
 	r.took = slices.Repeat([]float64{first}, len(set.Classes))
 	r.spread = slices.Repeat([]float64{first / 2}, len(set.Classes))
-	if set.Subscribe {
+	if set.SubscribeToEndpoints {
 		r.askAt = 1 // at once
 	}
 	return r, nil
@@ -82,23 +83,23 @@
 	r.now, r.out = max(now, r.now), nil
 	for _, e := range events {
 		switch e := e.(type) {
-		case List:
+		case EndpointUpdate:
 			r.onList(e)
 		case Request:
 			r.onRequest(e)
-		case Result:
+		case AttemptResult:
 			r.onResult(e)
-		case Probed:
+		case HealthCheckResult:
 			r.onProbed(e)
-		case Exclude:
+		case ExcludeHost:
 			r.onExclude(e)
-		case Include:
+		case IncludeHost:
 			r.onInclude(e)
-		case Beside:
+		case SiblingProcess:
 			r.onBeside(e)
-		case Peers:
+		case RosterUpdate:
 			r.roster, r.version = e.Roster, r.version+1
-		case Started:
+		case StreamStarted:
 			r.onStarted(e)
 		case ClientGone:
 			r.finish(r.requests[e.Request])
@@ -117,14 +118,16 @@
 		return
 	}
 	g := r.groupOf(e.Group)
-	q := &request{Request: e, class: &r.set.Classes[e.Class], group: g, arrived: r.now, deadline: r.now + e.Left}
+	q := &request{
+		Request: e, class: &r.set.Classes[e.Class], group: g, arrived: r.now, deadline: r.now + e.TimeLeft,
+	}
 	r.requests[e.ID] = q
-	r.surge.Came(millis(r.now))
+	r.surge.RequestArrived(millis(r.now))
 	r.usual += latencyGain * (r.worth(q) - r.usual)
 	g.waiting = append(g.waiting, q)
 }
 
-func (r *Router) onResult(e Result) {
+func (r *Router) onResult(e AttemptResult) {
 	q := r.requests[e.Request]
 	if q == nil || q.open == nil || q.open.number != e.Attempt {
 		return
@@ -135,18 +138,18 @@
 	m.open = slices.DeleteFunc(m.open, func(o *attempt) bool { return o == a })
 	r.learn(a, e)
 	r.judge(a, e)
-	if !neverRan(e.Outcome) && e.Outcome != OK && !q.mayRun {
+	if !neverRan(e.Outcome) && e.Outcome != OutcomeOK && !q.mayRun {
 		q.mayRun, q.maybeAt = true, a.at
 	}
-	if q.class.Need == NeedPrimary && e.Outcome == OK {
+	if q.class.Consistency == ConsistencyWrite && e.Outcome == OutcomeOK {
 		r.complete(q, e.Position)
 	}
-	if e.Done || q.ended {
+	if e.RequestDone || q.ended {
 		r.finish(q)
 		return
 	}
-	q.missed = q.missed || e.Outcome == Miss
-	q.reached = q.reached || e.Outcome != NoConnection && e.Outcome != Moot
+	q.missed = q.missed || e.Outcome == OutcomeMisdirected
+	q.reached = q.reached || e.Outcome != OutcomeNoConnection && e.Outcome != OutcomeNotSent
 	q.group.waiting = append(q.group.waiting, q)
 }
 
@@ -205,26 +208,27 @@
 // need returns the position that a read needs, and whether it belongs at the primary whatever the replicas
 // have.
 func (r *Router) need(q *request) (Position, bool) {
-	switch q.class.Need {
-	case NeedBounded:
-		return max(0, r.here()-q.class.MaxAge), false
-	case NeedSession:
+	switch q.class.Consistency {
+	case ConsistencyBounded:
+		return max(0, r.here()-q.class.MaxStaleness), false
+	case ConsistencySession:
 		p, s := r.floor, r.sessions[q.Session]
 		if s != nil {
 			p = s.stamp
 		}
 		if r.beside {
-			p = max(p, q.arrived-r.set.Epoch)
+			p = max(p, q.arrived-r.set.PositionEpoch)
 		}
-		if r.set.Carried && q.WroteAgo > 0 {
-			p = max(p, q.arrived-q.WroteAgo-r.set.Epoch)
+		if r.set.SessionTokensCarried && q.SinceLastWrite > 0 {
+			p = max(p, q.arrived-q.SinceLastWrite-r.set.PositionEpoch)
 		}
-		if r.set.Check == CheckNone { // a replica that has told nothing yet is not tried where none checks
+		// a replica that has told nothing yet is not tried where none checks
+		if r.set.StalenessCheck == StalenessCheckNone {
 			p = max(p, 1)
 		}
 		return p, s != nil && len(s.dirty) > 0
-	case NeedFresh:
-		return q.arrived - r.set.Epoch, true
+	case ConsistencyStrong:
+		return q.arrived - r.set.PositionEpoch, true
 	}
 	return 0, false
 }
@@ -240,7 +244,7 @@
 	need, primaryOnly := r.need(q)
 	var m *member
 	switch {
-	case q.class.Need == NeedPrimary:
+	case q.class.Consistency == ConsistencyWrite:
 		m = r.forWrite(q)
 	case primaryOnly || q.missed:
 		m = r.primaryOf(q)
@@ -265,15 +269,16 @@
 func (r *Router) worthTrying(q *request) bool {
 	c, soonest := q.class, r.now+seconds(usualShare*r.took[q.Class])
 	switch {
-	case r.now >= q.deadline || r.now > q.arrived && r.now+2*r.set.Tick+r.scaled(waitEvery) >= q.deadline,
+	case r.now >= q.deadline,
+		r.now > q.arrived && r.now+2*r.set.TickInterval+r.scaled(waitEvery) >= q.deadline,
 		q.attempts >= r.set.MaxAttempts || q.odd:
 		return false
-	case !q.reached && r.now > q.arrived && r.now+r.scaled(waitEvery) >= q.arrived+q.Left/2:
+	case !q.reached && r.now > q.arrived && r.now+r.scaled(waitEvery) >= q.arrived+q.TimeLeft/2:
 		return false // no host has seen it: its client is told while there is time to ask again
-	case c.LateWorth == 0 && r.now > q.arrived && soonest >= min(q.arrived+c.Aim, q.deadline):
+	case c.LateWeightShare == 0 && r.now > q.arrived && soonest >= min(q.arrived+c.LatencyObjective, q.deadline):
 		return false // it would come too late to be worth anything: shed early, at once
 	}
-	return !q.mayRun || c.Effect == EffectSafe || c.Effect == EffectKeyed && r.now < q.repeatBy()
+	return !q.mayRun || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && r.now < q.repeatBy()
 }
 
 // forRead is the ordinary path: a uniformly random replica among those at or past the need; if there is none,
@@ -286,7 +291,8 @@
 		case m == q.group.primary || !r.fit(m) || slices.Contains(q.tried, m):
 		case need > 0 && r.reached(m) < need:
 			r.askLagging(m)
-			if r.set.Check == CheckNone || !r.set.MayProbe || r.reached(m)+lagNone >= need {
+			if r.set.StalenessCheck == StalenessCheckNone || !r.set.HealthChecksAllowed ||
+				r.reached(m)+lagNone >= need {
 				rest = append(rest, m) // others are known to be so far behind that they would turn it away
 			}
 		case r.hasRoom(m):
@@ -301,9 +307,9 @@
 	switch p := q.group.primary; {
 	case full && (p == nil || len(p.open) > 0):
 		return nil // wait for room; a primary with nothing of ours in hand may help out
-	case r.set.Check == CheckNone && r.asks(q, r.near(q.group, rest)):
+	case r.set.StalenessCheck == StalenessCheckNone && r.asks(q, r.near(q.group, rest)):
 		return nil
-	case r.set.Check != CheckNone && !full:
+	case r.set.StalenessCheck != StalenessCheckNone && !full:
 		if m := r.mostAdvanced(rest); m != nil {
 			return m
 		}
@@ -315,11 +321,11 @@
 // random one. Where routers are many, each hears of a replica so seldom that nearly all reads would go to the
 // primary.
 func (r *Router) asks(q *request, ms []*member) bool {
-	if q.asked == nil && len(ms) > 0 && r.set.MayProbe {
+	if q.asked == nil && len(ms) > 0 && r.set.HealthChecksAllowed {
 		q.asked = ms[r.rng.IntN(len(ms))]
 		if q.asked.askedAt == 0 || r.now >= q.asked.askedAt+r.scaled(askPatience) {
 			q.asked.askedAt = r.now
-			r.do(Probe{q.asked.ID})
+			r.do(HealthCheck{q.asked.ID})
 		}
 	}
 	return q.asked != nil && q.asked.askedAt > 0 && r.now < q.asked.askedAt+r.scaled(askPatience)
@@ -368,9 +374,9 @@
 // that they heard from last.
 func (r *Router) reached(m *member) Position {
 	switch {
-	case r.set.Check == CheckNone:
+	case r.set.StalenessCheck == StalenessCheckNone:
 		return m.position
-	case m.lag > 0 && (r.set.MayProbe || r.now < m.lagAt+lagKept):
+	case m.lag > 0 && (r.set.HealthChecksAllowed || r.now < m.lagAt+lagKept):
 		return max(m.position, r.here()-m.lag)
 	}
 	return r.here()
@@ -379,35 +385,37 @@
 // askLagging asks a replica that is behind how far it is by now: a probe costs much less than the reads that
 // it would turn away, each after a wait, to show that it still is.
 func (r *Router) askLagging(m *member) {
-	again := fromMillis(r.roster.Turns().Every(millis(lagAsked), millis(searchGap)))
-	if r.set.MayProbe && r.set.Check != CheckNone && r.now >= max(m.lagAt, m.askedAt)+again {
+	again := fromMillis(r.roster.Schedule().Interval(millis(lagAsked), millis(searchGap)))
+	asks := r.set.HealthChecksAllowed && r.set.StalenessCheck != StalenessCheckNone
+	if asks && r.now >= max(m.lagAt, m.askedAt)+again {
 		m.askedAt = r.now
-		r.do(Probe{m.ID})
+		r.do(HealthCheck{m.ID})
 	}
 }
 
 // learn takes in what an outcome tells of its member: role, position, and where replicas check, what it
 // proves.
-func (r *Router) learn(a *attempt, e Result) {
-	m, write := a.member, a.request.class.Need == NeedPrimary
-	if e.Outcome == OK || e.Outcome == Miss || e.Outcome == Error || e.Outcome == Full {
-		if e.Role == RoleUnknown && write && e.Outcome == Miss {
+func (r *Router) learn(a *attempt, e AttemptResult) {
+	m, write := a.member, a.request.class.Consistency == ConsistencyWrite
+	switch e.Outcome {
+	case OutcomeOK, OutcomeMisdirected, OutcomeError, OutcomeRejected:
+		if e.Role == RoleUnknown && write && e.Outcome == OutcomeMisdirected {
 			e.Role = RoleReplica
 		}
 		r.learnRole(m, e.Role)
-		if !write || e.Outcome != OK { // a write's own position is its commit
+		if !write || e.Outcome != OutcomeOK { // a write's own position is its commit
 			r.learnPosition(m, e.Position)
 		}
 	}
-	if r.set.Check == CheckNone || write || a.need == 0 {
+	if r.set.StalenessCheck == StalenessCheckNone || write || a.need == 0 {
 		return
 	}
-	behind := a.at - r.set.Epoch - a.need
+	behind := a.at - r.set.PositionEpoch - a.need
 	switch e.Outcome {
-	case OK:
+	case OutcomeOK:
 		r.learnPosition(m, a.need)
 		m.lag = min(m.lag, behind)
-	case Miss:
+	case OutcomeMisdirected:
 		m.lag, m.lagAt = max(m.lag, behind+time.Millisecond), r.now
 		if e.Position > 0 {
 			m.lag = max(m.lag, r.here()-e.Position)
@@ -476,7 +484,7 @@
 		if g.misses++; g.misses >= len(g.members) {
 			g.misses = 0
 			pause := millis(r.scaled(roundPause))
-			g.pauseUntil = fromMillis(r.roster.Turns().Next(millis(r.now), pause, millis(searchGap)))
+			g.pauseUntil = fromMillis(r.roster.Schedule().NextSlot(millis(r.now), pause, millis(searchGap)))
 		}
 		if r.fit(m) && r.hasRoom(m) && r.admit(m, 1, r.now-q.arrived) { // what it turns away tips it too
 			return m
@@ -487,13 +495,13 @@
 
 // --- Health: by symptom, not by cause ---
 
-func (r *Router) judge(a *attempt, e Result) {
+func (r *Router) judge(a *attempt, e AttemptResult) {
 	m := a.member
-	late := e.Outcome == Timeout && a.at+r.scaled(downPause) > r.now // was nearly over when it was sent
-	if a.begun || late || e.Outcome == Moot || e.Outcome == Cancelled {
+	late := e.Outcome == OutcomeTimeout && a.at+r.scaled(downPause) > r.now // was nearly over when it was sent
+	if a.begun || late || e.Outcome == OutcomeNotSent || e.Outcome == OutcomeCancelled {
 		return
 	}
-	if e.Outcome != Timeout && e.Outcome != NoConnection {
+	if e.Outcome != OutcomeTimeout && e.Outcome != OutcomeNoConnection {
 		m.newsAt, m.silent = r.now, false
 	}
 	if r.isOdd(a, e.Outcome) {
@@ -501,26 +509,26 @@
 	}
 	r.narrow(a, e.Outcome)
 	switch e.Outcome {
-	case OK, Miss:
+	case OutcomeOK, OutcomeMisdirected:
 		if !a.overdue {
 			m.strikes = 0
 		}
-		if e.Outcome == OK {
+		if e.Outcome == OutcomeOK {
 			r.squeeze *= 1 - oddGain
 			m.group.served++
-			r.surge.Answered(millis(r.now))
-			r.adjust(m, r.now-a.at, seconds(goalShare*a.request.class.Aim.Seconds()), true)
+			r.surge.RequestServed(millis(r.now))
+			r.adjust(m, r.now-a.at, seconds(goalShare*a.request.class.LatencyObjective.Seconds()), true)
 			took := (r.now - a.at).Seconds()
 			r.learnTime(a.request.Class, took, latencyGain)
 		}
-	case Full:
+	case OutcomeRejected:
 		r.adjust(m, r.scaled(fullPause), 0, false)
 		m.pauseUntil = r.now + r.scaled(fullPause)
-	case NoConnection:
+	case OutcomeNoConnection:
 		r.down(m)
-	case Error, Timeout: // a lost connection says nothing of the member
+	case OutcomeError, OutcomeTimeout: // a lost connection says nothing of the member
 		r.adjust(m, r.now-a.at, 0, false)
-		if e.Outcome == Timeout && !a.overdue && m.newsAt < a.at { // nothing came from it all that time
+		if e.Outcome == OutcomeTimeout && !a.overdue && m.newsAt < a.at { // nothing came from it all that time
 			r.strike(m, true)
 		}
 	}
@@ -530,9 +538,9 @@
 // errors are quick, and come from one member after another. May hurt where several members fail quickly at a
 // time.
 func (r *Router) isOdd(a *attempt, o Outcome) bool {
-	quick := o == Error && (r.now-a.at).Seconds() < quickShare*r.took[a.request.Class]
+	quick := o == OutcomeError && (r.now-a.at).Seconds() < quickShare*r.took[a.request.Class]
 	switch {
-	case o == OK:
+	case o == OutcomeOK:
 		r.odd *= 1 - oddGain
 	case quick && a.member != r.oddAt:
 		r.oddAt = a.member
@@ -586,9 +594,9 @@
 		r.learnTime(q.Class, age.Seconds(), overdueGain)
 		a.overdue = true
 		r.strike(m, m.newsAt < a.at)
-		keyed := q.class.Effect == EffectKeyed && r.now < a.at+q.class.RepeatWindow
-		if !q.ended && r.set.MayCancel && (keyed || q.class.Effect == EffectSafe) {
-			r.do(Cancel{q.ID, a.number})
+		keyed := q.class.Idempotency == IdempotentWithKey && r.now < a.at+q.class.DedupWindow
+		if !q.ended && r.set.CancelAllowed && (keyed || q.class.Idempotency == Idempotent) {
+			r.do(CancelAttempt{q.ID, a.number})
 		}
 	}
 }
@@ -613,8 +621,8 @@
 // narrow moves the gate of the member's role by how an attempt went. Many routers with an attempt at a member
 // now and then overrun it without any of them reaching a limit: what they ask is thinned by chance.
 func (r *Router) narrow(a *attempt, o Outcome) {
-	inTime := o == OK && (r.now-a.at).Seconds() <= gateGoal*a.request.class.Aim.Seconds()
-	if !inTime && (o != OK && o != Timeout && o != Full || !a.alone) {
+	inTime := o == OutcomeOK && (r.now-a.at).Seconds() <= gateGoal*a.request.class.LatencyObjective.Seconds()
+	if !inTime && (o != OutcomeOK && o != OutcomeTimeout && o != OutcomeRejected || !a.alone) {
 		return
 	}
 	for _, g := range r.order { // the other groups hear of it too: a small router hears too little of each
@@ -645,7 +653,7 @@
 
 func (r *Router) send(q *request, m *member, need Position) {
 	a := &attempt{request: q, number: q.attempts, member: m, at: r.now, need: need, alone: len(m.open) == 0}
-	if q.class.Need == NeedPrimary {
+	if q.class.Consistency == ConsistencyWrite {
 		r.markDirty(q)
 	}
 	q.attempts++
@@ -656,18 +664,18 @@
 	if m == q.group.primary {
 		r.sentTop += r.took[q.Class]
 	}
-	r.do(Attempt{Request: q.ID, Member: m.ID, Before: q.repeatBy()})
+	r.do(Attempt{Request: q.ID, Host: m.ID, SendBefore: q.repeatBy()})
 }
 
 func (r *Router) giveUp(q *request) {
-	keyed := q.class.Effect == EffectKeyed && q.class.RepeatAnyHost
-	switch harmless := !q.mayRun || q.class.Effect == EffectSafe || keyed; {
+	keyed := q.class.Idempotency == IdempotentWithKey && q.class.KeySharedByAllHosts
+	switch harmless := !q.mayRun || q.class.Idempotency == Idempotent || keyed; {
 	case !harmless:
 		r.do(Fail{q.ID})
-	case r.set.MayHint:
-		r.do(Refuse{q.ID, r.set.MaxHint}) // a second try would mostly come too late to be worth anything
+	case r.set.RetryAfterAllowed:
+		r.do(Reject{q.ID, r.set.MaxRetryAfter}) // a second try would mostly come too late to be worth anything
 	default:
-		r.do(Refuse{Request: q.ID})
+		r.do(Reject{Request: q.ID})
 	}
 	r.finish(q)
 }
@@ -677,7 +685,7 @@
 func (r *Router) upkeep() {
 	if r.askAt > 0 && r.now >= r.askAt {
 		r.askAt = 0
-		r.do(Subscribe{})
+		r.do(SubscribeEndpoints{})
 	}
 	if r.now >= r.dueAt {
 		for _, g := range r.order {
@@ -693,7 +701,7 @@
 		}
 		r.sent, r.sentTop = r.sent*math.Pow(mixKept, passed), r.sentTop*math.Pow(mixKept, passed)
 		r.trimSessions()
-		r.surge.Keep(millis(r.now), r.warm())
+		r.surge.UpdateBaseline(millis(r.now), r.warm())
 	}
 }
 
@@ -706,7 +714,7 @@
 		g.rate = max(g.served/passed, g.rate*math.Pow(rateKept, passed))
 	}
 	g.served = 0
-	if !r.set.ListedOnly {
+	if !r.set.RemovalNotBinding {
 		g.members = slices.DeleteFunc(g.members, r.forget)
 	}
 }
@@ -724,11 +732,12 @@
 }
 
 func (r *Router) worth(q *request) float64 {
-	w := q.class.Worth
-	if r.now >= q.arrived+q.class.Aim {
-		w *= q.class.LateWorth
+	w := q.class.PriorityWeight
+	if r.now >= q.arrived+q.class.LatencyObjective {
+		w *= q.class.LateWeightShare
 	}
-	if q.Repeat && q.class.LateWorth == 0 { // its aim counts from the first try and has most likely passed
+	// a client's retry: its objective counts from the first attempt and has most likely passed
+	if q.ClientRetry && q.class.LateWeightShare == 0 {
 		w *= repeatWorth
 	}
 	return w / r.took[q.Class]
