--- a/routing/decide_test.go
+++ b/routing/decide_test.go
@@ -21,20 +21,20 @@
 )
 
 func settings() Settings {
-	class := func(n Need, e Effect) Class {
+	class := func(n Consistency, e Idempotency) Class {
 		return Class{
-			Name: "c", Need: n, Effect: e, MaxAge: 200 * ms, RepeatWindow: 1200 * ms,
-			Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.5,
+			Name: "c", Consistency: n, Idempotency: e, MaxStaleness: 200 * ms, DedupWindow: 1200 * ms,
+			LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeightShare: 0.5,
 		}
 	}
 	return Settings{
 		Classes: []Class{
-			class(NeedAny, EffectSafe), class(NeedBounded, EffectSafe), class(NeedSession, EffectSafe),
-			class(NeedFresh, EffectSafe), class(NeedPrimary, EffectKeyed), class(NeedPrimary, EffectUnsafe),
+			class(ConsistencyAny, Idempotent), class(ConsistencyBounded, Idempotent), class(ConsistencySession, Idempotent),
+			class(ConsistencyStrong, Idempotent), class(ConsistencyWrite, IdempotentWithKey), class(ConsistencyWrite, NotIdempotent),
 		},
-		Routers: 2, Tick: ms, Check: CheckRefuse, MayCancel: true, MayProbe: true, MayHint: true,
-		MaxHint: 500 * ms, MaxAttempts: 8, DrainGrace: 250 * ms,
-		ColdShare: 0.25, ColdTime: 16 * time.Second, TipMultiple: 2.5,
+		GatewayCount: 2, TickInterval: ms, StalenessCheck: StalenessCheckReject, CancelAllowed: true, HealthChecksAllowed: true, RetryAfterAllowed: true,
+		MaxRetryAfter: 500 * ms, MaxAttempts: 8, DrainGrace: 250 * ms,
+		SlowStartMinShare: 0.25, SlowStartWindow: 16 * time.Second, OverloadMultiple: 2.5,
 	}
 }
 
@@ -64,7 +64,7 @@
 	var kept []Action
 	for _, a := range g.r.Step(g.now, events) {
 		switch a.(type) {
-		case Wake, Probe, Log:
+		case SetTimer, HealthCheck, Log:
 		default:
 			kept = append(kept, a)
 		}
@@ -75,20 +75,20 @@
 // group lists a primary "p" and replicas "a" and "b" of group 1, the replicas level with the present.
 func (g *rig) group() {
 	g.t.Helper()
-	g.step(0, List{Full: true, Members: []Member{
-		{ID: "p", Group: 1, State: Ready}, {ID: "a", Group: 1, State: Ready}, {ID: "b", Group: 1, State: Ready},
+	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+		{ID: "p", Group: 1, State: StateReady}, {ID: "a", Group: 1, State: StateReady}, {ID: "b", Group: 1, State: StateReady},
 	}})
 	g.level()
 }
 
 func (g *rig) level() {
 	g.step(ms,
-		Probed{Member: "p", Role: RolePrimary, Position: g.now},
-		Probed{Member: "a", Role: RoleReplica, Position: g.now}, Probed{Member: "b", Role: RoleReplica, Position: g.now})
+		HealthCheckResult{Host: "p", Role: RolePrimary, Position: g.now},
+		HealthCheckResult{Host: "a", Role: RoleReplica, Position: g.now}, HealthCheckResult{Host: "b", Role: RoleReplica, Position: g.now})
 }
 
 func (g *rig) ask(id uint64, class int, session string) []Action {
-	return g.step(ms, Request{ID: id, Class: class, Tenant: -1, Group: 1, Session: session, Left: 2 * time.Second})
+	return g.step(ms, Request{ID: id, Class: class, Tenant: -1, Group: 1, Session: session, TimeLeft: 2 * time.Second})
 }
 
 // sent returns the member of the only attempt in the actions.
@@ -101,7 +101,7 @@
 	if !ok {
 		g.t.Fatalf("want an attempt, got %#v", actions[0])
 	}
-	return a.Member
+	return a.Host
 }
 
 func (g *rig) want(actions []Action, want ...Action) {
@@ -131,24 +131,24 @@
 }
 
 func TestCompletionCleansAndStamps(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Check, s.MayProbe = CheckNone, false })
+	g := newRig(t, func(s *Settings) { s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, false })
 	g.group()
 	g.ask(1, clsKeyed, "s")
-	g.step(5*ms, Result{Request: 1, Member: "p", Done: true, Role: RolePrimary, Position: g.now + 4*ms})
+	g.step(5*ms, AttemptResult{Request: 1, Host: "p", RequestDone: true, Role: RolePrimary, Position: g.now + 4*ms})
 	if m := g.sent(g.ask(2, clsSession, "s")); m != "p" {
 		t.Fatalf("no replica has the stamp, but the read went to %s", m)
 	}
-	g.step(ms, Probed{Member: "a", Role: RoleReplica, Position: g.now})
+	g.step(ms, HealthCheckResult{Host: "a", Role: RoleReplica, Position: g.now})
 	for id := uint64(3); id < 8; id++ {
 		if m := g.sent(g.ask(id, clsSession, "s")); m != "a" {
 			t.Fatalf("only a has the stamp, but the read went to %s", m)
 		}
-		g.step(ms, Result{Request: id, Member: "a", Done: true, Role: RoleReplica})
+		g.step(ms, AttemptResult{Request: id, Host: "a", RequestDone: true, Role: RoleReplica})
 	}
 }
 
 func TestStaleReplicaGetsNoBoundedReadWhereNoneChecks(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Check, s.MayProbe = CheckNone, false })
+	g := newRig(t, func(s *Settings) { s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, false })
 	g.group()
 	g.step(300 * ms)
 	if m := g.sent(g.ask(1, clsBounded, "")); m != "p" {
@@ -163,7 +163,7 @@
 	g := newRig(t, nil)
 	g.group()
 	m := g.sent(g.ask(1, clsBounded, ""))
-	if m = g.sent(g.step(ms, Result{Request: 1, Member: m, Outcome: Miss, Role: RoleReplica})); m != "p" {
+	if m = g.sent(g.step(ms, AttemptResult{Request: 1, Host: m, Outcome: OutcomeMisdirected, Role: RoleReplica})); m != "p" {
 		t.Fatalf("a missed read went to %s", m)
 	}
 }
@@ -175,24 +175,24 @@
 	g.now += 20 * time.Second
 	for id := range uint64(2) { // both turn a read away: they are 10 s behind
 		at := g.sent(g.ask(id, clsBounded, ""))
-		g.step(ms, Result{Request: id, Member: at, Outcome: Miss, Role: RoleReplica, Position: g.now - 10*time.Second})
-		g.step(ms, Result{Request: id, Attempt: 1, Member: "p", Outcome: OK, Role: RolePrimary, Done: true})
+		g.step(ms, AttemptResult{Request: id, Host: at, Outcome: OutcomeMisdirected, Role: RoleReplica, Position: g.now - 10*time.Second})
+		g.step(ms, AttemptResult{Request: id, Attempt: 1, Host: "p", Outcome: OutcomeOK, Role: RolePrimary, RequestDone: true})
 	}
 	probes := 0
 	for id := uint64(10); id < 50; id++ { // well past lagKept
 		g.now += 100 * ms
-		for _, a := range g.r.Step(g.now, []Event{Request{ID: id, Class: clsBounded, Tenant: -1, Group: 1, Left: time.Second}}) {
+		for _, a := range g.r.Step(g.now, []Event{Request{ID: id, Class: clsBounded, Tenant: -1, Group: 1, TimeLeft: time.Second}}) {
 			switch a := a.(type) {
-			case Probe:
+			case HealthCheck:
 				probes++
-				g.step(0, Probed{Member: a.Member, Role: RoleReplica, Position: g.now - 10*time.Second})
+				g.step(0, HealthCheckResult{Host: a.Host, Role: RoleReplica, Position: g.now - 10*time.Second})
 			case Attempt:
-				if a.Member != "p" {
-					t.Fatalf("tried at %s, which lags", a.Member)
+				if a.Host != "p" {
+					t.Fatalf("tried at %s, which lags", a.Host)
 				}
 			}
 		}
-		g.step(ms, Result{Request: id, Member: "p", Outcome: OK, Role: RolePrimary, Done: true})
+		g.step(ms, AttemptResult{Request: id, Host: "p", Outcome: OutcomeOK, Role: RolePrimary, RequestDone: true})
 	}
 	if probes < 8 || probes > 24 {
 		t.Errorf("%d probes in 4 s", probes)
@@ -207,14 +207,14 @@
 func TestTimesFollowShortAims(t *testing.T) {
 	g := newRig(t, func(s *Settings) {
 		for i := range s.Classes {
-			s.Classes[i].Aim /= 4
+			s.Classes[i].LatencyObjective /= 4
 		}
 	})
 	g.group()
 	g.r.took[clsAny], g.r.spread[clsAny] = 0.02, 0.002
 	g.ask(1, clsAny, "")
-	for _, a := range g.step(silentFloor/2+ms, Woken{}) {
-		if _, ok := a.(Cancel); ok {
+	for _, a := range g.step(silentFloor/2+ms, TimerFired{}) {
+		if _, ok := a.(CancelAttempt); ok {
 			return
 		}
 	}
@@ -225,7 +225,7 @@
 func TestWhatNoHostHasSeenIsRefusedByHalfOfItsTime(t *testing.T) {
 	g := newRig(t, nil)
 	g.group()
-	g.step(0, List{Full: true, Members: []Member{{ID: "p", Group: 1, State: Draining}, {ID: "a", Group: 1, State: Draining}}})
+	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "p", Group: 1, State: StateDraining}, {ID: "a", Group: 1, State: StateDraining}}})
 	g.now += time.Second // the grace is over
 	if left := g.ask(1, clsKeyed, "s"); len(left) > 0 {
 		t.Fatalf("got %v", left)
@@ -249,10 +249,10 @@
 		for id := uint64(1); id <= 2; id++ {
 			m := g.r.members[g.sent(g.ask(id, clsKeyed, ""))]
 			if talks {
-				g.step(ms, Request{ID: id + 10, Class: clsFresh, Tenant: -1, Group: 1, Left: time.Second})
-				g.step(ms, Result{Request: id + 10, Member: "p", Outcome: OK, Role: RolePrimary, Done: true})
+				g.step(ms, Request{ID: id + 10, Class: clsFresh, Tenant: -1, Group: 1, TimeLeft: time.Second})
+				g.step(ms, AttemptResult{Request: id + 10, Host: "p", Outcome: OutcomeOK, Role: RolePrimary, RequestDone: true})
 			}
-			g.step(downPause, Result{Request: id, Member: m.ID, Outcome: Timeout, Done: true})
+			g.step(downPause, AttemptResult{Request: id, Host: m.ID, Outcome: OutcomeTimeout, RequestDone: true})
 		}
 		if s := g.r.members["p"].silent; s == talks {
 			t.Errorf("talks %v: silent %v", talks, s)
@@ -263,16 +263,16 @@
 // What crosses zones costs: a replica of the own zone is picked more often, but never alone.
 func TestOwnZoneIsFavoured(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.Zone = "here" })
-	g.step(0, List{Full: true, Members: []Member{
-		{ID: "p", Group: 1, State: Ready, Zone: "there"}, {ID: "a", Group: 1, State: Ready, Zone: "here"},
-		{ID: "b", Group: 1, State: Ready, Zone: "there"},
+	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+		{ID: "p", Group: 1, State: StateReady, Zone: "there"}, {ID: "a", Group: 1, State: StateReady, Zone: "here"},
+		{ID: "b", Group: 1, State: StateReady, Zone: "there"},
 	}})
 	g.level()
 	n := map[string]int{}
 	for id := uint64(1); id <= 500; id++ {
 		m := g.sent(g.ask(id, clsAny, ""))
 		n[m]++
-		g.step(ms, Result{Request: id, Member: m, Outcome: OK, Role: RoleReplica, Done: true})
+		g.step(ms, AttemptResult{Request: id, Host: m, Outcome: OutcomeOK, Role: RoleReplica, RequestDone: true})
 	}
 	if n["a"] < 350 || n["b"] < 50 || n["a"]+n["b"] != 500 {
 		t.Errorf("picked %v", n)
@@ -280,11 +280,11 @@
 }
 
 func TestUnsafeWriteIsNeverRepeatedAfterDoubt(t *testing.T) {
-	for _, o := range []Outcome{Error, Timeout, Broken, Cancelled} {
+	for _, o := range []Outcome{OutcomeError, OutcomeTimeout, OutcomeConnectionLost, OutcomeCancelled} {
 		g := newRig(t, nil)
 		g.group()
 		g.ask(1, clsUnsafe, "s")
-		g.want(g.step(10*ms, Result{Request: 1, Member: "p", Outcome: o}), Fail{1})
+		g.want(g.step(10*ms, AttemptResult{Request: 1, Host: "p", Outcome: o}), Fail{1})
 	}
 }
 
@@ -292,7 +292,7 @@
 	g := newRig(t, nil)
 	g.group()
 	g.ask(1, clsUnsafe, "s")
-	g.want(g.step(ms, Result{Request: 1, Member: "p", Outcome: Full, Role: RolePrimary}))
+	g.want(g.step(ms, AttemptResult{Request: 1, Host: "p", Outcome: OutcomeRejected, Role: RolePrimary}))
 	if m := g.sent(g.step(fullPause + waitEvery)); m != "p" {
 		t.Fatalf("went to %s", m)
 	}
@@ -302,26 +302,26 @@
 	g := newRig(t, nil)
 	g.group()
 	g.ask(1, clsKeyed, "s")
-	if m := g.sent(g.step(10*ms, Result{Request: 1, Member: "p", Outcome: Error, Role: RolePrimary})); m != "p" {
+	if m := g.sent(g.step(10*ms, AttemptResult{Request: 1, Host: "p", Outcome: OutcomeError, Role: RolePrimary})); m != "p" {
 		t.Fatalf("went to %s", m)
 	}
-	g.want(g.step(1200*ms, Result{Request: 1, Attempt: 1, Member: "p", Outcome: Error, Role: RolePrimary}), Fail{1})
+	g.want(g.step(1200*ms, AttemptResult{Request: 1, Attempt: 1, Host: "p", Outcome: OutcomeError, Role: RolePrimary}), Fail{1})
 }
 
 func TestDrainedMemberGetsNothingNew(t *testing.T) {
 	g := newRig(t, nil)
 	g.group()
-	g.step(ms, List{Members: []Member{{ID: "a", Group: 1, State: Draining}, {ID: "p", Group: 1, State: Draining}}})
+	g.step(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateDraining}, {ID: "p", Group: 1, State: StateDraining}}})
 	for id := uint64(1); id < 9; id++ {
 		if m := g.sent(g.ask(id, clsAny, "")); m != "b" {
 			t.Fatalf("went to %s", m)
 		}
-		g.step(ms, Result{Request: id, Member: "b", Done: true})
+		g.step(ms, AttemptResult{Request: id, Host: "b", RequestDone: true})
 	}
 	if m := g.sent(g.ask(20, clsKeyed, "s")); m != "p" {
 		t.Fatalf("inside the grace the draining primary takes writes, but it went to %s", m)
 	}
-	g.step(ms, Result{Request: 20, Member: "p", Done: true, Role: RolePrimary, Position: g.now})
+	g.step(ms, AttemptResult{Request: 20, Host: "p", RequestDone: true, Role: RolePrimary, Position: g.now})
 	g.step(250 * ms)
 	if m := g.sent(g.ask(21, clsKeyed, "s")); m != "b" {
 		t.Fatalf("past the grace it went to %s", m)
@@ -330,7 +330,7 @@
 
 func TestEveryRequestGetsOneAnswerAtOnceWhereNothingCanServe(t *testing.T) {
 	g := newRig(t, nil)
-	g.want(g.step(0, Request{ID: 1, Class: clsKeyed, Group: 7, Tenant: -1}), Refuse{1, 500 * ms})
+	g.want(g.step(0, Request{ID: 1, Class: clsKeyed, Group: 7, Tenant: -1}), Reject{1, 500 * ms})
 	g.ask(2, clsUnsafe, "s")
 	answers := 0
 	for range 400 {
@@ -345,9 +345,9 @@
 	g := newRig(t, nil)
 	g.group()
 	m := g.sent(g.ask(1, clsAny, ""))
-	done := Result{Request: 1, Member: m, Done: true, Role: RoleReplica}
-	g.want(g.step(ms, done, done, Result{Request: 99}, ClientGone{1}, ClientGone{98}, Started{97},
-		Probed{Member: "nobody"}, Result{Request: 1, Attempt: 5}, Request{ID: 3, Class: 77}))
+	done := AttemptResult{Request: 1, Host: m, RequestDone: true, Role: RoleReplica}
+	g.want(g.step(ms, done, done, AttemptResult{Request: 99}, ClientGone{1}, ClientGone{98}, StreamStarted{97},
+		HealthCheckResult{Host: "nobody"}, AttemptResult{Request: 1, Attempt: 5}, Request{ID: 3, Class: 77}))
 }
 
 // One lost connection takes all its attempts with it, and on some days connections are lost often: a member
@@ -358,8 +358,8 @@
 	for id := range uint64(3) {
 		g.ask(id, clsUnsafe, "s")
 	}
-	g.want(g.step(10*ms, Result{Request: 0, Member: "p", Outcome: Broken}, Result{Request: 1, Member: "p", Outcome: Broken},
-		Result{Request: 2, Member: "p", Outcome: Broken}), Fail{2}, Fail{1}, Fail{0})
+	g.want(g.step(10*ms, AttemptResult{Request: 0, Host: "p", Outcome: OutcomeConnectionLost}, AttemptResult{Request: 1, Host: "p", Outcome: OutcomeConnectionLost},
+		AttemptResult{Request: 2, Host: "p", Outcome: OutcomeConnectionLost}), Fail{2}, Fail{1}, Fail{0})
 	if m := g.sent(g.ask(9, clsUnsafe, "s")); m != "p" {
 		t.Fatalf("went to %s", m)
 	}
@@ -384,11 +384,11 @@
 // A group without a primary must not have each read knock at every replica: misses tip cold members too.
 func TestMissedReadWaitsForAPrimary(t *testing.T) {
 	g := newRig(t, nil)
-	g.step(0, List{Full: true, Members: []Member{
-		{ID: "a", Group: 1, State: Ready}, {ID: "b", Group: 1, State: Ready}, {ID: "c", Group: 1, State: Ready},
+	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+		{ID: "a", Group: 1, State: StateReady}, {ID: "b", Group: 1, State: StateReady}, {ID: "c", Group: 1, State: StateReady},
 	}})
 	m := g.sent(g.ask(1, clsBounded, ""))
-	g.want(g.step(ms, Result{Request: 1, Member: m, Outcome: Miss, Role: RoleReplica}))
+	g.want(g.step(ms, AttemptResult{Request: 1, Host: m, Outcome: OutcomeMisdirected, Role: RoleReplica}))
 }
 
 // Hundreds of routers with a trickle each must keep a cold group within its limit together: a floor or a burst
@@ -396,26 +396,26 @@
 // counted that reach the cold members in the first seconds.
 func TestManyRoutersKeepColdMembersWithinTheirLimitTogether(t *testing.T) {
 	const routers, warmRate = 300, 300 // requests a second that the whole group answered when warm
-	list := List{Full: true}
+	list := EndpointUpdate{Full: true}
 	for _, id := range []string{"a", "b", "c"} {
-		list.Members = append(list.Members, Member{ID: id, Group: 1, State: Ready, Started: 100 * time.Second})
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: id, Group: 1, State: StateReady, StartedAt: 100 * time.Second})
 	}
 	sent := 0
 	for i := range uint64(routers) {
-		g := newRig(t, func(s *Settings) { s.Routers = routers })
+		g := newRig(t, func(s *Settings) { s.GatewayCount = routers })
 		g.r.rng = rand.New(rand.NewPCG(i, i))
 		g.step(0, list)
 		for id := range uint64(2) { // each has two requests in two seconds
-			for _, a := range g.step(time.Second, Request{ID: id, Class: clsAny, Tenant: -1, Group: 1, Left: time.Second}) {
+			for _, a := range g.step(time.Second, Request{ID: id, Class: clsAny, Tenant: -1, Group: 1, TimeLeft: time.Second}) {
 				if at, ok := a.(Attempt); ok {
 					sent++
-					g.step(ms, Result{Request: id, Member: at.Member, Done: true, Role: RoleReplica})
+					g.step(ms, AttemptResult{Request: id, Host: at.Host, RequestDone: true, Role: RoleReplica})
 				}
 			}
 		}
 	}
 	s := settings()
-	limit := s.TipMultiple * (s.ColdShare + (1-s.ColdShare)*2/s.ColdTime.Seconds()) * warmRate * 2
+	limit := s.OverloadMultiple * (s.SlowStartMinShare + (1-s.SlowStartMinShare)*2/s.SlowStartWindow.Seconds()) * warmRate * 2
 	if sent == 0 || float64(sent) > limit {
 		t.Fatalf("%d sends in two seconds to a cold group that tips at %.0f", sent, limit)
 	}
@@ -424,47 +424,47 @@
 // Oldest first, everything in a lasting queue is served just too late; newest first keeps part of it in time.
 func TestNewestOfWaitingRequestsGoesFirst(t *testing.T) {
 	g := newRig(t, nil)
-	g.step(0, List{Full: true, Members: []Member{{ID: "p", Group: 1, State: Ready}}})
-	g.step(ms, Probed{Member: "p", Role: RolePrimary, Position: g.now})
+	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "p", Group: 1, State: StateReady}}})
+	g.step(ms, HealthCheckResult{Host: "p", Role: RolePrimary, Position: g.now})
 	for id := uint64(1); id <= uint64(firstLimit)+2; id++ {
 		g.ask(id, clsKeyed, "s")
 	}
-	got := g.step(ms, Result{Request: 1, Member: "p", Done: true, Role: RolePrimary, Position: g.now})
+	got := g.step(ms, AttemptResult{Request: 1, Host: "p", RequestDone: true, Role: RolePrimary, Position: g.now})
 	n := uint64(firstLimit)
-	g.want(got, Attempt{Request: n + 2, Member: "p"}, Attempt{Request: n + 1, Member: "p"})
+	g.want(got, Attempt{Request: n + 2, Host: "p"}, Attempt{Request: n + 1, Host: "p"})
 }
 
 // A fresh router knows no positions: where replicas don't check, none is tried before it has told one.
 func TestUnknownReplicaGetsNoSessionReadWhereNoneChecks(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Check = CheckNone })
-	g.step(0, List{Full: true, Members: []Member{{ID: "p", Group: 1, State: Ready}, {ID: "a", Group: 1, State: Ready}}})
+	g := newRig(t, func(s *Settings) { s.StalenessCheck = StalenessCheckNone })
+	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "p", Group: 1, State: StateReady}, {ID: "a", Group: 1, State: StateReady}}})
 	g.want(g.ask(1, clsSession, "s"))
-	g.want(g.step(ms, Probed{Member: "a", Role: RoleReplica, Position: g.now}), Attempt{Request: 1, Member: "a"})
+	g.want(g.step(ms, HealthCheckResult{Host: "a", Role: RoleReplica, Position: g.now}), Attempt{Request: 1, Host: "a"})
 }
 
 // A router that seldom hears from replicas must not crowd the primary with reads: it asks a replica for its
 // position first, and only if that is too old turns to the primary.
 func TestBoundedReadAsksForAPositionWhereNoneChecks(t *testing.T) {
 	for _, answers := range []bool{true, false} {
-		g := newRig(t, func(s *Settings) { s.Check = CheckNone })
+		g := newRig(t, func(s *Settings) { s.StalenessCheck = StalenessCheckNone })
 		g.group()
 		g.now += 300 * ms
 		var asked []string
 		probes := func(actions []Action) (kept []Action) {
 			for _, a := range actions {
 				switch a := a.(type) {
-				case Probe:
-					asked = append(asked, a.Member)
+				case HealthCheck:
+					asked = append(asked, a.Host)
 				case Attempt:
 					kept = append(kept, a)
 				}
 			}
 			return kept
 		}
-		got := probes(g.r.Step(g.now, []Event{Request{ID: 1, Class: clsBounded, Tenant: -1, Group: 1, Left: time.Second}}))
+		got := probes(g.r.Step(g.now, []Event{Request{ID: 1, Class: clsBounded, Tenant: -1, Group: 1, TimeLeft: time.Second}}))
 		for i := 0; len(got) == 0 && i < 10; i++ {
 			g.now += ms
-			p := Probed{Member: asked[0], Role: RoleReplica, Position: g.now - 250*ms}
+			p := HealthCheckResult{Host: asked[0], Role: RoleReplica, Position: g.now - 250*ms}
 			if answers {
 				p.Position = g.now - 50*ms
 			}
@@ -486,9 +486,9 @@
 	g.group()
 	for id := range uint64(50) {
 		g.ask(id, clsUnsafe, fmt.Sprint("s", id))
-		r := Result{Request: id, Member: "p", Done: true, Role: RolePrimary, Position: g.now}
+		r := AttemptResult{Request: id, Host: "p", RequestDone: true, Role: RolePrimary, Position: g.now}
 		if id%3 == 0 { // lost
-			r.Outcome, r.Done = Error, false
+			r.Outcome, r.RequestDone = OutcomeError, false
 		}
 		g.step(ms, r)
 	}
@@ -503,9 +503,9 @@
 // A primary that takes work and answers nothing must not keep the group waiting for it: what may be repeated is
 // called off, and the other members are tried.
 func TestHungPrimaryDoesNotEatEveryAttempt(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Classes[clsKeyed].RepeatWindow = 10 * time.Second })
+	g := newRig(t, func(s *Settings) { s.Classes[clsKeyed].DedupWindow = 10 * time.Second })
 	g.group()
-	if m := g.sent(g.step(ms, Request{ID: 1, Class: clsKeyed, Tenant: -1, Group: 1, Left: 5 * time.Second})); m != "p" {
+	if m := g.sent(g.step(ms, Request{ID: 1, Class: clsKeyed, Tenant: -1, Group: 1, TimeLeft: 5 * time.Second})); m != "p" {
 		t.Fatalf("went to %s", m)
 	}
 	for n, want := range []string{"p", "another"} { // one overdue answer may be lost; a second is silence
@@ -513,8 +513,8 @@
 		for i := 0; len(got) == 0 && i < 400; i++ {
 			got = g.step(10 * ms)
 		}
-		g.want(got, Cancel{1, n})
-		m := g.sent(g.step(ms, Result{Request: 1, Attempt: n, Member: "p", Outcome: Cancelled}))
+		g.want(got, CancelAttempt{1, n})
+		m := g.sent(g.step(ms, AttemptResult{Request: 1, Attempt: n, Host: "p", Outcome: OutcomeCancelled}))
 		if (m == "p") != (want == "p") {
 			t.Fatalf("after %d overdue answers the write went to %s", n+1, m)
 		}
@@ -525,7 +525,7 @@
 	g := newRig(t, nil)
 	g.group()
 	g.ask(1, clsUnsafe, "s")
-	g.want(g.step(2*time.Second, Result{Request: 1, Member: "p", Outcome: Timeout}), Fail{1})
+	g.want(g.step(2*time.Second, AttemptResult{Request: 1, Host: "p", Outcome: OutcomeTimeout}), Fail{1})
 	g.want(g.step(time.Second))
 }
 
@@ -533,19 +533,19 @@
 	g := newRig(t, nil)
 	g.group()
 	g.ask(1, clsKeyed, "s")
-	g.want(g.step(ms, Result{Request: 1, Member: "p", Outcome: Error, Role: RolePrimary}, ClientGone{1}))
+	g.want(g.step(ms, AttemptResult{Request: 1, Host: "p", Outcome: OutcomeError, Role: RolePrimary}, ClientGone{1}))
 	g.want(g.step(100 * ms))
 }
 
 func TestDrainToldWhileARequestWaits(t *testing.T) {
 	g := newRig(t, nil)
-	g.step(0, List{Full: true, Members: []Member{{ID: "a", Group: 1, State: Ready}}})
+	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateReady}}})
 	n := uint64(firstLimit)
 	for id := uint64(1); id <= n+1; id++ {
 		g.ask(id, clsAny, "")
 	}
-	g.want(g.step(ms, List{Members: []Member{{ID: "a", Group: 1, State: Draining}}},
-		Result{Request: 1, Member: "a", Done: true, Role: RoleReplica}))
+	g.want(g.step(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateDraining}}},
+		AttemptResult{Request: 1, Host: "a", RequestDone: true, Role: RoleReplica}))
 }
 
 // A cold primary has all the writes of its group, and after a search for it all that waited: each router thins
@@ -554,11 +554,11 @@
 	sent := func(started time.Duration, wait time.Duration) int {
 		n := 0
 		for seed := range uint64(200) {
-			g := newRig(t, func(s *Settings) { s.FallTime = 100 * ms })
+			g := newRig(t, func(s *Settings) { s.OverloadWindow = 100 * ms })
 			g.r.rng = rand.New(rand.NewPCG(seed, seed))
 			g.r.sent, g.r.sentTop = 10, 8
-			g.step(0, List{Full: true, Members: []Member{
-				{ID: "p", Group: 1, State: Ready, Started: started}, {ID: "a", Group: 1, State: Ready},
+			g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+				{ID: "p", Group: 1, State: StateReady, StartedAt: started}, {ID: "a", Group: 1, State: StateReady},
 			}})
 			g.r.learnRole(g.r.members["p"], RolePrimary)
 			q := &request{Request: Request{ID: 1, Class: clsKeyed}, class: &g.r.set.Classes[clsKeyed],
@@ -578,20 +578,20 @@
 }
 
 func TestDemotedReplicaGetsNoBoundedReadWhereNoneChecks(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Check = CheckNone })
+	g := newRig(t, func(s *Settings) { s.StalenessCheck = StalenessCheckNone })
 	g.group()
 	g.ask(1, clsKeyed, "s")
-	g.step(300*ms, Result{Request: 1, Member: "p", Outcome: Miss, Role: RoleReplica})
+	g.step(300*ms, AttemptResult{Request: 1, Host: "p", Outcome: OutcomeMisdirected, Role: RoleReplica})
 	for _, a := range g.ask(2, clsBounded, "") {
 		if at, ok := a.(Attempt); ok && at.Request == 2 {
-			t.Fatalf("no member is fresh enough or primary, but the read went to %s", at.Member)
+			t.Fatalf("no member is fresh enough or primary, but the read went to %s", at.Host)
 		}
 	}
 	// A report from before the demotion must not make it primary again.
-	g.step(ms, Probed{Member: "p", Role: RolePrimary, Position: g.now - 100*ms})
+	g.step(ms, HealthCheckResult{Host: "p", Role: RolePrimary, Position: g.now - 100*ms})
 	for _, a := range g.ask(3, clsFresh, "") {
 		if at, ok := a.(Attempt); ok && at.Request == 3 {
-			t.Fatalf("went to %s on an old report", at.Member)
+			t.Fatalf("went to %s on an old report", at.Host)
 		}
 	}
 }
@@ -600,10 +600,10 @@
 	for want, change := range map[string]func(*Settings){
 		"Classes":     func(s *Settings) { s.Classes = nil },
 		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
-		"MaxAge":      func(s *Settings) { s.Classes[clsBounded].MaxAge = 0 },
-		"Aim":         func(s *Settings) { s.Classes[clsAny].Aim = 0 },
-		"Need":        func(s *Settings) { s.Classes[clsAny].Need = 99 },
-		"ColdShare":   func(s *Settings) { s.ColdShare = -1 },
+		"MaxAge":      func(s *Settings) { s.Classes[clsBounded].MaxStaleness = 0 },
+		"Aim":         func(s *Settings) { s.Classes[clsAny].LatencyObjective = 0 },
+		"Need":        func(s *Settings) { s.Classes[clsAny].Consistency = 99 },
+		"ColdShare":   func(s *Settings) { s.SlowStartMinShare = -1 },
 	} {
 		s := settings()
 		change(&s)
@@ -622,13 +622,13 @@
 		for id := uint64(1); id <= 40; id++ {
 			m := g.sent(g.ask(id, clsAny, ""))
 			if !fails(m) {
-				g.step(100*ms, Result{Request: id, Member: m, Done: true, Role: RoleReplica})
+				g.step(100*ms, AttemptResult{Request: id, Host: m, RequestDone: true, Role: RoleReplica})
 				continue
 			}
-			for _, a := range g.step(ms, Result{Request: id, Member: m, Outcome: Error, Role: RoleReplica}) {
+			for _, a := range g.step(ms, AttemptResult{Request: id, Host: m, Outcome: OutcomeError, Role: RoleReplica}) {
 				if at, ok := a.(Attempt); ok {
 					n++
-					g.step(100*ms, Result{Request: id, Attempt: 1, Member: at.Member, Done: true, Role: RoleReplica})
+					g.step(100*ms, AttemptResult{Request: id, Attempt: 1, Host: at.Host, RequestDone: true, Role: RoleReplica})
 				}
 			}
 		}
@@ -651,20 +651,20 @@
 	g := newRig(t, nil)
 	g.group()
 	for id := uint64(100); id < 200; id++ { // the class's usual time
-		g.step(20*ms, Result{Request: id, Member: g.sent(g.ask(id, clsAny, "")), Done: true, Role: RoleReplica})
+		g.step(20*ms, AttemptResult{Request: id, Host: g.sent(g.ask(id, clsAny, "")), RequestDone: true, Role: RoleReplica})
 	}
 	lost := g.sent(g.ask(1, clsAny, ""))
 	for id := uint64(2); id < 50; id++ {
 		for _, a := range g.ask(id, clsAny, "") {
 			if a, ok := a.(Attempt); ok {
-				for _, a := range g.step(10*ms, Result{Request: id, Member: a.Member, Done: true, Role: RoleReplica}) {
-					if a != (Cancel{1, 0}) {
+				for _, a := range g.step(10*ms, AttemptResult{Request: id, Host: a.Host, RequestDone: true, Role: RoleReplica}) {
+					if a != (CancelAttempt{1, 0}) {
 						t.Fatalf("want the lost attempt called off, got %#v", a)
 					}
 					if g.r.members[lost].silent {
 						t.Fatal("a member that answers others is taken to be silent")
 					}
-					if m := g.sent(g.step(ms, Result{Request: 1, Member: lost, Outcome: Cancelled})); m == lost {
+					if m := g.sent(g.step(ms, AttemptResult{Request: 1, Host: lost, Outcome: OutcomeCancelled})); m == lost {
 						t.Fatal("the repeat went to the same member")
 					}
 					return
@@ -678,7 +678,7 @@
 // Routers with a request now and then reach no limit of open attempts: late answers must make each let less through,
 // what is worth least for its time first, and answers in time must open the gate again.
 func TestLateAnswersThinWhatASmallRouterSends(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Classes[clsBounded].Worth = 0.2 })
+	g := newRig(t, func(s *Settings) { s.Classes[clsBounded].PriorityWeight = 0.2 })
 	g.group()
 	id := uint64(0)
 	sent := func(class int, takes time.Duration, n int) (sent int) {
@@ -687,7 +687,7 @@
 			for _, a := range g.ask(id, class, "") {
 				if at, ok := a.(Attempt); ok && at.Request == id {
 					sent++
-					g.step(takes, Result{Request: id, Member: at.Member, Done: true, Role: RoleReplica})
+					g.step(takes, AttemptResult{Request: id, Host: at.Host, RequestDone: true, Role: RoleReplica})
 				}
 			}
 		}
@@ -714,7 +714,7 @@
 			takes = 350 * ms
 		}
 		m := g.sent(g.ask(id, clsAny, ""))
-		g.step(takes, Result{Request: id, Member: m, Done: true, Role: RoleReplica})
+		g.step(takes, AttemptResult{Request: id, Host: m, RequestDone: true, Role: RoleReplica})
 	}
 }
 
@@ -746,8 +746,8 @@
 	for seed := range uint64(200) {
 		g := newRig(t, nil)
 		g.r.rng = rand.New(rand.NewPCG(seed, seed))
-		g.step(0, List{Full: true, Members: []Member{
-			{ID: "cold", Group: 1, State: Ready, Started: g.now}, {ID: "warm", Group: 1, State: Ready},
+		g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+			{ID: "cold", Group: 1, State: StateReady, StartedAt: g.now}, {ID: "warm", Group: 1, State: StateReady},
 		}})
 		if g.sent(g.ask(1, clsKeyed, "s")) == "cold" {
 			cold++
@@ -761,9 +761,9 @@
 // Where replicas check, a router that knows no positions must not send all its reads to one replica, and one that has
 // turned a read away is left for the others only for a while.
 func TestReadsSpreadOverReplicasOfUnknownPosition(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.MayProbe = false })
-	g.step(0, List{Full: true, Members: []Member{
-		{ID: "p", Group: 1, State: Ready}, {ID: "a", Group: 1, State: Ready}, {ID: "b", Group: 1, State: Ready},
+	g := newRig(t, func(s *Settings) { s.HealthChecksAllowed = false })
+	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+		{ID: "p", Group: 1, State: StateReady}, {ID: "a", Group: 1, State: StateReady}, {ID: "b", Group: 1, State: StateReady},
 	}})
 	g.r.learnRole(g.r.members["p"], RolePrimary)
 	count := func(first uint64) map[string]int {
@@ -771,7 +771,7 @@
 		for id := first; id < first+40; id++ {
 			m := g.sent(g.ask(id, clsBounded, ""))
 			n[m]++
-			g.step(ms, Result{Request: id, Member: m, Done: true, Role: RoleReplica})
+			g.step(ms, AttemptResult{Request: id, Host: m, RequestDone: true, Role: RoleReplica})
 		}
 		return n
 	}
@@ -796,8 +796,8 @@
 	wakes := func(events ...Event) (in []time.Duration) {
 		g.now += ms
 		for _, a := range g.r.Step(g.now, events) {
-			if w, ok := a.(Wake); ok {
-				in = append(in, w.In)
+			if w, ok := a.(SetTimer); ok {
+				in = append(in, w.After)
 			}
 		}
 		return in
@@ -807,7 +807,7 @@
 			t.Fatalf("an idle router asks to be woken in %v", w)
 		}
 	}
-	w := wakes(Request{ID: 1, Class: clsAny, Tenant: -1, Group: 1, Left: 2 * time.Second})
+	w := wakes(Request{ID: 1, Class: clsAny, Tenant: -1, Group: 1, TimeLeft: 2 * time.Second})
 	if len(w) != 1 || w[0] < 100*ms {
 		t.Fatalf("with one attempt out it asks to be woken in %v", w)
 	}
@@ -822,9 +822,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	list := List{Full: true}
+	list := EndpointUpdate{Full: true}
 	for i := range 300 {
-		list.Members = append(list.Members, Member{ID: fmt.Sprint("m", i), Group: i / 5, State: Ready})
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: fmt.Sprint("m", i), Group: i / 5, State: StateReady})
 	}
 	now := time.Hour
 	r.Step(now, []Event{list})
@@ -832,10 +832,10 @@
 	for i := 0; b.Loop(); i++ {
 		now += ms
 		id := uint64(i)
-		q := Request{ID: id, Class: clsAny, Tenant: -1, Group: i % 60, Left: time.Second}
+		q := Request{ID: id, Class: clsAny, Tenant: -1, Group: i % 60, TimeLeft: time.Second}
 		for _, a := range r.Step(now, []Event{q}) {
 			if at, ok := a.(Attempt); ok {
-				r.Step(now+ms/2, []Event{Result{Request: id, Member: at.Member, Done: true, Role: RoleReplica}})
+				r.Step(now+ms/2, []Event{AttemptResult{Request: id, Host: at.Host, RequestDone: true, Role: RoleReplica}})
 			}
 		}
 	}
@@ -845,9 +845,9 @@
 // the group's other members carried before comes to this one.
 func TestARouterThatStartsLateTakesAGroupForAsLargeAsTheOthers(t *testing.T) {
 	g := newRig(t, nil)
-	list := List{Full: true, Members: []Member{{ID: "cold", Group: 1, State: Ready, Started: g.now}}}
+	list := EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "cold", Group: 1, State: StateReady, StartedAt: g.now}}}
 	for _, id := range []string{"a", "b", "c", "d"} {
-		list.Members = append(list.Members, Member{ID: id, Group: 2, State: Ready})
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: id, Group: 2, State: StateReady})
 	}
 	g.step(0, list)
 	sent := 0
@@ -855,7 +855,7 @@
 		for _, a := range g.ask(id, clsAny, "") {
 			if _, ok := a.(Attempt); ok {
 				sent++
-				g.step(0, Result{Request: id, Member: "cold", Done: true, Role: RoleReplica})
+				g.step(0, AttemptResult{Request: id, Host: "cold", RequestDone: true, Role: RoleReplica})
 			}
 		}
 	}
@@ -869,25 +869,25 @@
 func TestMembersThatReplaceOthersMakeNoGroupLarger(t *testing.T) {
 	sentOf := func(overlap bool) (sent int) {
 		g := newRig(t, nil)
-		group := func(from, to int, state State, started time.Duration) (e List) {
+		group := func(from, to int, state EndpointState, started time.Duration) (e EndpointUpdate) {
 			for i := from; i < to; i++ {
-				e.Members = append(e.Members, Member{ID: fmt.Sprint("m", i), Group: 1, State: state, Started: started})
+				e.Endpoints = append(e.Endpoints, Endpoint{ID: fmt.Sprint("m", i), Group: 1, State: state, StartedAt: started})
 			}
 			return e
 		}
-		old := group(0, 4, Ready, 0)
+		old := group(0, 4, StateReady, 0)
 		old.Full = true
 		g.step(0, old)
 		if !overlap {
-			g.step(ms, group(0, 4, Gone, 0))
+			g.step(ms, group(0, 4, StateGone, 0))
 		}
-		g.step(ms, group(4, 8, Ready, g.now))
-		g.step(ms, group(0, 4, Gone, 0))
+		g.step(ms, group(4, 8, StateReady, g.now))
+		g.step(ms, group(0, 4, StateGone, 0))
 		for id := range uint64(200) {
 			for _, a := range g.ask(id, clsAny, "") {
 				if a, ok := a.(Attempt); ok {
 					sent++
-					g.step(0, Result{Request: id, Member: a.Member, Done: true, Role: RoleReplica})
+					g.step(0, AttemptResult{Request: id, Host: a.Host, RequestDone: true, Role: RoleReplica})
 				}
 			}
 		}
@@ -900,11 +900,11 @@
 
 // A probe of each new member by each gateway is a connection and a probe for every pair of a fleet and its hosts.
 func TestNewMembersAreProbedOnlyWhereReplicasDoNotCheck(t *testing.T) {
-	for check, want := range map[Check]int{CheckNone: 2, CheckRefuse: 0, CheckWait: 0} {
-		g, probes := newRig(t, func(s *Settings) { s.Check = check }), 0
-		for _, a := range g.r.Step(g.now, []Event{List{Full: true, Members: []Member{
-			{ID: "a", Group: 1, State: Ready}, {ID: "b", Group: 1, State: Ready}}}}) {
-			if _, ok := a.(Probe); ok {
+	for check, want := range map[StalenessCheck]int{StalenessCheckNone: 2, StalenessCheckReject: 0, StalenessCheckWait: 0} {
+		g, probes := newRig(t, func(s *Settings) { s.StalenessCheck = check }), 0
+		for _, a := range g.r.Step(g.now, []Event{EndpointUpdate{Full: true, Endpoints: []Endpoint{
+			{ID: "a", Group: 1, State: StateReady}, {ID: "b", Group: 1, State: StateReady}}}}) {
+			if _, ok := a.(HealthCheck); ok {
 				probes++
 			}
 		}
@@ -918,36 +918,36 @@
 // none of it may panic, send past a drain or answer twice.
 func TestOddListsReportsAndClocks(t *testing.T) {
 	g := newRig(t, nil)
-	g.step(0, List{}, List{Full: true}, List{Failed: true})
-	g.want(g.step(ms, Request{ID: 1, Class: clsAny, Tenant: -1, Group: 1, Left: time.Second}))
+	g.step(0, EndpointUpdate{}, EndpointUpdate{Full: true}, EndpointUpdate{Failed: true})
+	g.want(g.step(ms, Request{ID: 1, Class: clsAny, Tenant: -1, Group: 1, TimeLeft: time.Second}))
 	g.group()
-	twice := []Member{
-		{ID: "a", Group: 1, State: Draining}, {ID: "a", Group: 1, State: Ready}, {ID: "a", Group: 9, State: Gone},
-		{ID: "b", Group: 1, State: Gone}, {ID: "b", Group: 1, State: Gone}, {ID: "new", Group: 1, State: Gone},
+	twice := []Endpoint{
+		{ID: "a", Group: 1, State: StateDraining}, {ID: "a", Group: 1, State: StateReady}, {ID: "a", Group: 9, State: StateGone},
+		{ID: "b", Group: 1, State: StateGone}, {ID: "b", Group: 1, State: StateGone}, {ID: "new", Group: 1, State: StateGone},
 	}
-	g.step(ms, List{Members: twice})
+	g.step(ms, EndpointUpdate{Endpoints: twice})
 	for id := uint64(10); id < 30; id++ {
 		for _, a := range g.ask(id, clsAny, "") {
-			if at, ok := a.(Attempt); ok && at.Member != "p" {
-				t.Fatalf("went to %s after the list's last word on it was gone", at.Member)
+			if at, ok := a.(Attempt); ok && at.Host != "p" {
+				t.Fatalf("went to %s after the list's last word on it was gone", at.Host)
 			}
 		}
 	}
-	var many []Member
+	var many []Endpoint
 	for i := range 700 {
-		many = append(many, Member{ID: fmt.Sprint("m", i%600), Group: i % 90, State: State(i % 3)})
+		many = append(many, Endpoint{ID: fmt.Sprint("m", i%600), Group: i % 90, State: EndpointState(i % 3)})
 	}
-	g.step(ms, List{Full: true, Members: many}, List{Full: true, Members: many})
-	g.step(ms, Probed{Member: "p", Role: RolePrimary, Position: -5}, Probed{Member: "a", Role: Role(77), Position: 1 << 62})
+	g.step(ms, EndpointUpdate{Full: true, Endpoints: many}, EndpointUpdate{Full: true, Endpoints: many})
+	g.step(ms, HealthCheckResult{Host: "p", Role: RolePrimary, Position: -5}, HealthCheckResult{Host: "a", Role: Role(77), Position: 1 << 62})
 }
 
 func TestAClockThatStandsStillOrGoesBack(t *testing.T) {
 	g := newRig(t, nil)
 	g.group()
 	m := g.sent(g.ask(1, clsAny, ""))
-	g.want(g.step(-time.Hour, Result{Request: 1, Member: m, Done: true, Role: RoleReplica}))
-	g.want(g.step(0, Result{Request: 1, Member: m, Done: true, Role: RoleReplica}))
-	if m := g.sent(g.step(0, Request{ID: 2, Class: clsAny, Tenant: -1, Group: 1, Left: time.Second})); m == "p" {
+	g.want(g.step(-time.Hour, AttemptResult{Request: 1, Host: m, RequestDone: true, Role: RoleReplica}))
+	g.want(g.step(0, AttemptResult{Request: 1, Host: m, RequestDone: true, Role: RoleReplica}))
+	if m := g.sent(g.step(0, Request{ID: 2, Class: clsAny, Tenant: -1, Group: 1, TimeLeft: time.Second})); m == "p" {
 		t.Fatal("an any-read went to the primary")
 	}
 }
@@ -956,11 +956,11 @@
 func TestZeroAndHugeOptionalSettings(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"zero": func(s *Settings) {
-			*s = Settings{Classes: s.Classes, Routers: 1, MaxAttempts: 1}
+			*s = Settings{Classes: s.Classes, GatewayCount: 1, MaxAttempts: 1}
 		},
 		"huge": func(s *Settings) {
-			s.Routers, s.MaxAttempts, s.TipMultiple = 1<<40, 1<<40, 1e300
-			s.ColdTime, s.DrainGrace, s.FallTime, s.Tick = 1<<61, 1<<60, 1<<60, time.Hour
+			s.GatewayCount, s.MaxAttempts, s.OverloadMultiple = 1<<40, 1<<40, 1e300
+			s.SlowStartWindow, s.DrainGrace, s.OverloadWindow, s.TickInterval = 1<<61, 1<<60, 1<<60, time.Hour
 		},
 	} {
 		g := newRig(t, change)
@@ -971,8 +971,8 @@
 				switch a := a.(type) {
 				case Attempt:
 					answers++
-					g.step(ms, Result{Request: a.Request, Member: a.Member, Done: true, Role: RoleReplica, Position: g.now})
-				case Refuse, Fail:
+					g.step(ms, AttemptResult{Request: a.Request, Host: a.Host, RequestDone: true, Role: RoleReplica, Position: g.now})
+				case Reject, Fail:
 					answers++
 				}
 			}
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -12,10 +12,10 @@
 func Example() {
 	r, err := routing.New(routing.Settings{
 		Classes: []routing.Class{
-			{Name: "write", Need: routing.NeedPrimary, Effect: routing.EffectUnsafe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 2},
-			{Name: "read", Need: routing.NeedSession, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "write", Consistency: routing.ConsistencyWrite, Idempotency: routing.NotIdempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},
+			{Name: "read", Consistency: routing.ConsistencySession, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
 		},
-		Routers: 1, MaxAttempts: 4, MayProbe: true,
+		GatewayCount: 1, MaxAttempts: 4, HealthChecksAllowed: true,
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -27,20 +27,20 @@
 		for _, a := range r.Step(now, e) {
 			switch a := a.(type) {
 			case routing.Attempt:
-				fmt.Printf("send request %d to %s\n", a.Request, a.Member)
-			case routing.Probe:
-				fmt.Println("probe", a.Member)
+				fmt.Printf("send request %d to %s\n", a.Request, a.Host)
+			case routing.HealthCheck:
+				fmt.Println("probe", a.Host)
 			}
 		}
 	}
-	step(routing.List{Full: true, Members: []routing.Member{
-		{ID: "db1", State: routing.Ready}, {ID: "db2", State: routing.Ready},
+	step(routing.EndpointUpdate{Full: true, Endpoints: []routing.Endpoint{
+		{ID: "db1", State: routing.StateReady}, {ID: "db2", State: routing.StateReady},
 	}})
-	step(routing.Probed{Member: "db1", Role: routing.RolePrimary, Position: now},
-		routing.Probed{Member: "db2", Role: routing.RoleReplica, Position: now})
-	step(routing.Request{ID: 1, Class: 0, Tenant: -1, Session: "ann", Left: time.Second})
-	step(routing.Request{ID: 2, Class: 1, Tenant: -1, Session: "ann", Left: time.Second}) // dirty
-	step(routing.Request{ID: 3, Class: 1, Tenant: -1, Session: "bob", Left: time.Second}) // clean
+	step(routing.HealthCheckResult{Host: "db1", Role: routing.RolePrimary, Position: now},
+		routing.HealthCheckResult{Host: "db2", Role: routing.RoleReplica, Position: now})
+	step(routing.Request{ID: 1, Class: 0, Tenant: -1, Session: "ann", TimeLeft: time.Second})
+	step(routing.Request{ID: 2, Class: 1, Tenant: -1, Session: "ann", TimeLeft: time.Second}) // dirty
+	step(routing.Request{ID: 3, Class: 1, Tenant: -1, Session: "bob", TimeLeft: time.Second}) // clean
 	// Output:
 	// probe db1
 	// probe db2
--- a/routing/fuzz_test.go
+++ b/routing/fuzz_test.go
@@ -39,9 +39,9 @@
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		set := settings()
-		set.Check = Check(rng.IntN(3))
-		set.Carried, set.Subscribe, set.MayCancel = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
-		set.MayProbe = rng.IntN(2) == 0
+		set.StalenessCheck = StalenessCheck(rng.IntN(3))
+		set.SessionTokensCarried, set.SubscribeToEndpoints, set.CancelAllowed = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
+		set.HealthChecksAllowed = rng.IntN(2) == 0
 		r, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 			events = append(events, w.request())
 		}
 		if w.rng.IntN(10) == 0 {
-			events = append(events, Probed{Member: member0(w.rng.IntN(5)), Role: Role(w.rng.IntN(3)), Position: w.now})
+			events = append(events, HealthCheckResult{Host: member0(w.rng.IntN(5)), Role: Role(w.rng.IntN(3)), Position: w.now})
 		}
 		w.step(append(events, w.results()...)...)
 	}
@@ -83,21 +83,21 @@
 
 func member0(i int) string { return fmt.Sprintf("m%d", i) }
 
-func (w *world) list(full bool) List {
-	l := List{Full: full}
+func (w *world) list(full bool) EndpointUpdate {
+	l := EndpointUpdate{Full: full}
 	for i := range 5 {
 		if !full && w.rng.IntN(3) > 0 {
 			continue
 		}
-		m := Member{ID: member0(i), Group: i % 2, State: Ready}
+		m := Endpoint{ID: member0(i), Group: i % 2, State: StateReady}
 		if !full {
-			m.State = State(w.rng.IntN(3))
+			m.State = EndpointState(w.rng.IntN(3))
 		}
 		if w.rng.IntN(3) == 0 {
-			m.Started = w.now
+			m.StartedAt = w.now
 		}
-		l.Members = append(l.Members, m)
-		if m.State == Ready {
+		l.Endpoints = append(l.Endpoints, m)
+		if m.State == StateReady {
 			delete(w.told, m.ID)
 		} else if _, ok := w.told[m.ID]; !ok {
 			w.told[m.ID] = w.now
@@ -112,8 +112,8 @@
 	left := time.Duration(1+w.rng.IntN(1500)) * ms
 	w.requests[w.nextID] = &fuzzRequest{class: w.set.Classes[class], deadline: w.now + left, out: map[int]string{}}
 	return Request{
-		ID: w.nextID, Class: class, Tenant: -1, Group: w.rng.IntN(3), Session: member0(w.rng.IntN(9)), Left: left,
-		Repeat: w.rng.IntN(4) == 0, WroteAgo: time.Duration(w.rng.IntN(900)) * ms,
+		ID: w.nextID, Class: class, Tenant: -1, Group: w.rng.IntN(3), Session: member0(w.rng.IntN(9)), TimeLeft: left,
+		ClientRetry: w.rng.IntN(4) == 0, SinceLastWrite: time.Duration(w.rng.IntN(900)) * ms,
 	}
 }
 
@@ -127,17 +127,17 @@
 			if !out || w.now < q.deadline && w.rng.IntN(12) > 0 {
 				continue
 			}
-			o := Outcome(w.rng.IntN(int(Cancelled) + 1))
+			o := Outcome(w.rng.IntN(int(OutcomeCancelled) + 1))
 			if w.now >= q.deadline {
-				o = Timeout
+				o = OutcomeTimeout
 			}
 			delete(q.out, n)
-			if !neverRan(o) && o != OK && !q.mayRun {
+			if !neverRan(o) && o != OutcomeOK && !q.mayRun {
 				q.mayRun, q.maybeAt = true, q.sentAt
 			}
-			q.done = q.done || o == OK
-			events = append(events, Result{
-				Request: id, Attempt: n, Member: m, Outcome: o, Done: q.done, Role: Role(w.rng.IntN(3)), Position: w.now,
+			q.done = q.done || o == OutcomeOK
+			events = append(events, AttemptResult{
+				Request: id, Attempt: n, Host: m, Outcome: o, RequestDone: q.done, Role: Role(w.rng.IntN(3)), Position: w.now,
 			})
 		}
 		if !q.done && w.rng.IntN(400) == 0 {
@@ -153,19 +153,19 @@
 		switch a := a.(type) {
 		case Attempt:
 			w.onAttempt(a)
-		case Refuse:
+		case Reject:
 			q := w.answer(a.Request)
-			if q.class.Effect != EffectSafe && (q.mayRun || len(q.out) > 0) {
+			if q.class.Idempotency != Idempotent && (q.mayRun || len(q.out) > 0) {
 				w.t.Fatalf("request %d may have run and was refused", a.Request)
 			}
 		case Fail:
 			w.answer(a.Request)
-		case Cancel:
-			if !w.set.MayCancel || a.Attempt >= w.requests[a.Request].attempts {
+		case CancelAttempt:
+			if !w.set.CancelAllowed || a.Attempt >= w.requests[a.Request].attempts {
 				w.t.Fatalf("cancel %+v", a)
 			}
-		case Probe:
-			if !w.set.MayProbe {
+		case HealthCheck:
+			if !w.set.HealthChecksAllowed {
 				w.t.Fatal("a probe where none is allowed")
 			}
 		}
@@ -186,7 +186,7 @@
 
 func (w *world) onAttempt(a Attempt) {
 	q := w.requests[a.Request]
-	told, listed := w.told[a.Member]
+	told, listed := w.told[a.Host]
 	switch {
 	case q.done:
 		w.t.Fatalf("request %d is done and was sent", a.Request)
@@ -194,14 +194,14 @@
 		w.t.Fatalf("request %d has two attempts out", a.Request)
 	case q.attempts >= w.set.MaxAttempts:
 		w.t.Fatalf("request %d has too many attempts", a.Request)
-	case q.mayRun && q.class.Effect == EffectUnsafe:
+	case q.mayRun && q.class.Idempotency == NotIdempotent:
 		w.t.Fatalf("request %d may have run and was sent again", a.Request)
-	case q.mayRun && q.class.Effect == EffectKeyed && w.now-q.maybeAt >= q.class.RepeatWindow:
+	case q.mayRun && q.class.Idempotency == IdempotentWithKey && w.now-q.maybeAt >= q.class.DedupWindow:
 		w.t.Fatalf("request %d was sent again past its window", a.Request)
 	case listed && w.now > told+w.set.DrainGrace:
-		w.t.Fatalf("%s got something %v after it was told to drain", a.Member, w.now-told)
+		w.t.Fatalf("%s got something %v after it was told to drain", a.Host, w.now-told)
 	}
-	q.out[q.attempts] = a.Member
+	q.out[q.attempts] = a.Host
 	q.attempts++
 	q.sentAt = w.now
 }
--- a/routing/named_test.go
+++ b/routing/named_test.go
@@ -8,20 +8,20 @@
 // named lists a group whose third member the list names as primary.
 func named(t *testing.T, change func(*Settings)) *rig {
 	g := newRig(t, change)
-	g.step(0, List{Full: true, Members: []Member{
-		{ID: "a", Group: 1, State: Ready}, {ID: "b", Group: 1, State: Ready}, {ID: "c", Group: 1, State: Ready, Primary: true},
+	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+		{ID: "a", Group: 1, State: StateReady}, {ID: "b", Group: 1, State: StateReady}, {ID: "c", Group: 1, State: StateReady, Primary: true},
 	}})
 	return g
 }
 
 func write(id uint64) Request {
-	return Request{ID: id, Class: clsKeyed, Tenant: -1, Group: 1, Left: 2 * time.Second}
+	return Request{ID: id, Class: clsKeyed, Tenant: -1, Group: 1, TimeLeft: 2 * time.Second}
 }
 
 func attemptsOf(acts []Action) (to []string) {
 	for _, a := range acts {
 		if a, ok := a.(Attempt); ok {
-			to = append(to, a.Member)
+			to = append(to, a.Host)
 		}
 	}
 	return to
@@ -41,10 +41,10 @@
 func TestNamedIsNone(t *testing.T) {
 	g := named(t, nil)
 	g.step(ms, write(1))
-	if to := attemptsOf(g.step(ms, Result{Request: 1, Attempt: 0, Member: "c", Outcome: Miss, Role: RoleReplica})); len(to) != 1 || to[0] == "c" {
+	if to := attemptsOf(g.step(ms, AttemptResult{Request: 1, Attempt: 0, Host: "c", Outcome: OutcomeMisdirected, Role: RoleReplica})); len(to) != 1 || to[0] == "c" {
 		t.Errorf("after its miss the write goes to %v", to)
 	}
-	g.step(ms, List{Members: []Member{{ID: "b", Group: 1, State: Ready, Primary: true}}})
+	g.step(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: "b", Group: 1, State: StateReady, Primary: true}}})
 	if to := attemptsOf(g.step(ms, write(2))); len(to) != 1 || to[0] != "b" {
 		t.Errorf("once another is named a write goes to %v", to)
 	}
@@ -54,8 +54,8 @@
 func TestAnswerBeforeList(t *testing.T) {
 	g := named(t, nil)
 	g.step(ms, write(1))
-	g.step(ms, Result{Request: 1, Attempt: 0, Member: "c", Outcome: OK, Role: RolePrimary, Done: true})
-	g.step(ms, List{Members: []Member{{ID: "a", Group: 1, State: Ready, Primary: true}}})
+	g.step(ms, AttemptResult{Request: 1, Attempt: 0, Host: "c", Outcome: OutcomeOK, Role: RolePrimary, RequestDone: true})
+	g.step(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateReady, Primary: true}}})
 	if to := attemptsOf(g.step(ms, write(2))); len(to) != 1 || to[0] != "c" {
 		t.Errorf("a write goes to %v", to)
 	}
@@ -63,10 +63,10 @@
 
 // A cold member that is named gets writes by its warmth, and those that it can't take don't go astray.
 func TestNamedAndCold(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Routers = 300 })
-	g.step(0, List{Full: true, Members: []Member{
-		{ID: "a", Group: 1, State: Ready}, {ID: "b", Group: 1, State: Ready}, {ID: "d", Group: 1, State: Ready}, {ID: "e", Group: 1, State: Ready},
-		{ID: "c", Group: 1, State: Ready, Primary: true, Started: g.now},
+	g := newRig(t, func(s *Settings) { s.GatewayCount = 300 })
+	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+		{ID: "a", Group: 1, State: StateReady}, {ID: "b", Group: 1, State: StateReady}, {ID: "d", Group: 1, State: StateReady}, {ID: "e", Group: 1, State: StateReady},
+		{ID: "c", Group: 1, State: StateReady, Primary: true, StartedAt: g.now},
 	}})
 	sent, astray := 0, 0
 	for id := uint64(1); id <= 200; id++ {
@@ -74,7 +74,7 @@
 			if sent++; to != "c" {
 				astray++
 			}
-			g.step(ms, Result{Request: id, Attempt: 0, Member: to, Outcome: Full})
+			g.step(ms, AttemptResult{Request: id, Attempt: 0, Host: to, Outcome: OutcomeRejected})
 		}
 	}
 	if astray > 0 || sent == 0 || sent == 200 {
@@ -84,8 +84,8 @@
 
 // A read never goes by the list's word: session reads that need the primary wait or go elsewhere by proof.
 func TestReadsDontGoByTheList(t *testing.T) {
-	g := named(t, func(s *Settings) { s.Check = CheckNone; s.MayProbe = false })
-	if to := attemptsOf(g.step(ms, Request{ID: 1, Class: clsFresh, Tenant: -1, Group: 1, Left: 2 * time.Second})); len(to) > 0 {
+	g := named(t, func(s *Settings) { s.StalenessCheck = StalenessCheckNone; s.HealthChecksAllowed = false })
+	if to := attemptsOf(g.step(ms, Request{ID: 1, Class: clsFresh, Tenant: -1, Group: 1, TimeLeft: 2 * time.Second})); len(to) > 0 {
 		t.Errorf("a fresh read goes to %v, which has proved nothing", to)
 	}
 }
--- a/routing/near.go
+++ b/routing/near.go
@@ -19,18 +19,18 @@
 // deal tells what subsets are dealt of: the gateways, and the members that are ready (the primary too: who it
 // is is known late, and not to all alike). False: this router keeps to none.
 func (r *Router) deal(g *group) bool {
-	if r.set.Subset == 0 || g.dealtIn == r.version {
-		return r.set.Subset > 0
+	if r.set.SubsetSize == 0 || g.dealtIn == r.version {
+		return r.set.SubsetSize > 0
 	}
 	var hosts []fleet.Host
 	g.dealt, g.dealtIn = g.dealt[:0], r.version
 	for _, m := range g.members {
-		if m.seat = -1; m.State == Ready {
+		if m.seat = -1; m.State == StateReady {
 			m.seat = len(hosts)
 			g.dealt, hosts = append(g.dealt, m), append(hosts, fleet.Host{ID: m.ID, Zone: m.Zone})
 		}
 	}
-	g.fleet.Set(r.roster, hosts, r.set.Subset)
+	g.fleet.Update(r.roster, hosts, r.set.SubsetSize)
 	return true
 }
 
@@ -39,7 +39,7 @@
 	if len(ms) < 2 || !r.deal(g) {
 		return ms
 	}
-	use := g.fleet.Use(millis(r.now), func(i int) float64 {
+	use := g.fleet.InUse(millis(r.now), func(i int) float64 {
 		if m := g.dealt[i]; m != g.primary && r.fit(m) && r.hasRoom(m) {
 			return r.warmth(m)
 		}
@@ -59,16 +59,19 @@
 		return share
 	}
 	warmth := func(i int) float64 { return r.warmth(g.dealt[i]) }
-	return g.fleet.Part(millis(r.now), m.seat, share, ownZone, warmth)
+	return g.fleet.FleetShare(millis(r.now), m.seat, share, ownZone, warmth)
 }
 
-func (r *Router) coldLimit() fleet.Cold {
-	return fleet.Cold{Hosts: float64(r.size), Tip: r.set.TipMultiple, Use: coldUse,
-		FallMs: millis(r.set.FallTime), Tries: clientTries, Surge: r.surge.Factor(millis(r.now))}
+func (r *Router) coldLimit() fleet.SlowStartLimit {
+	return fleet.SlowStartLimit{
+		HostCount: float64(r.size), OverloadMultiple: r.set.OverloadMultiple, UsableShare: coldUse,
+		OverloadWindowMs: millis(r.set.OverloadWindow), AttemptsPerRequest: clientTries,
+		LoadFactor: r.surge.Factor(millis(r.now)),
+	}
 }
 
 // pace is how many sends a second a cold member may get from here, by what its group has answered here.
-func (r *Router) pace(m *member) float64 { return r.coldLimit().Rate(r.warmth(m), m.group.rate) }
+func (r *Router) pace(m *member) float64 { return r.coldLimit().AdmitRate(r.warmth(m), m.group.rate) }
 
 // admit tells whether a cold member may get one more request; share is the part of its group's traffic here
 // that comes to it.
@@ -88,8 +91,8 @@
 	}
 	part := r.part(m, share)
 	if pace := r.pace(m); pace >= 1 {
-		return m.budget.Take(millis(r.now), pace*r.roster.Scale(share/part), coldBurst)
+		return m.budget.Take(millis(r.now), pace*r.roster.QuotaScale(share/part), coldBurst)
 	}
-	chance := r.coldLimit().Chance(w, part, millis(waited))
+	chance := r.coldLimit().AdmitProbability(w, part, millis(waited))
 	return chance >= 1 || r.rng.Float64() < chance
 }
--- a/routing/near_test.go
+++ b/routing/near_test.go
@@ -12,40 +12,40 @@
 func crowd(t *testing.T, index int, change func(*Settings)) *rig {
 	t.Helper()
 	g := newRig(t, func(s *Settings) {
-		s.Routers, s.Index, s.Subset = 8, index, 2
+		s.GatewayCount, s.GatewayNumber, s.SubsetSize = 8, index, 2
 		if change != nil {
 			change(s)
 		}
 	})
-	var list []Member
+	var list []Endpoint
 	for i := range 7 {
-		list = append(list, Member{ID: fmt.Sprintf("m%d", i), State: Ready})
+		list = append(list, Endpoint{ID: fmt.Sprintf("m%d", i), State: StateReady})
 	}
-	g.step(0, List{Full: true, Members: list})
-	g.step(0, Probed{Member: "m0", Outcome: OK, Role: RolePrimary, Position: g.now - epochOf(g)})
+	g.step(0, EndpointUpdate{Full: true, Endpoints: list})
+	g.step(0, HealthCheckResult{Host: "m0", Outcome: OutcomeOK, Role: RolePrimary, Position: g.now - epochOf(g)})
 	for i := range 7 {
-		g.step(0, Probed{Member: fmt.Sprintf("m%d", i), Outcome: OK, Position: g.now - epochOf(g)})
+		g.step(0, HealthCheckResult{Host: fmt.Sprintf("m%d", i), Outcome: OutcomeOK, Position: g.now - epochOf(g)})
 	}
 	return g
 }
 
-func epochOf(g *rig) time.Duration { return g.r.set.Epoch }
+func epochOf(g *rig) time.Duration { return g.r.set.PositionEpoch }
 
 // spreadOf sends reads that any member may answer, one after another, and tells who got how many.
 func spreadOf(g *rig, from uint64, n int) map[string]int {
 	got := map[string]int{}
 	for i := range uint64(n) {
-		acts := g.step(time.Millisecond, Request{ID: from + i, Class: 0, Tenant: -1, Left: time.Second})
+		acts := g.step(time.Millisecond, Request{ID: from + i, Class: 0, Tenant: -1, TimeLeft: time.Second})
 		for _, to := range attemptsOf(acts) {
 			got[to]++
-			g.step(time.Millisecond, Result{Request: from + i, Member: to, Outcome: OK, Done: true, Position: g.now - epochOf(g)})
+			g.step(time.Millisecond, AttemptResult{Request: from + i, Host: to, Outcome: OutcomeOK, RequestDone: true, Position: g.now - epochOf(g)})
 		}
 	}
 	return got
 }
 
 func anyClass(s *Settings) {
-	s.Classes[0].Need, s.Classes[0].MaxAge, s.Classes[0].LateWorth = NeedAny, 0, 1
+	s.Classes[0].Consistency, s.Classes[0].MaxStaleness, s.Classes[0].LateWeightShare = ConsistencyAny, 0, 1
 }
 
 // Eight routers of which each knows its number keep to two replicas each, at random among them; together they use all.
@@ -78,17 +78,17 @@
 	for id := range spreadOf(g, 100, 40) {
 		mine = append(mine, id)
 	}
-	acts := g.step(time.Millisecond, Request{ID: 500, Class: 0, Tenant: -1, Left: time.Second})
+	acts := g.step(time.Millisecond, Request{ID: 500, Class: 0, Tenant: -1, TimeLeft: time.Second})
 	first := attemptsOf(acts)[0]
-	again := attemptsOf(g.step(time.Millisecond, Result{Request: 500, Member: first, Outcome: NoConnection}))
+	again := attemptsOf(g.step(time.Millisecond, AttemptResult{Request: 500, Host: first, Outcome: OutcomeNoConnection}))
 	if len(again) != 1 || again[0] == first {
 		t.Fatalf("after a refused connection: %v", again)
 	}
-	g.step(time.Millisecond, Result{Request: 500, Attempt: 1, Member: again[0], Outcome: OK, Done: true})
+	g.step(time.Millisecond, AttemptResult{Request: 500, Attempt: 1, Host: again[0], Outcome: OutcomeOK, RequestDone: true})
 	if got := spreadOf(g, 600, 20); len(got) != 2 || got[first] > 0 {
 		t.Errorf("while %s is down: %v", first, got)
 	}
-	g.step(0, List{Members: []Member{{ID: mine[0], State: Draining}, {ID: mine[1], State: Draining}}})
+	g.step(0, EndpointUpdate{Endpoints: []Endpoint{{ID: mine[0], State: StateDraining}, {ID: mine[1], State: StateDraining}}})
 	if got := spreadOf(g, 700, 20); len(got) != 2 || got[mine[0]]+got[mine[1]] > 0 {
 		t.Errorf("while both drain: %v", got)
 	}
@@ -97,16 +97,16 @@
 // A new view of the gateways changes the subset; one that says nothing new doesn't.
 func TestPeersChangeTheSubset(t *testing.T) {
 	g := crowd(t, 0, anyClass)
-	names := func(n int) (list []fleet.Peer) {
+	names := func(n int) (list []fleet.Gateway) {
 		for i := range n {
-			list = append(list, fleet.Peer{Name: fmt.Sprintf("g%d", i)})
+			list = append(list, fleet.Gateway{Name: fmt.Sprintf("g%d", i)})
 		}
 		return list
 	}
 	changes := 0
 	var last map[string]int
 	for n := 3; n < 12; n++ {
-		g.step(0, Peers{fleet.Named(fleet.Peer{Name: "g1"}, names(n))})
+		g.step(0, RosterUpdate{fleet.NewNamedRoster(fleet.Gateway{Name: "g1"}, names(n))})
 		got := spreadOf(g, uint64(1000*n), 30)
 		if len(got) < 2 || len(got) > 3 { // what was used before stays for a while only where it was needed
 			t.Errorf("%d gateways: %v", n, got)
@@ -126,29 +126,29 @@
 
 // Reads ask replicas of the subset where they stand, and new members are not asked by everybody at once.
 func TestOnlyTheSubsetIsAsked(t *testing.T) {
-	g := crowd(t, 2, func(s *Settings) { s.Check, s.MayProbe = CheckNone, true })
+	g := crowd(t, 2, func(s *Settings) { s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, true })
 	asked := map[string]bool{}
 	step := func(events ...Event) (acts []Action) {
 		g.now += 50 * time.Millisecond
 		for _, a := range g.r.Step(g.now, events) {
-			if p, ok := a.(Probe); ok {
-				asked[p.Member] = true
-				acts = append(acts, g.r.Step(g.now, []Event{Probed{Member: p.Member, Outcome: OK, Role: RoleReplica, Position: g.now - epochOf(g)}})...)
+			if p, ok := a.(HealthCheck); ok {
+				asked[p.Host] = true
+				acts = append(acts, g.r.Step(g.now, []Event{HealthCheckResult{Host: p.Host, Outcome: OutcomeOK, Role: RoleReplica, Position: g.now - epochOf(g)}})...)
 			}
 			acts = append(acts, a)
 		}
 		return acts
 	}
 	for i := range uint64(30) {
-		for _, to := range attemptsOf(step(Request{ID: 100 + i, Class: clsBounded, Tenant: -1, Left: time.Second})) {
-			step(Result{Request: 100 + i, Member: to, Outcome: OK, Done: true})
+		for _, to := range attemptsOf(step(Request{ID: 100 + i, Class: clsBounded, Tenant: -1, TimeLeft: time.Second})) {
+			step(AttemptResult{Request: 100 + i, Host: to, Outcome: OutcomeOK, RequestDone: true})
 		}
 	}
 	if len(asked) == 0 || len(asked) > 3 {
 		t.Errorf("asked %v", asked)
 	}
 	clear(asked)
-	step(List{Members: []Member{{ID: "new", State: Ready}}})
+	step(EndpointUpdate{Endpoints: []Endpoint{{ID: "new", State: StateReady}}})
 	if len(asked) > 0 {
 		t.Error("a new member is asked by everybody")
 	}
--- a/routing/state.go
+++ b/routing/state.go
@@ -11,8 +11,8 @@
 	"merlinjunction/fleet"
 )
 
-// What a Router knows, and when it is to be called again. Which member, whether to try again and what to refuse is
-// decided in decide.go, list.go, ban.go and near.go.
+// What a Router knows, and when it is to be called again. Which member, whether to try again and what to
+// refuse is decided in decide.go, list.go, ban.go and near.go.
 
 // A Router decides for one router instance. It is not safe for concurrent use.
 type Router struct {
@@ -32,17 +32,17 @@
 	roster    *fleet.Roster            // the gateways that share the members
 	version   int                      // of members and gateways
 	size      int                      // the most members ready in any group: what a group's traffic is made for
-	took      []float64                // mean time of an answer of each class, in seconds: what one costs, waits included
+	took      []float64                // mean time of an answer of each class, in seconds, waits included
 	spread    []float64                // and their mean deviation
 	odd       float64                  // share of quick errors, each at another member than the last
 	oddAt     *member
 	squeeze   float64 // share of refused connections, each at another member than the last
 	squeezeAt *member
-	surge     fleet.Surge   // of requests over answers
-	usual     float64       // mean worth of a request for the time that it takes
-	sent      float64       // what was sent of late, in seconds of usual answer times
-	sentTop   float64       // and the part of it that went to primaries
-	askAt     time.Duration // when to ask for the list again; 0: no need
+	surge     fleet.LoadEstimator // of requests over answers
+	usual     float64             // mean worth of a request for the time that it takes
+	sent      float64             // what was sent of late, in seconds of usual answer times
+	sentTop   float64             // and the part of it that went to primaries
+	askAt     time.Duration       // when to ask for the list again; 0: no need
 
 	dueAt  time.Duration // when the next attempt is overdue, or what waits is looked at
 	wakeAt time.Duration // the next Wake that was asked for
@@ -70,7 +70,7 @@
 }
 
 type member struct {
-	Member
+	Endpoint
 	group     *group
 	drainAt   time.Duration // told then that it drains or is gone
 	wasListed bool          // as draining
@@ -84,10 +84,10 @@
 
 	lagAt, cutAt, pauseUntil time.Duration
 
-	seat    int           // among those that are dealt; -1: it isn't
-	limit   float64       // open attempts it may have from here
-	askedAt time.Duration // for its position; 0: it has answered
-	budget  fleet.Budget  // sends that a cold one may get from here
+	seat    int               // among those that are dealt; -1: it isn't
+	limit   float64           // open attempts it may have from here
+	askedAt time.Duration     // for its position; 0: it has answered
+	budget  fleet.TokenBucket // sends that a cold one may get from here
 }
 
 type request struct {
@@ -112,16 +112,16 @@
 	odd      bool          // it gets a quick error from any member
 }
 
-// The window for repeats of a key counts at hosts, to which one send may be on its way for longer than another: so much of it, or a
-// fifth of a short one, is left unused.
+// The window for repeats of a key counts at hosts, to which one send may be on its way for longer than
+// another: so much of it, or a fifth of a short one, is left unused.
 const repeatSlack = 20 * time.Millisecond
 
 // repeatBy is until when a keyed request that may have run may be sent again; 0 where there is no such time.
 func (q *request) repeatBy() time.Duration {
-	if !q.mayRun || q.class.Effect != EffectKeyed {
+	if !q.mayRun || q.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
-	return q.maybeAt + q.class.RepeatWindow - min(repeatSlack, q.class.RepeatWindow/5)
+	return q.maybeAt + q.class.DedupWindow - min(repeatSlack, q.class.DedupWindow/5)
 }
 
 type attempt struct {
@@ -143,14 +143,14 @@
 
 func (r *Router) do(a Action) { r.out = append(r.out, a) }
 
-func (r *Router) here() Position { return r.now - r.set.Epoch }
+func (r *Router) here() Position { return r.now - r.set.PositionEpoch }
 
-// scaled is a tuned time where the shortest aim is short: else a silent member's answers would be overdue only when
+// scaled is a time where the shortest aim is short: else a silent member's answers would be overdue only when
 // its requests' time is up already, and nobody would ever be told that it is silent.
 func (r *Router) scaled(d time.Duration) time.Duration {
 	shortest := usualAim
 	for _, c := range r.set.Classes {
-		shortest = min(shortest, c.Aim)
+		shortest = min(shortest, c.LatencyObjective)
 	}
 	return seconds(d.Seconds() * shortest.Seconds() / usualAim.Seconds())
 }
@@ -186,11 +186,13 @@
 	r.spread[class] += gain * (math.Abs(d) - r.spread[class])
 }
 
-func neverRan(o Outcome) bool { return o == Miss || o == Full || o == NoConnection || o == Moot }
+func neverRan(o Outcome) bool {
+	return o == OutcomeMisdirected || o == OutcomeRejected || o == OutcomeNoConnection || o == OutcomeNotSent
+}
 
 // leads tells whether a request comes to a member as to the primary.
 func (m *member) leads(q *request) bool {
-	return m == m.group.primary || q.class.Need == NeedPrimary && m == m.group.named
+	return m == m.group.primary || q.class.Consistency == ConsistencyWrite && m == m.group.named
 }
 
 // gate is the number of the gate that leads to a member: 1 for a primary, else 0.
@@ -203,15 +205,16 @@
 
 // warmth is the share of its capacity that a member has for certain.
 func (r *Router) warmth(m *member) float64 {
-	age := r.now - m.Started
-	if m.Started == 0 || age >= r.set.ColdTime {
+	age := r.now - m.StartedAt
+	if m.StartedAt == 0 || age >= r.set.SlowStartWindow {
 		return 1
 	}
-	return r.set.ColdShare + (1-r.set.ColdShare)*max(0, age.Seconds())/r.set.ColdTime.Seconds()
+	least, window := r.set.SlowStartMinShare, r.set.SlowStartWindow.Seconds()
+	return least + (1-least)*max(0, age.Seconds())/window
 }
 
 // cold tells whether a member that is in use has not all of its capacity for certain.
-func (r *Router) cold(m *member) bool { return m.State == Ready && r.warmth(m) < 1 }
+func (r *Router) cold(m *member) bool { return m.State == StateReady && r.warmth(m) < 1 }
 
 // warm tells whether no member is cold.
 func (r *Router) warm() bool {
@@ -231,7 +234,7 @@
 
 // forget drops a member that has long been gone, so that rolling replacements don't fill the tables.
 func (r *Router) forget(m *member) bool {
-	if m.State != Gone || len(m.open) > 0 || m.group.primary == m || r.now < m.drainAt+sessionAge {
+	if m.State != StateGone || len(m.open) > 0 || m.group.primary == m || r.now < m.drainAt+sessionAge {
 		return false
 	}
 	delete(r.members, m.ID)
@@ -239,12 +242,12 @@
 	return true
 }
 
-// onBeside takes in that a Router beside this one has come or gone. While it is there, any session may have written
-// through it: all reads that must see their session's writes need what was committed before they came (need). Once it
-// has gone, what it wrote lies before that moment.
-func (r *Router) onBeside(e Beside) {
-	r.beside = e.Live
-	if !e.Live {
+// onBeside takes in that a Router beside this one has come or gone. While it is there, any session may have
+// written through it: all reads that must see their session's writes need what was committed before they came
+// (need). Once it has gone, what it wrote lies before that moment.
+func (r *Router) onBeside(e SiblingProcess) {
+	r.beside = e.Running
+	if !e.Running {
 		r.floor = max(r.floor, r.here())
 		for _, s := range r.sessions {
 			s.stamp = max(s.stamp, r.here())
@@ -252,12 +255,12 @@
 	}
 }
 
-// onStarted takes in that an answer has begun. Its member has done well by then: how long the rest takes is up to
-// the client too, and holds no other request up.
-func (r *Router) onStarted(e Started) {
+// onStarted takes in that an answer has begun. Its member has done well by then: how long the rest takes is
+// up to the client too, and holds no other request up.
+func (r *Router) onStarted(e StreamStarted) {
 	if q := r.requests[e.Request]; q != nil && q.open != nil {
 		a := q.open
-		r.judge(a, Result{Outcome: OK})
+		r.judge(a, AttemptResult{Outcome: OutcomeOK})
 		a.begun = true
 		a.member.open = slices.DeleteFunc(a.member.open, func(o *attempt) bool { return o == a })
 	}
@@ -279,7 +282,7 @@
 // from.
 func (r *Router) patience(class int) time.Duration {
 	took, spread := r.took[class], r.spread[class]
-	last := r.set.Classes[class].Aim.Seconds() - took
+	last := r.set.Classes[class].LatencyObjective.Seconds() - took
 	late := max(patienceLess*spread, min(patienceMost*spread, last-took))
 	return max(r.scaled(silentFloor), seconds(took+late))
 }
@@ -299,9 +302,9 @@
 			due = min(due, q.open.at+r.patience(q.Class))
 		}
 	}
-	r.dueAt = max(due, r.now+r.set.Tick)
+	r.dueAt = max(due, r.now+r.set.TickInterval)
 	if due < r.now+ageMost && (r.wakeAt <= r.now || r.dueAt < r.wakeAt) {
 		r.wakeAt = r.dueAt
-		r.do(Wake{r.dueAt - r.now})
+		r.do(SetTimer{r.dueAt - r.now})
 	}
 }
--- a/routing/surge_test.go
+++ b/routing/surge_test.go
@@ -16,12 +16,12 @@
 	for _, times := range []int{1, 3} {
 		sent := map[string]int{}
 		for i := range uint64(routers) {
-			g := newRig(t, func(s *Settings) { s.Routers, s.FallTime = routers, 2*time.Second })
+			g := newRig(t, func(s *Settings) { s.GatewayCount, s.OverloadWindow = routers, 2*time.Second })
 			g.r.rng = rand.New(rand.NewPCG(i, i))
-			list := List{Full: true}
+			list := EndpointUpdate{Full: true}
 			for n := range groups {
 				for _, id := range []string{"a", "b", "c", "d"} {
-					list.Members = append(list.Members, Member{ID: fmt.Sprint(id, n), Group: n, State: Ready})
+					list.Endpoints = append(list.Endpoints, Endpoint{ID: fmt.Sprint(id, n), Group: n, State: StateReady})
 				}
 			}
 			g.step(0, list)
@@ -29,18 +29,18 @@
 			second := func(n int, count bool) {
 				for range n {
 					id++
-					e := Request{ID: id, Class: clsAny, Tenant: -1, Group: g.r.rng.IntN(groups), Left: time.Second}
+					e := Request{ID: id, Class: clsAny, Tenant: -1, Group: g.r.rng.IntN(groups), TimeLeft: time.Second}
 					for _, a := range g.step(time.Second/time.Duration(n), e) {
 						at, ok := a.(Attempt)
 						if !ok {
 							continue
 						}
 						if count {
-							sent[at.Member]++
+							sent[at.Host]++
 						}
-						o := Result{Request: id, Member: at.Member, Outcome: OK, Done: true, Role: RoleReplica}
+						o := AttemptResult{Request: id, Host: at.Host, Outcome: OutcomeOK, RequestDone: true, Role: RoleReplica}
 						if count && g.r.rng.IntN(times) > 0 { // the group answers no more than before
-							o.Outcome = Timeout
+							o.Outcome = OutcomeTimeout
 						}
 						g.step(0, o)
 					}
@@ -50,7 +50,7 @@
 				second(each, false)
 			}
 			for n := range groups {
-				g.step(0, List{Members: []Member{{ID: fmt.Sprint("a", n), Group: n, State: Ready, Started: g.now}}})
+				g.step(0, EndpointUpdate{Endpoints: []Endpoint{{ID: fmt.Sprint("a", n), Group: n, State: StateReady, StartedAt: g.now}}})
 			}
 			second(each*times, true)
 			second(each*times, true)
@@ -60,9 +60,9 @@
 			cold += sent[fmt.Sprint("a", n)]
 		}
 		s := settings()
-		warmth := s.ColdShare + (1-s.ColdShare)/s.ColdTime.Seconds() // halfway through the two seconds
-		most := s.TipMultiple * warmth * routers * each * 2 / 4      // of all cold ones together
-		if cold == 0 || float64(cold) > most {                       // though a surge is seen some tenths of a second late
+		warmth := s.SlowStartMinShare + (1-s.SlowStartMinShare)/s.SlowStartWindow.Seconds() // halfway through the two seconds
+		most := s.OverloadMultiple * warmth * routers * each * 2 / 4                        // of all cold ones together
+		if cold == 0 || float64(cold) > most {                                              // though a surge is seen some tenths of a second late
 			t.Errorf("%d times the traffic: %d sends to cold members that tip at %.0f", times, cold, most)
 		}
 	}
--- a/routing/told_test.go
+++ b/routing/told_test.go
@@ -13,11 +13,11 @@
 	}{{0, true}, {100 * ms, true}, {248 * ms, false}, {time.Hour, false}} {
 		g := newRig(t, nil)
 		g.group()
-		g.step(ms, List{At: max(1, g.now-c.told), Members: []Member{{ID: "p", Group: 1, State: Draining}}})
+		g.step(ms, EndpointUpdate{NotifiedAt: max(1, g.now-c.told), Endpoints: []Endpoint{{ID: "p", Group: 1, State: StateDraining}}})
 		used := false
 		for _, a := range g.ask(1, clsKeyed, "s") {
 			at, ok := a.(Attempt)
-			used = used || ok && at.Member == "p"
+			used = used || ok && at.Host == "p"
 		}
 		if used != c.used {
 			t.Errorf("told %v before: a write goes to the draining primary: %v, want %v (grace 250 ms)", c.told, used, c.used)
@@ -29,12 +29,12 @@
 func TestWhoHasLeftIsNotSentWhenAMemberComes(t *testing.T) {
 	for _, left := range []bool{true, false} {
 		g := newRig(t, nil)
-		g.step(ms, List{Full: true, Members: []Member{{ID: "a", Group: 1, State: Draining}}})
+		g.step(ms, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateDraining}}})
 		g.want(g.ask(1, clsAny, ""))
 		if left {
 			g.want(g.step(ms, ClientGone{Request: 1}))
 		}
-		acts := g.step(ms, List{Members: []Member{{ID: "a", Group: 1, State: Ready}}})
+		acts := g.step(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateReady}}})
 		if sent := len(acts) == 1; sent == left {
 			t.Errorf("left %v: %v", left, acts)
 		}
