--- a/routing/api.go
+++ b/routing/api.go
@@ -212,7 +212,7 @@
 )
 
 // toldAt is when a list counts as told.
-func (l EndpointUpdate) toldAt(now time.Duration) time.Duration {
+func (l EndpointUpdate) effectiveNotifiedAt(now time.Duration) time.Duration {
 	if l.NotifiedAt > 0 {
 		return min(l.NotifiedAt, now)
 	}
--- a/routing/ban_test.go
+++ b/routing/ban_test.go
@@ -6,8 +6,8 @@
 )
 
 // read asks for one read and says who gets it, "" where nobody does.
-func (g *rig) read(id uint64) string {
-	for _, a := range g.ask(id, clsAny, "") {
+func (g *harness) read(id uint64) string {
+	for _, a := range g.request(id, classAny, "") {
 		if a, ok := a.(Attempt); ok {
 			g.step(ms, AttemptResult{Request: id, Host: a.Host, RequestDone: true, Role: RoleReplica})
 			return a.Host
@@ -18,9 +18,9 @@
 
 // A list, a restart or a drain that ends must not bring a member back that operators have taken out; one call back must.
 func TestABanWinsOverTheListUntilOneInclude(t *testing.T) {
-	g := newRig(t, nil)
-	g.group()
-	g.level()
+	g := newHarness(t, nil)
+	g.listGroup()
+	g.catchUp()
 	g.step(ms, ExcludeHost{Host: "a"}, ExcludeHost{Host: "new"})
 	g.step(ms, ExcludeHost{Host: "a"})
 	for i, e := range []EndpointUpdate{
@@ -36,18 +36,18 @@
 			}
 		}
 	}
-	if n := g.r.UnavailableHosts(g.now); n != 2 {
+	if n := g.router.UnavailableHosts(g.now); n != 2 {
 		t.Errorf("%d members are said to be avoided", n)
 	}
-	g.r.members["a"].strikes, g.r.members["a"].silent, g.r.members["a"].pauseUntil = 6, true, g.now+time.Hour
+	g.router.hosts["a"].strikes, g.router.hosts["a"].unresponsive, g.router.hosts["a"].ejectedUntil = 6, true, g.now+time.Hour
 	g.step(ms, IncludeHost{Host: "a"})
 	seen := map[string]int{}
 	for n := range uint64(400) {
 		g.step(ms)
 		seen[g.read(1000+n)]++
 	}
-	if seen["a"] == 0 || seen["new"] > 0 || g.r.UnavailableHosts(g.now) != 1 {
-		t.Errorf("after the include: %v, %d avoided", seen, g.r.UnavailableHosts(g.now))
+	if seen["a"] == 0 || seen["new"] > 0 || g.router.UnavailableHosts(g.now) != 1 {
+		t.Errorf("after the include: %v, %d avoided", seen, g.router.UnavailableHosts(g.now))
 	}
 }
 
@@ -58,13 +58,13 @@
 		ago  time.Duration
 		want bool
 	}{{0, true}, {time.Second, false}} {
-		g := newRig(t, nil)
-		g.group()
-		g.level()
+		g := newHarness(t, nil)
+		g.listGroup()
+		g.catchUp()
 		g.step(10*time.Second, ExcludeHost{Host: "p", Since: g.now + 10*time.Second - c.ago})
 		for _, passed := range []time.Duration{ms, 300 * ms} {
 			g.step(passed)
-			if got := g.r.listed(g.r.members["p"]); got != (c.want && passed == ms) {
+			if got := g.router.inService(g.router.hosts["p"]); got != (c.want && passed == ms) {
 				t.Errorf("banned %v ago, %v later: %v", c.ago, passed, got)
 			}
 		}
@@ -74,13 +74,13 @@
 // Another process of the gateway may have answered a write of any session: while it lives, and for what it did until it
 // ended, no replica is taken to be fresh that has not said so since.
 func TestBesideAnotherRouterSessionsCountAsHavingWritten(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, false })
-	g.group()
-	g.level()
+	g := newHarness(t, func(s *Settings) { s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, false })
+	g.listGroup()
+	g.catchUp()
 	id := uint64(0)
 	to := func() string {
 		id++
-		m := g.sent(g.step(ms, Request{ID: id, Class: clsSession, Tenant: -1, Group: 1, Session: "s", TimeLeft: time.Second}))
+		m := g.attemptedHost(g.step(ms, Request{ID: id, Class: classSession, Tenant: -1, Group: 1, Session: "s", TimeLeft: time.Second}))
 		g.step(ms, AttemptResult{Request: id, Host: m, RequestDone: true, Role: RoleUnknown})
 		return m
 	}
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -16,46 +16,46 @@
 // The tuned values. Each is a default of ours, none belongs to one deployment. Those that go through scaled
 // are made for aims from usualAim up.
 const (
-	usualAim     = 200 * time.Millisecond // the shortest aim of a class
-	waitEvery    = 10 * time.Millisecond  // waiting requests are looked at this often
-	ageMost      = time.Minute            // evidence older than this is as good as gone
-	firstLatency = 200 * time.Millisecond // mean time of an answer, assumed until answers are seen
-	latencyGain  = 0.05                   // weight of a new answer in the mean
-	patienceMost = 10                     // mean deviations past the mean time, before an answer is overdue
-	patienceLess = 6                      // or so many, if a repeat would else come too late for the aim
-	silentFloor  = 150 * time.Millisecond // but never sooner: pauses and links cost this much on good days
-	overdueGain  = 0.0125                 // weight of an overdue answer in the mean
-	mostStrikes  = 6                      // of a member
-	freshStrike  = 0.5                    // a strike counts towards silence above this
-	strikeKept   = 0.9                    // of a member's strikes, each second
-	fullPause    = 50 * time.Millisecond  // a full member is left alone this long
-	downPause    = 200 * time.Millisecond // and one that took no connection; time-outs sooner say nothing
-	quickShare   = 0.4                    // of its class's mean time, within which an error is a quick one
-	oddGain      = 0.1                    // weight of a quick error, or of an answer, in their share
-	squeezeLimit = 0.2                    // share of refused connections above which connections are scarce
-	oddLimit     = 0.1                    // above it quick errors are the requests' own
-	lagKept      = 3 * time.Second        // a replica that turned a read away is taken to be as far behind
-	lagAsked     = 500 * time.Millisecond // or, where probes are allowed, is asked again this often
-	lagNone      = 400 * time.Millisecond // less is none
-	roundPause   = 50 * time.Millisecond  // after a round of misses in search of a primary
-	askPatience  = 50 * time.Millisecond  // with a replica that was asked for its position
-	searchGap    = 2 * time.Millisecond   // between rounds of routers in search, and questions to one that lags
-	ownZone      = 4.0                    // times as often as another is a member of the own zone picked
-	firstLimit   = 3.0                    // open attempts that a member may have from here, until answers tell
-	goalShare    = 0.15                   // an answer within this share of its aim lets the limit grow
-	limitCut     = 0.8                    // a later one cuts it to this share, once an answer's time
-	gateSpill    = 0.2                    // of a step that the gates of the other groups take
-	gateGoal     = 0.6                    // of its aim, that an answer may take before the gate narrows
-	gateMost     = 1.6                    // wider than open: late answers now and then are chance
-	gateCut      = 0.75                   // to this share
-	gateGrow     = 0.1                    // and each answer in time widens it by this much
-	usualShare   = 0.7                    // of its class's mean time, that an answer takes at least
-	repeatWorth  = 0.1                    // of a client's repeat that is worth nothing when late
-	sessionAge   = 30 * time.Second       // stamps older than this are folded into the floor
-	sessionMost  = 50_000                 // and so are all above this number
-	rateKept     = 0.95                   // of a group's best rate of answers, each second
-	mixKept      = 0.98                   // of what is known of the traffic's mix, each second
-	askAgain     = 500 * time.Millisecond // after a failed call for the list
+	referenceObjective           = 200 * time.Millisecond // the shortest aim of a class
+	waitingCheckInterval         = 10 * time.Millisecond  // waiting requests are looked at this often
+	maxEvidenceAge               = time.Minute            // evidence older than this is as good as gone
+	initialLatency               = 200 * time.Millisecond // mean time of an answer, assumed until answers are seen
+	latencyGain                  = 0.05                   // weight of a new answer in the mean
+	maxTimeoutDeviations         = 10                     // mean deviations past the mean time, before an answer is overdue
+	minTimeoutDeviations         = 6                      // or so many, if a repeat would else come too late for the aim
+	minAttemptTimeout            = 150 * time.Millisecond // but never sooner: pauses and links cost this much on good days
+	overdueLatencyGain           = 0.0125                 // weight of an overdue answer in the mean
+	maxStrikes                   = 6                      // of a member
+	recentStrikeThreshold        = 0.5                    // a strike counts towards silence above this
+	strikeRetentionPerSecond     = 0.9                    // of a member's strikes, each second
+	rejectionEjectionTime        = 50 * time.Millisecond  // a full member is left alone this long
+	connectFailureEjectionTime   = 200 * time.Millisecond // and one that took no connection; time-outs sooner say nothing
+	quickErrorLatencyShare       = 0.4                    // of its class's mean time, within which an error is a quick one
+	errorShareGain               = 0.1                    // weight of a quick error, or of an answer, in their share
+	connectionScarcityThreshold  = 0.2                    // share of refused connections above which connections are scarce
+	requestCausedErrorThreshold  = 0.1                    // above it quick errors are the requests' own
+	lagRetention                 = 3 * time.Second        // a replica that turned a read away is taken to be as far behind
+	lagCheckInterval             = 500 * time.Millisecond // or, where probes are allowed, is asked again this often
+	negligibleLag                = 400 * time.Millisecond // less is none
+	primarySearchPause           = 50 * time.Millisecond  // after a round of misses in search of a primary
+	positionCheckTimeout         = 50 * time.Millisecond  // with a replica that was asked for its position
+	gatewaySlotGap               = 2 * time.Millisecond   // between rounds of routers in search, and questions to one that lags
+	ownZoneWeight                = 4.0                    // times as often as another is a member of the own zone picked
+	initialConcurrencyLimit      = 3.0                    // open attempts that a member may have from here, until answers tell
+	limitGrowthObjectiveShare    = 0.15                   // an answer within this share of its aim lets the limit grow
+	concurrencyLimitDecrease     = 0.8                    // a later one cuts it to this share, once an answer's time
+	otherGroupsGateStep          = 0.2                    // of a step that the gates of the other groups take
+	gateObjectiveShare           = 0.6                    // of its aim, that an answer may take before the gate narrows
+	maxAdmissionGate             = 1.6                    // wider than open: late answers now and then are chance
+	admissionGateDecrease        = 0.75                   // to this share
+	admissionGateIncrease        = 0.1                    // and each answer in time widens it by this much
+	minLatencyShare              = 0.7                    // of its class's mean time, that an answer takes at least
+	clientRetryWeightShare       = 0.1                    // of a client's repeat that is worth nothing when late
+	sessionRetention             = 30 * time.Second       // stamps older than this are folded into the floor
+	maxSessions                  = 50_000                 // and so are all above this number
+	answerRateRetentionPerSecond = 0.95                   // of a group's best rate of answers, each second
+	loadRetentionPerSecond       = 0.98                   // of what is known of the traffic's mix, each second
+	subscribeRetryInterval       = 500 * time.Millisecond // after a failed call for the list
 )
 
 // New returns a Router with the given settings; all its random draws come from seed.
@@ -64,92 +64,92 @@
 		return nil, err
 	}
 	r := &Router{
-		set: set, rng: rand.New(rand.NewPCG(seed, seed)), members: map[string]*member{}, groups: map[int]*group{},
-		requests: map[uint64]*request{}, sessions: map[string]*session{}, bans: map[string]time.Duration{},
-		sent: 2, sentTop: 1, version: 1,
+		settings: set, rng: rand.New(rand.NewPCG(seed, seed)), hosts: map[string]*host{}, groups: map[int]*group{},
+		requests: map[uint64]*request{}, sessions: map[string]*session{}, excludedSince: map[string]time.Duration{},
+		totalLoadSent: 2, primaryLoadSent: 1, topologyVersion: 1,
 		roster: fleet.NewNumberedRoster(set.GatewayNumber-1, set.GatewayCount, set.Zone),
 	}
-	first := r.scaled(firstLatency).Seconds()
-	r.took = slices.Repeat([]float64{first}, len(set.Classes))
-	r.spread = slices.Repeat([]float64{first / 2}, len(set.Classes))
+	first := r.scaleToObjective(initialLatency).Seconds()
+	r.latencyMean = slices.Repeat([]float64{first}, len(set.Classes))
+	r.latencyDeviation = slices.Repeat([]float64{first / 2}, len(set.Classes))
 	if set.SubscribeToEndpoints {
-		r.askAt = 1 // at once
+		r.subscribeAt = 1 // at once
 	}
 	return r, nil
 }
 
 // Step takes what has happened up to now and returns what to do, in order.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
-	r.now, r.out = max(now, r.now), nil
+	r.now, r.actions = max(now, r.now), nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case EndpointUpdate:
-			r.onList(e)
+			r.onEndpointUpdate(e)
 		case Request:
 			r.onRequest(e)
 		case AttemptResult:
-			r.onResult(e)
+			r.onAttemptResult(e)
 		case HealthCheckResult:
-			r.onProbed(e)
+			r.onHealthCheckResult(e)
 		case ExcludeHost:
-			r.onExclude(e)
+			r.onExcludeHost(e)
 		case IncludeHost:
-			r.onInclude(e)
+			r.onIncludeHost(e)
 		case SiblingProcess:
-			r.onBeside(e)
+			r.onSiblingProcess(e)
 		case RosterUpdate:
-			r.roster, r.version = e.Roster, r.version+1
+			r.roster, r.topologyVersion = e.Roster, r.topologyVersion+1
 		case StreamStarted:
-			r.onStarted(e)
+			r.onStreamStarted(e)
 		case ClientGone:
 			r.finish(r.requests[e.Request])
 		}
 	}
-	r.upkeep()
-	for _, g := range r.order {
-		r.release(g)
+	r.runMaintenance()
+	for _, g := range r.sortedGroups {
+		r.dispatchWaiting(g)
 	}
-	r.schedule()
-	return r.out
+	r.scheduleTimer()
+	return r.actions
 }
 
 func (r *Router) onRequest(e Request) {
-	if e.Class < 0 || e.Class >= len(r.set.Classes) || r.requests[e.ID] != nil {
+	if e.Class < 0 || e.Class >= len(r.settings.Classes) || r.requests[e.ID] != nil {
 		return
 	}
-	g := r.groupOf(e.Group)
+	g := r.groupFor(e.Group)
 	q := &request{
-		Request: e, class: &r.set.Classes[e.Class], group: g, arrived: r.now, deadline: r.now + e.TimeLeft,
+		Request: e, class: &r.settings.Classes[e.Class], group: g, arrivedAt: r.now, deadline: r.now + e.TimeLeft,
 	}
 	r.requests[e.ID] = q
-	r.surge.RequestArrived(millis(r.now))
-	r.usual += latencyGain * (r.worth(q) - r.usual)
+	r.loadEstimator.RequestArrived(durationToMillis(r.now))
+	r.meanWeightRate += latencyGain * (r.weightRate(q) - r.meanWeightRate)
 	g.waiting = append(g.waiting, q)
 }
 
-func (r *Router) onResult(e AttemptResult) {
+func (r *Router) onAttemptResult(e AttemptResult) {
 	q := r.requests[e.Request]
-	if q == nil || q.open == nil || q.open.number != e.Attempt {
+	if q == nil || q.openAttempt == nil || q.openAttempt.number != e.Attempt {
 		return
 	}
-	a := q.open
-	q.open = nil
-	m := a.member
-	m.open = slices.DeleteFunc(m.open, func(o *attempt) bool { return o == a })
-	r.learn(a, e)
-	r.judge(a, e)
-	if !neverRan(e.Outcome) && e.Outcome != OutcomeOK && !q.mayRun {
-		q.mayRun, q.maybeAt = true, a.at
+	a := q.openAttempt
+	q.openAttempt = nil
+	m := a.host
+	m.openAttempts = slices.DeleteFunc(m.openAttempts, func(o *attempt) bool { return o == a })
+	r.observeAttemptResult(a, e)
+	r.recordOutcome(a, e)
+	if !provesNotRun(e.Outcome) && e.Outcome != OutcomeOK && !q.mayHaveRun {
+		q.mayHaveRun, q.uncertainSince = true, a.sentAt
 	}
 	if q.class.Consistency == ConsistencyWrite && e.Outcome == OutcomeOK {
-		r.complete(q, e.Position)
+		r.completeWrite(q, e.Position)
 	}
-	if e.RequestDone || q.ended {
+	if e.RequestDone || q.finished {
 		r.finish(q)
 		return
 	}
-	q.missed = q.missed || e.Outcome == OutcomeMisdirected
-	q.reached = q.reached || e.Outcome != OutcomeNoConnection && e.Outcome != OutcomeNotSent
+	q.misdirected = q.misdirected || e.Outcome == OutcomeMisdirected
+	q.reachedHost = q.reachedHost || e.Outcome != OutcomeNoConnection && e.Outcome != OutcomeNotSent
 	q.group.waiting = append(q.group.waiting, q)
 }
 
@@ -157,12 +157,12 @@
 	if q == nil {
 		return
 	}
-	q.ended = true
-	if q.open != nil {
+	q.finished = true
+	if q.openAttempt != nil {
 		return
 	}
-	if q.number > 0 {
-		r.settle(q, q.mayRun)
+	if q.writeNumber > 0 {
+		r.abandonWrite(q, q.mayHaveRun)
 	}
 	delete(r.requests, q.ID)
 }
@@ -170,181 +170,181 @@
 // --- Sessions: the dirty set and the stamps ---
 
 func (r *Router) markDirty(q *request) {
-	if q.number == 0 {
-		r.writes++
-		q.number = r.writes
+	if q.writeNumber == 0 {
+		r.lastWriteNumber++
+		q.writeNumber = r.lastWriteNumber
 		if q.Session != "" {
-			s := r.sessionOf(q.Session)
-			s.dirty = append(s.dirty, q.number)
+			s := r.sessionFor(q.Session)
+			s.dirtyWrites = append(s.dirtyWrites, q.writeNumber)
 		}
 	}
 }
 
-func (r *Router) complete(q *request, p Position) {
+func (r *Router) completeWrite(q *request, p Position) {
 	if s := r.sessions[q.Session]; s != nil && q.Session != "" {
-		if n := len(s.dirty); n > 0 && q.number >= s.dirty[n-1] {
-			s.dirty = nil
+		if n := len(s.dirtyWrites); n > 0 && q.writeNumber >= s.dirtyWrites[n-1] {
+			s.dirtyWrites = nil
 		}
-		r.raise(s, p)
+		r.raiseStamp(s, p)
 	}
-	q.mayRun = false
+	q.mayHaveRun = false
 }
 
 // settle ends the entry of a write without completion. One that may have run can have done so until now.
-func (r *Router) settle(q *request, lost bool) {
+func (r *Router) abandonWrite(q *request, lost bool) {
 	s := r.sessions[q.Session]
 	if s == nil || q.Session == "" {
 		return
 	}
-	s.dirty = slices.DeleteFunc(s.dirty, func(n uint64) bool { return n == q.number })
+	s.dirtyWrites = slices.DeleteFunc(s.dirtyWrites, func(n uint64) bool { return n == q.writeNumber })
 	if lost {
-		s.stamp = max(s.stamp, r.here())
+		s.stamp = max(s.stamp, r.currentPosition())
 	}
-	r.raise(s, 0)
+	r.raiseStamp(s, 0)
 }
 
 // --- Choosing a member ---
 
 // need returns the position that a read needs, and whether it belongs at the primary whatever the replicas
 // have.
-func (r *Router) need(q *request) (Position, bool) {
+func (r *Router) requiredPosition(q *request) (Position, bool) {
 	switch q.class.Consistency {
 	case ConsistencyBounded:
-		return max(0, r.here()-q.class.MaxStaleness), false
+		return max(0, r.currentPosition()-q.class.MaxStaleness), false
 	case ConsistencySession:
-		p, s := r.floor, r.sessions[q.Session]
+		p, s := r.stampFloor, r.sessions[q.Session]
 		if s != nil {
 			p = s.stamp
 		}
-		if r.beside {
-			p = max(p, q.arrived-r.set.PositionEpoch)
+		if r.siblingRunning {
+			p = max(p, q.arrivedAt-r.settings.PositionEpoch)
 		}
-		if r.set.SessionTokensCarried && q.SinceLastWrite > 0 {
-			p = max(p, q.arrived-q.SinceLastWrite-r.set.PositionEpoch)
+		if r.settings.SessionTokensCarried && q.SinceLastWrite > 0 {
+			p = max(p, q.arrivedAt-q.SinceLastWrite-r.settings.PositionEpoch)
 		}
 		// a replica that has told nothing yet is not tried where none checks
-		if r.set.StalenessCheck == StalenessCheckNone {
+		if r.settings.StalenessCheck == StalenessCheckNone {
 			p = max(p, 1)
 		}
-		return p, s != nil && len(s.dirty) > 0
+		return p, s != nil && len(s.dirtyWrites) > 0
 	case ConsistencyStrong:
-		return q.arrived - r.set.PositionEpoch, true
+		return q.arrivedAt - r.settings.PositionEpoch, true
 	}
 	return 0, false
 }
 
-func (r *Router) place(q *request) {
-	if q.ended || q.open != nil {
+func (r *Router) dispatch(q *request) {
+	if q.finished || q.openAttempt != nil {
 		return
 	}
-	if !r.worthTrying(q) {
+	if !r.mayAttempt(q) {
 		r.giveUp(q)
 		return
 	}
-	need, primaryOnly := r.need(q)
-	var m *member
+	need, primaryOnly := r.requiredPosition(q)
+	var m *host
 	switch {
 	case q.class.Consistency == ConsistencyWrite:
-		m = r.forWrite(q)
-	case primaryOnly || q.missed:
-		m = r.primaryOf(q)
+		m = r.selectForWrite(q)
+	case primaryOnly || q.misdirected:
+		m = r.availablePrimary(q)
 	default:
-		m = r.forRead(q, need)
+		m = r.selectForRead(q, need)
 	}
-	if m != nil && m.leads(q) && !r.admit(m, r.sentTop/r.sent, r.now-q.arrived) {
-		m, q.shed = nil, r.pace(m) < 1
+	if m != nil && m.receivesAsPrimary(q) && !r.admitSlowStart(m, r.primaryLoadSent/r.totalLoadSent, r.now-q.arrivedAt) {
+		m, q.shed = nil, r.slowStartRate(m) < 1
 	}
 	switch {
 	case q.shed:
 		r.giveUp(q)
 	case m == nil:
 		q.group.waiting = append(q.group.waiting, q)
-	case !r.passes(q, m):
+	case !r.passesAdmissionGate(q, m):
 		r.giveUp(q)
 	default:
-		r.send(q, m, need)
+		r.sendAttempt(q, m, need)
 	}
 }
 
-func (r *Router) worthTrying(q *request) bool {
-	c, soonest := q.class, r.now+seconds(usualShare*r.took[q.Class])
+func (r *Router) mayAttempt(q *request) bool {
+	c, soonest := q.class, r.now+secondsToDuration(minLatencyShare*r.latencyMean[q.Class])
 	switch {
 	case r.now >= q.deadline,
-		r.now > q.arrived && r.now+2*r.set.TickInterval+r.scaled(waitEvery) >= q.deadline,
-		q.attempts >= r.set.MaxAttempts || q.odd:
+		r.now > q.arrivedAt && r.now+2*r.settings.TickInterval+r.scaleToObjective(waitingCheckInterval) >= q.deadline,
+		q.attemptCount >= r.settings.MaxAttempts || q.causedError:
 		return false
-	case !q.reached && r.now > q.arrived && r.now+r.scaled(waitEvery) >= q.arrived+q.TimeLeft/2:
+	case !q.reachedHost && r.now > q.arrivedAt && r.now+r.scaleToObjective(waitingCheckInterval) >= q.arrivedAt+q.TimeLeft/2:
 		return false // no host has seen it: its client is told while there is time to ask again
-	case c.LateWeightShare == 0 && r.now > q.arrived && soonest >= min(q.arrived+c.LatencyObjective, q.deadline):
+	case c.LateWeightShare == 0 && r.now > q.arrivedAt && soonest >= min(q.arrivedAt+c.LatencyObjective, q.deadline):
 		return false // it would come too late to be worth anything: shed early, at once
 	}
-	return !q.mayRun || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && r.now < q.repeatBy()
+	return !q.mayHaveRun || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && r.now < q.retryBefore()
 }
 
 // forRead is the ordinary path: a uniformly random replica among those at or past the need; if there is none,
 // the most advanced one where replicas check, else the primary.
-func (r *Router) forRead(q *request, need Position) *member {
-	var fit, rest []*member
+func (r *Router) selectForRead(q *request, need Position) *host {
+	var fit, rest []*host
 	full := false
-	for _, m := range q.group.members {
+	for _, m := range q.group.hosts {
 		switch {
-		case m == q.group.primary || !r.fit(m) || slices.Contains(q.tried, m):
-		case need > 0 && r.reached(m) < need:
-			r.askLagging(m)
-			if r.set.StalenessCheck == StalenessCheckNone || !r.set.HealthChecksAllowed ||
-				r.reached(m)+lagNone >= need {
+		case m == q.group.primary || !r.eligible(m) || slices.Contains(q.triedHosts, m):
+		case need > 0 && r.estimatedPosition(m) < need:
+			r.healthCheckLagging(m)
+			if r.settings.StalenessCheck == StalenessCheckNone || !r.settings.HealthChecksAllowed ||
+				r.estimatedPosition(m)+negligibleLag >= need {
 				rest = append(rest, m) // others are known to be so far behind that they would turn it away
 			}
-		case r.hasRoom(m):
+		case r.hasCapacity(m):
 			fit = append(fit, m)
 		default:
 			full = true
 		}
 	}
-	if m := r.draw(q, r.near(q.group, fit)); m != nil || q.shed {
+	if m := r.pickReplica(q, r.preferSubset(q.group, fit)); m != nil || q.shed {
 		return m
 	}
 	switch p := q.group.primary; {
-	case full && (p == nil || len(p.open) > 0):
+	case full && (p == nil || len(p.openAttempts) > 0):
 		return nil // wait for room; a primary with nothing of ours in hand may help out
-	case r.set.StalenessCheck == StalenessCheckNone && r.asks(q, r.near(q.group, rest)):
+	case r.settings.StalenessCheck == StalenessCheckNone && r.awaitPosition(q, r.preferSubset(q.group, rest)):
 		return nil
-	case r.set.StalenessCheck != StalenessCheckNone && !full:
-		if m := r.mostAdvanced(rest); m != nil {
+	case r.settings.StalenessCheck != StalenessCheckNone && !full:
+		if m := r.mostAdvancedReplica(rest); m != nil {
 			return m
 		}
 	}
-	return r.primaryOf(q)
+	return r.availablePrimary(q)
 }
 
 // asks tells whether a read that no replica is known to be fresh enough for waits for the position of a
 // random one. Where routers are many, each hears of a replica so seldom that nearly all reads would go to the
 // primary.
-func (r *Router) asks(q *request, ms []*member) bool {
-	if q.asked == nil && len(ms) > 0 && r.set.HealthChecksAllowed {
-		q.asked = ms[r.rng.IntN(len(ms))]
-		if q.asked.askedAt == 0 || r.now >= q.asked.askedAt+r.scaled(askPatience) {
-			q.asked.askedAt = r.now
-			r.do(HealthCheck{q.asked.ID})
+func (r *Router) awaitPosition(q *request, ms []*host) bool {
+	if q.healthCheckedHost == nil && len(ms) > 0 && r.settings.HealthChecksAllowed {
+		q.healthCheckedHost = ms[r.rng.IntN(len(ms))]
+		if q.healthCheckedHost.healthCheckedAt == 0 || r.now >= q.healthCheckedHost.healthCheckedAt+r.scaleToObjective(positionCheckTimeout) {
+			q.healthCheckedHost.healthCheckedAt = r.now
+			r.emit(HealthCheck{q.healthCheckedHost.ID})
 		}
 	}
-	return q.asked != nil && q.asked.askedAt > 0 && r.now < q.asked.askedAt+r.scaled(askPatience)
+	return q.healthCheckedHost != nil && q.healthCheckedHost.healthCheckedAt > 0 && r.now < q.healthCheckedHost.healthCheckedAt+r.scaleToObjective(positionCheckTimeout)
 }
 
 // draw picks at random among replicas that qualify and have room, a cold one by its warmth; where all are
 // cold and that is too much for them, part is shed.
-func (r *Router) draw(q *request, ms []*member) *member {
+func (r *Router) pickReplica(q *request, ms []*host) *host {
 	sum := 0.0
 	for _, m := range ms {
-		sum += r.weight(m)
+		sum += r.selectionWeight(m)
 	}
 	x := sum * r.rng.Float64()
-	i := slices.IndexFunc(ms, func(m *member) bool { x -= r.weight(m); return x < 0 })
+	i := slices.IndexFunc(ms, func(m *host) bool { x -= r.selectionWeight(m); return x < 0 })
 	if i < 0 {
 		return nil
 	}
-	if !r.admit(ms[i], r.weight(ms[i])/sum, 0) {
-		q.shed = r.pace(ms[i]) < 1
+	if !r.admitSlowStart(ms[i], r.selectionWeight(ms[i])/sum, 0) {
+		q.shed = r.slowStartRate(ms[i]) < 1
 		return nil
 	}
 	return ms[i]
@@ -352,83 +352,83 @@
 
 // weight favours members of the router's own zone, since what crosses costs. The others get their part: a
 // zone's traffic may be more than its members can do.
-func (r *Router) weight(m *member) float64 {
-	w := r.warmth(m) * math.Exp2(-m.strikes)
-	if m.Zone == r.set.Zone {
-		w *= ownZone
+func (r *Router) selectionWeight(m *host) float64 {
+	w := r.capacityShare(m) * math.Exp2(-m.strikes)
+	if m.Zone == r.settings.Zone {
+		w *= ownZoneWeight
 	}
 	return w
 }
 
-func (r *Router) mostAdvanced(ms []*member) *member {
-	ms = slices.DeleteFunc(ms, func(m *member) bool { return !r.hasRoom(m) || !r.admit(m, 1, 0) })
+func (r *Router) mostAdvancedReplica(ms []*host) *host {
+	ms = slices.DeleteFunc(ms, func(m *host) bool { return !r.hasCapacity(m) || !r.admitSlowStart(m, 1, 0) })
 	if len(ms) == 0 {
 		return nil
 	}
-	return slices.MaxFunc(ms, func(a, b *member) int { return cmp.Compare(r.reached(a), r.reached(b)) })
+	return slices.MaxFunc(ms, func(a, b *host) int { return cmp.Compare(r.estimatedPosition(a), r.estimatedPosition(b)) })
 }
 
 // reached is the position a member is taken to have. Where replicas don't check it is the last known one.
 // Where they do, a wrong guess costs a miss: one is taken to be level until it turns a read away, then as far
 // behind as it was last heard to be, or for a while; else all routers would crowd the replica, or primary,
 // that they heard from last.
-func (r *Router) reached(m *member) Position {
+func (r *Router) estimatedPosition(m *host) Position {
 	switch {
-	case r.set.StalenessCheck == StalenessCheckNone:
+	case r.settings.StalenessCheck == StalenessCheckNone:
 		return m.position
-	case m.lag > 0 && (r.set.HealthChecksAllowed || r.now < m.lagAt+lagKept):
-		return max(m.position, r.here()-m.lag)
+	case m.lag > 0 && (r.settings.HealthChecksAllowed || r.now < m.lagKnownAt+lagRetention):
+		return max(m.position, r.currentPosition()-m.lag)
 	}
-	return r.here()
+	return r.currentPosition()
 }
 
 // askLagging asks a replica that is behind how far it is by now: a probe costs much less than the reads that
 // it would turn away, each after a wait, to show that it still is.
-func (r *Router) askLagging(m *member) {
-	again := fromMillis(r.roster.Schedule().Interval(millis(lagAsked), millis(searchGap)))
-	asks := r.set.HealthChecksAllowed && r.set.StalenessCheck != StalenessCheckNone
-	if asks && r.now >= max(m.lagAt, m.askedAt)+again {
-		m.askedAt = r.now
-		r.do(HealthCheck{m.ID})
+func (r *Router) healthCheckLagging(m *host) {
+	again := millisToDuration(r.roster.Schedule().Interval(durationToMillis(lagCheckInterval), durationToMillis(gatewaySlotGap)))
+	asks := r.settings.HealthChecksAllowed && r.settings.StalenessCheck != StalenessCheckNone
+	if asks && r.now >= max(m.lagKnownAt, m.healthCheckedAt)+again {
+		m.healthCheckedAt = r.now
+		r.emit(HealthCheck{m.ID})
 	}
 }
 
 // learn takes in what an outcome tells of its member: role, position, and where replicas check, what it
 // proves.
-func (r *Router) learn(a *attempt, e AttemptResult) {
-	m, write := a.member, a.request.class.Consistency == ConsistencyWrite
+func (r *Router) observeAttemptResult(a *attempt, e AttemptResult) {
+	m, write := a.host, a.request.class.Consistency == ConsistencyWrite
 	switch e.Outcome {
 	case OutcomeOK, OutcomeMisdirected, OutcomeError, OutcomeRejected:
 		if e.Role == RoleUnknown && write && e.Outcome == OutcomeMisdirected {
 			e.Role = RoleReplica
 		}
-		r.learnRole(m, e.Role)
+		r.observeRole(m, e.Role)
 		if !write || e.Outcome != OutcomeOK { // a write's own position is its commit
-			r.learnPosition(m, e.Position)
+			r.observePosition(m, e.Position)
 		}
 	}
-	if r.set.StalenessCheck == StalenessCheckNone || write || a.need == 0 {
+	if r.settings.StalenessCheck == StalenessCheckNone || write || a.requiredPosition == 0 {
 		return
 	}
-	behind := a.at - r.set.PositionEpoch - a.need
+	behind := a.sentAt - r.settings.PositionEpoch - a.requiredPosition
 	switch e.Outcome {
 	case OutcomeOK:
-		r.learnPosition(m, a.need)
+		r.observePosition(m, a.requiredPosition)
 		m.lag = min(m.lag, behind)
 	case OutcomeMisdirected:
-		m.lag, m.lagAt = max(m.lag, behind+time.Millisecond), r.now
+		m.lag, m.lagKnownAt = max(m.lag, behind+time.Millisecond), r.now
 		if e.Position > 0 {
-			m.lag = max(m.lag, r.here()-e.Position)
+			m.lag = max(m.lag, r.currentPosition()-e.Position)
 		}
 	}
 }
 
-func (r *Router) learnPosition(m *member, p Position) {
+func (r *Router) observePosition(m *host, p Position) {
 	if p > 0 {
 		m.position = max(m.position, p)
 		if m.lag > 0 { // a report may be as old as the lag that it shows
-			m.lag, m.lagAt = min(m.lag, r.here()-p), r.now
-			if m.lag < lagNone {
+			m.lag, m.lagKnownAt = min(m.lag, r.currentPosition()-p), r.now
+			if m.lag < negligibleLag {
 				m.lag = 0
 			}
 		}
@@ -437,16 +437,16 @@
 
 // --- The primary ---
 
-func (r *Router) learnRole(m *member, role Role) {
+func (r *Router) observeRole(m *host, role Role) {
 	g := m.group
 	switch role {
 	case RolePrimary:
 		if g.primary != m {
 			r.logf("group %d: primary is %s", g.id, m.ID)
 		}
-		g.primary, g.primaryAt, g.misses = m, r.now, 0
+		g.primary, g.primarySeenAt, g.candidatesTried = m, r.now, 0
 	case RoleReplica:
-		m.demotedAt = r.here()
+		m.demotedAt = r.currentPosition()
 		if g.primary == m {
 			g.primary = nil
 			r.logf("group %d: %s is primary no more", g.id, m.ID)
@@ -454,8 +454,8 @@
 	}
 }
 
-func (r *Router) primaryOf(q *request) *member {
-	if p := q.group.primary; p != nil && r.fit(p) && r.hasRoom(p) {
+func (r *Router) availablePrimary(q *request) *host {
+	if p := q.group.primary; p != nil && r.eligible(p) && r.hasCapacity(p) {
 		return p
 	}
 	return nil
@@ -464,29 +464,29 @@
 // forWrite returns the primary. Until one has answered, or while it fails, the one that the list names,
 // unless it has said since that it is none: the list is late, yet each router that searches alone sends
 // several writes astray. Else the members in turn. Reads never go by the list: it would make them stale.
-func (r *Router) forWrite(q *request) *member {
+func (r *Router) selectForWrite(q *request) *host {
 	g := q.group
-	if p := g.primary; p != nil && r.listed(p) && !p.silent {
-		return r.primaryOf(q) // or wait: one that is full, or has no room, is still the primary
+	if p := g.primary; p != nil && r.inService(p) && !p.unresponsive {
+		return r.availablePrimary(q) // or wait: one that is full, or has no room, is still the primary
 	}
-	if n := g.named; n != nil && n.demotedAt < g.namedAt && r.listed(n) && !n.silent {
-		if r.fit(n) && r.hasRoom(n) {
+	if n := g.listedPrimary; n != nil && n.demotedAt < g.listedPrimaryAt && r.inService(n) && !n.unresponsive {
+		if r.eligible(n) && r.hasCapacity(n) {
 			return n
 		}
 		return nil
 	}
-	if r.now < g.pauseUntil || q.attempts >= r.set.MaxAttempts-1 && q.attempts > 0 {
+	if r.now < g.searchPausedUntil || q.attemptCount >= r.settings.MaxAttempts-1 && q.attemptCount > 0 {
 		return nil
 	}
-	for range g.members {
-		m := g.members[g.turn%len(g.members)]
-		g.turn++
-		if g.misses++; g.misses >= len(g.members) {
-			g.misses = 0
-			pause := millis(r.scaled(roundPause))
-			g.pauseUntil = fromMillis(r.roster.Schedule().NextSlot(millis(r.now), pause, millis(searchGap)))
+	for range g.hosts {
+		m := g.hosts[g.nextCandidate%len(g.hosts)]
+		g.nextCandidate++
+		if g.candidatesTried++; g.candidatesTried >= len(g.hosts) {
+			g.candidatesTried = 0
+			pause := durationToMillis(r.scaleToObjective(primarySearchPause))
+			g.searchPausedUntil = millisToDuration(r.roster.Schedule().NextSlot(durationToMillis(r.now), pause, durationToMillis(gatewaySlotGap)))
 		}
-		if r.fit(m) && r.hasRoom(m) && r.admit(m, 1, r.now-q.arrived) { // what it turns away tips it too
+		if r.eligible(m) && r.hasCapacity(m) && r.admitSlowStart(m, 1, r.now-q.arrivedAt) { // what it turns away tips it too
 			return m
 		}
 	}
@@ -495,41 +495,41 @@
 
 // --- Health: by symptom, not by cause ---
 
-func (r *Router) judge(a *attempt, e AttemptResult) {
-	m := a.member
-	late := e.Outcome == OutcomeTimeout && a.at+r.scaled(downPause) > r.now // was nearly over when it was sent
-	if a.begun || late || e.Outcome == OutcomeNotSent || e.Outcome == OutcomeCancelled {
+func (r *Router) recordOutcome(a *attempt, e AttemptResult) {
+	m := a.host
+	late := e.Outcome == OutcomeTimeout && a.sentAt+r.scaleToObjective(connectFailureEjectionTime) > r.now // was nearly over when it was sent
+	if a.streaming || late || e.Outcome == OutcomeNotSent || e.Outcome == OutcomeCancelled {
 		return
 	}
 	if e.Outcome != OutcomeTimeout && e.Outcome != OutcomeNoConnection {
-		m.newsAt, m.silent = r.now, false
+		m.lastOutcomeAt, m.unresponsive = r.now, false
 	}
-	if r.isOdd(a, e.Outcome) {
+	if r.recordRequestCausedError(a, e.Outcome) {
 		return
 	}
-	r.narrow(a, e.Outcome)
+	r.adjustAdmissionGates(a, e.Outcome)
 	switch e.Outcome {
 	case OutcomeOK, OutcomeMisdirected:
 		if !a.overdue {
 			m.strikes = 0
 		}
 		if e.Outcome == OutcomeOK {
-			r.squeeze *= 1 - oddGain
-			m.group.served++
-			r.surge.RequestServed(millis(r.now))
-			r.adjust(m, r.now-a.at, seconds(goalShare*a.request.class.LatencyObjective.Seconds()), true)
-			took := (r.now - a.at).Seconds()
-			r.learnTime(a.request.Class, took, latencyGain)
+			r.connectionScarcity *= 1 - errorShareGain
+			m.group.servedCount++
+			r.loadEstimator.RequestServed(durationToMillis(r.now))
+			r.adjustConcurrencyLimit(m, r.now-a.sentAt, secondsToDuration(limitGrowthObjectiveShare*a.request.class.LatencyObjective.Seconds()), true)
+			took := (r.now - a.sentAt).Seconds()
+			r.observeLatency(a.request.Class, took, latencyGain)
 		}
 	case OutcomeRejected:
-		r.adjust(m, r.scaled(fullPause), 0, false)
-		m.pauseUntil = r.now + r.scaled(fullPause)
+		r.adjustConcurrencyLimit(m, r.scaleToObjective(rejectionEjectionTime), 0, false)
+		m.ejectedUntil = r.now + r.scaleToObjective(rejectionEjectionTime)
 	case OutcomeNoConnection:
-		r.down(m)
+		r.recordConnectFailure(m)
 	case OutcomeError, OutcomeTimeout: // a lost connection says nothing of the member
-		r.adjust(m, r.now-a.at, 0, false)
-		if e.Outcome == OutcomeTimeout && !a.overdue && m.newsAt < a.at { // nothing came from it all that time
-			r.strike(m, true)
+		r.adjustConcurrencyLimit(m, r.now-a.sentAt, 0, false)
+		if e.Outcome == OutcomeTimeout && !a.overdue && m.lastOutcomeAt < a.sentAt { // nothing came from it all that time
+			r.addStrike(m, true)
 		}
 	}
 }
@@ -537,66 +537,66 @@
 // isOdd tells a request that gets an error from whichever member is asked from a member that fails: such
 // errors are quick, and come from one member after another. May hurt where several members fail quickly at a
 // time.
-func (r *Router) isOdd(a *attempt, o Outcome) bool {
-	quick := o == OutcomeError && (r.now-a.at).Seconds() < quickShare*r.took[a.request.Class]
+func (r *Router) recordRequestCausedError(a *attempt, o Outcome) bool {
+	quick := o == OutcomeError && (r.now-a.sentAt).Seconds() < quickErrorLatencyShare*r.latencyMean[a.request.Class]
 	switch {
 	case o == OutcomeOK:
-		r.odd *= 1 - oddGain
-	case quick && a.member != r.oddAt:
-		r.oddAt = a.member
-		r.odd += oddGain * (1 - r.odd)
+		r.requestCausedErrorShare *= 1 - errorShareGain
+	case quick && a.host != r.lastQuickErrorHost:
+		r.lastQuickErrorHost = a.host
+		r.requestCausedErrorShare += errorShareGain * (1 - r.requestCausedErrorShare)
 	}
-	a.request.odd = quick && r.odd > oddLimit
-	return a.request.odd
+	a.request.causedError = quick && r.requestCausedErrorShare > requestCausedErrorThreshold
+	return a.request.causedError
 }
 
 // down takes in a refused connection: the member is left alone, longer with each strike. Where one after
 // another refuses while others answer, connections are scarce and the members well: a router keeps to those
 // it is connected to, and doesn't give a primary up. May hurt while much of a fleet is really down.
-func (r *Router) down(m *member) {
-	if m != r.squeezeAt {
-		r.squeezeAt = m
-		r.squeeze += oddGain * (1 - r.squeeze)
-	}
-	m.pauseUntil = r.now + r.scaled(downPause)<<int(m.strikes)
-	if r.now < m.newsAt+r.scaled(downPause) && m.strikes <= freshStrike { // it lives: one connection was lost
-		m.pauseUntil = r.now + r.scaled(fullPause)
+func (r *Router) recordConnectFailure(m *host) {
+	if m != r.lastRefusingHost {
+		r.lastRefusingHost = m
+		r.connectionScarcity += errorShareGain * (1 - r.connectionScarcity)
+	}
+	m.ejectedUntil = r.now + r.scaleToObjective(connectFailureEjectionTime)<<int(m.strikes)
+	if r.now < m.lastOutcomeAt+r.scaleToObjective(connectFailureEjectionTime) && m.strikes <= recentStrikeThreshold { // it lives: one connection was lost
+		m.ejectedUntil = r.now + r.scaleToObjective(rejectionEjectionTime)
 	} else {
-		m.silent = m.silent || r.squeeze < squeezeLimit
+		m.unresponsive = m.unresponsive || r.connectionScarcity < connectionScarcityThreshold
 	}
-	r.strike(m, false)
+	r.addStrike(m, false)
 }
 
 // strike takes down that a member owes an answer. It gets half as much for each, one request at a time, until
 // it does well or the evidence is old; while a primary tells nothing, another is sought.
-func (r *Router) strike(m *member, silent bool) {
-	again := m.strikes > freshStrike // one lost answer is no silence
-	m.strikes = min(m.strikes+1, mostStrikes)
-	if silent && again && !m.silent {
-		m.silent = true
+func (r *Router) addStrike(m *host, silent bool) {
+	again := m.strikes > recentStrikeThreshold // one lost answer is no silence
+	m.strikes = min(m.strikes+1, maxStrikes)
+	if silent && again && !m.unresponsive {
+		m.unresponsive = true
 		r.logf("group %d: %s is silent", m.group.id, m.ID)
 	}
 }
 
-func (r *Router) fit(m *member) bool {
-	return r.listed(m) && r.now >= m.pauseUntil && (m.strikes < 1 || len(m.open) == 0)
+func (r *Router) eligible(m *host) bool {
+	return r.inService(m) && r.now >= m.ejectedUntil && (m.strikes < 1 || len(m.openAttempts) == 0)
 }
 
 // checkOverdue finds attempts whose answers are overdue: lost on the way, or at a member that is slow, hung
 // or cut off. The member gets less, one that has told nothing since nothing for a while, and what may be sent
 // elsewhere is called off. May hurt one very long request.
-func (r *Router) checkOverdue(m *member) {
-	for _, a := range m.open {
-		q, age := a.request, r.now-a.at
-		if a.overdue || age < r.patience(q.Class) {
+func (r *Router) checkOverdueAttempts(m *host) {
+	for _, a := range m.openAttempts {
+		q, age := a.request, r.now-a.sentAt
+		if a.overdue || age < r.attemptTimeout(q.Class) {
 			continue
 		}
-		r.learnTime(q.Class, age.Seconds(), overdueGain)
+		r.observeLatency(q.Class, age.Seconds(), overdueLatencyGain)
 		a.overdue = true
-		r.strike(m, m.newsAt < a.at)
-		keyed := q.class.Idempotency == IdempotentWithKey && r.now < a.at+q.class.DedupWindow
-		if !q.ended && r.set.CancelAllowed && (keyed || q.class.Idempotency == Idempotent) {
-			r.do(CancelAttempt{q.ID, a.number})
+		r.addStrike(m, m.lastOutcomeAt < a.sentAt)
+		keyed := q.class.Idempotency == IdempotentWithKey && r.now < a.sentAt+q.class.DedupWindow
+		if !q.finished && r.settings.CancelAllowed && (keyed || q.class.Idempotency == Idempotent) {
+			r.emit(CancelAttempt{q.ID, a.number})
 		}
 	}
 }
@@ -604,141 +604,141 @@
 // hasRoom tells whether a member may get one more now. Its open attempts from here are limited to what it
 // answers well inside the aims; the rest waits here, where the most worth goes first. May hurt where answers
 // are long.
-func (r *Router) hasRoom(m *member) bool { return float64(len(m.open)) < m.limit }
+func (r *Router) hasCapacity(m *host) bool { return float64(len(m.openAttempts)) < m.concurrencyLimit }
 
-func (r *Router) adjust(m *member, took, goal time.Duration, answered bool) {
+func (r *Router) adjustConcurrencyLimit(m *host, took, goal time.Duration, answered bool) {
 	switch {
 	case answered && took <= goal:
-		if float64(len(m.open)+1) >= m.limit/2 {
-			m.limit += 1 / m.limit
+		if float64(len(m.openAttempts)+1) >= m.concurrencyLimit/2 {
+			m.concurrencyLimit += 1 / m.concurrencyLimit
 		}
-	case r.now >= m.cutAt:
-		m.limit = max(1, m.limit*limitCut)
-		m.cutAt = r.now + took
+	case r.now >= m.limitCutAllowedAt:
+		m.concurrencyLimit = max(1, m.concurrencyLimit*concurrencyLimitDecrease)
+		m.limitCutAllowedAt = r.now + took
 	}
 }
 
 // narrow moves the gate of the member's role by how an attempt went. Many routers with an attempt at a member
 // now and then overrun it without any of them reaching a limit: what they ask is thinned by chance.
-func (r *Router) narrow(a *attempt, o Outcome) {
-	inTime := o == OutcomeOK && (r.now-a.at).Seconds() <= gateGoal*a.request.class.LatencyObjective.Seconds()
-	if !inTime && (o != OutcomeOK && o != OutcomeTimeout && o != OutcomeRejected || !a.alone) {
+func (r *Router) adjustAdmissionGates(a *attempt, o Outcome) {
+	inTime := o == OutcomeOK && (r.now-a.sentAt).Seconds() <= gateObjectiveShare*a.request.class.LatencyObjective.Seconds()
+	if !inTime && (o != OutcomeOK && o != OutcomeTimeout && o != OutcomeRejected || !a.onlyOneAtHost) {
 		return
 	}
-	for _, g := range r.order { // the other groups hear of it too: a small router hears too little of each
-		gate, part := &g.gates[a.member.gate()], gateSpill
-		if g == a.member.group {
+	for _, g := range r.sortedGroups { // the other groups hear of it too: a small router hears too little of each
+		gate, part := &g.admissionGates[a.host.admissionGateIndex()], otherGroupsGateStep
+		if g == a.host.group {
 			part = 1
 		}
 		if inTime {
-			*gate = min(gateMost, *gate+gateGrow*part)
+			*gate = min(maxAdmissionGate, *gate+admissionGateIncrease*part)
 		} else {
-			*gate *= 1 - (1-gateCut)*part
+			*gate *= 1 - (1-admissionGateDecrease)*part
 		}
 	}
 }
 
 // passes tells by chance whether a request is let through to a member, once for each role: the more it is
 // worth for the time that it takes, the surer.
-func (r *Router) passes(q *request, m *member) bool {
-	k := m.gate()
-	if q.group.gates[k] >= 1 || q.passed[k] {
+func (r *Router) passesAdmissionGate(q *request, m *host) bool {
+	k := m.admissionGateIndex()
+	if q.group.admissionGates[k] >= 1 || q.gateDrawn[k] {
 		return true
 	}
-	q.passed[k] = true
-	return r.rng.Float64() < math.Pow(q.group.gates[k], r.usual/r.worth(q))
+	q.gateDrawn[k] = true
+	return r.rng.Float64() < math.Pow(q.group.admissionGates[k], r.meanWeightRate/r.weightRate(q))
 }
 
 // --- Sending and giving up ---
 
-func (r *Router) send(q *request, m *member, need Position) {
-	a := &attempt{request: q, number: q.attempts, member: m, at: r.now, need: need, alone: len(m.open) == 0}
+func (r *Router) sendAttempt(q *request, m *host, need Position) {
+	a := &attempt{request: q, number: q.attemptCount, host: m, sentAt: r.now, requiredPosition: need, onlyOneAtHost: len(m.openAttempts) == 0}
 	if q.class.Consistency == ConsistencyWrite {
 		r.markDirty(q)
 	}
-	q.attempts++
-	q.open = a
-	q.tried = append(q.tried, m)
-	m.open = append(m.open, a)
-	r.sent += r.took[q.Class]
+	q.attemptCount++
+	q.openAttempt = a
+	q.triedHosts = append(q.triedHosts, m)
+	m.openAttempts = append(m.openAttempts, a)
+	r.totalLoadSent += r.latencyMean[q.Class]
 	if m == q.group.primary {
-		r.sentTop += r.took[q.Class]
+		r.primaryLoadSent += r.latencyMean[q.Class]
 	}
-	r.do(Attempt{Request: q.ID, Host: m.ID, SendBefore: q.repeatBy()})
+	r.emit(Attempt{Request: q.ID, Host: m.ID, SendBefore: q.retryBefore()})
 }
 
 func (r *Router) giveUp(q *request) {
 	keyed := q.class.Idempotency == IdempotentWithKey && q.class.KeySharedByAllHosts
-	switch harmless := !q.mayRun || q.class.Idempotency == Idempotent || keyed; {
+	switch harmless := !q.mayHaveRun || q.class.Idempotency == Idempotent || keyed; {
 	case !harmless:
-		r.do(Fail{q.ID})
-	case r.set.RetryAfterAllowed:
-		r.do(Reject{q.ID, r.set.MaxRetryAfter}) // a second try would mostly come too late to be worth anything
+		r.emit(Fail{q.ID})
+	case r.settings.RetryAfterAllowed:
+		r.emit(Reject{q.ID, r.settings.MaxRetryAfter}) // a second try would mostly come too late to be worth anything
 	default:
-		r.do(Reject{Request: q.ID})
+		r.emit(Reject{Request: q.ID})
 	}
 	r.finish(q)
 }
 
 // --- Upkeep ---
 
-func (r *Router) upkeep() {
-	if r.askAt > 0 && r.now >= r.askAt {
-		r.askAt = 0
-		r.do(SubscribeEndpoints{})
+func (r *Router) runMaintenance() {
+	if r.subscribeAt > 0 && r.now >= r.subscribeAt {
+		r.subscribeAt = 0
+		r.emit(SubscribeEndpoints{})
 	}
-	if r.now >= r.dueAt {
-		for _, g := range r.order {
-			for _, m := range g.members {
-				r.checkOverdue(m)
+	if r.now >= r.overdueCheckAt {
+		for _, g := range r.sortedGroups {
+			for _, m := range g.hosts {
+				r.checkOverdueAttempts(m)
 			}
 		}
 	}
-	if passed := min(r.now-r.secondAt, ageMost).Seconds(); passed >= 1 {
-		r.secondAt = r.now
-		for _, g := range r.order {
-			r.age(g, passed)
+	if passed := min(r.now-r.lastMaintenanceAt, maxEvidenceAge).Seconds(); passed >= 1 {
+		r.lastMaintenanceAt = r.now
+		for _, g := range r.sortedGroups {
+			r.fadeEvidence(g, passed)
 		}
-		r.sent, r.sentTop = r.sent*math.Pow(mixKept, passed), r.sentTop*math.Pow(mixKept, passed)
-		r.trimSessions()
-		r.surge.UpdateBaseline(millis(r.now), r.warm())
+		r.totalLoadSent, r.primaryLoadSent = r.totalLoadSent*math.Pow(loadRetentionPerSecond, passed), r.primaryLoadSent*math.Pow(loadRetentionPerSecond, passed)
+		r.evictSessions()
+		r.loadEstimator.UpdateBaseline(durationToMillis(r.now), r.allWarmedUp())
 	}
 }
 
 // age lets evidence fade by the seconds passed. What a partly cold group answers is what it was sent.
-func (r *Router) age(g *group, passed float64) {
-	for _, m := range g.members {
-		m.strikes *= math.Pow(strikeKept, passed)
+func (r *Router) fadeEvidence(g *group, passed float64) {
+	for _, m := range g.hosts {
+		m.strikes *= math.Pow(strikeRetentionPerSecond, passed)
 	}
-	if !slices.ContainsFunc(g.members, r.cold) {
-		g.rate = max(g.served/passed, g.rate*math.Pow(rateKept, passed))
+	if !slices.ContainsFunc(g.hosts, r.warmingUp) {
+		g.peakAnswerRate = max(g.servedCount/passed, g.peakAnswerRate*math.Pow(answerRateRetentionPerSecond, passed))
 	}
-	g.served = 0
-	if !r.set.RemovalNotBinding {
-		g.members = slices.DeleteFunc(g.members, r.forget)
+	g.servedCount = 0
+	if !r.settings.RemovalNotBinding {
+		g.hosts = slices.DeleteFunc(g.hosts, r.removeGoneHost)
 	}
 }
 
 // release places what waits, the most worth first, then the newest (else all would be just too late).
-func (r *Router) release(g *group) {
+func (r *Router) dispatchWaiting(g *group) {
 	waiting := g.waiting
 	g.waiting = nil
 	slices.SortStableFunc(waiting, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(r.worth(b), r.worth(a)), cmp.Compare(b.arrived, a.arrived))
+		return cmp.Or(cmp.Compare(r.weightRate(b), r.weightRate(a)), cmp.Compare(b.arrivedAt, a.arrivedAt))
 	})
 	for _, q := range waiting {
-		r.place(q)
+		r.dispatch(q)
 	}
 }
 
-func (r *Router) worth(q *request) float64 {
+func (r *Router) weightRate(q *request) float64 {
 	w := q.class.PriorityWeight
-	if r.now >= q.arrived+q.class.LatencyObjective {
+	if r.now >= q.arrivedAt+q.class.LatencyObjective {
 		w *= q.class.LateWeightShare
 	}
 	// a client's retry: its objective counts from the first attempt and has most likely passed
 	if q.ClientRetry && q.class.LateWeightShare == 0 {
-		w *= repeatWorth
+		w *= clientRetryWeightShare
 	}
-	return w / r.took[q.Class]
+	return w / r.latencyMean[q.Class]
 }
--- a/routing/near_test.go
+++ b/routing/near_test.go
@@ -9,9 +9,9 @@
 )
 
 // crowd is a group of a primary and replicas that have told their position, and routers that keep to two each.
-func crowd(t *testing.T, index int, change func(*Settings)) *rig {
+func newSubsetHarness(t *testing.T, index int, change func(*Settings)) *harness {
 	t.Helper()
-	g := newRig(t, func(s *Settings) {
+	g := newHarness(t, func(s *Settings) {
 		s.GatewayCount, s.GatewayNumber, s.SubsetSize = 8, index, 2
 		if change != nil {
 			change(s)
@@ -22,29 +22,29 @@
 		list = append(list, Endpoint{ID: fmt.Sprintf("m%d", i), State: StateReady})
 	}
 	g.step(0, EndpointUpdate{Full: true, Endpoints: list})
-	g.step(0, HealthCheckResult{Host: "m0", Outcome: OutcomeOK, Role: RolePrimary, Position: g.now - epochOf(g)})
+	g.step(0, HealthCheckResult{Host: "m0", Outcome: OutcomeOK, Role: RolePrimary, Position: g.now - positionEpoch(g)})
 	for i := range 7 {
-		g.step(0, HealthCheckResult{Host: fmt.Sprintf("m%d", i), Outcome: OutcomeOK, Position: g.now - epochOf(g)})
+		g.step(0, HealthCheckResult{Host: fmt.Sprintf("m%d", i), Outcome: OutcomeOK, Position: g.now - positionEpoch(g)})
 	}
 	return g
 }
 
-func epochOf(g *rig) time.Duration { return g.r.set.PositionEpoch }
+func positionEpoch(g *harness) time.Duration { return g.router.settings.PositionEpoch }
 
 // spreadOf sends reads that any member may answer, one after another, and tells who got how many.
-func spreadOf(g *rig, from uint64, n int) map[string]int {
+func readsByHost(g *harness, from uint64, n int) map[string]int {
 	got := map[string]int{}
 	for i := range uint64(n) {
 		acts := g.step(time.Millisecond, Request{ID: from + i, Class: 0, Tenant: -1, TimeLeft: time.Second})
-		for _, to := range attemptsOf(acts) {
+		for _, to := range attemptedHosts(acts) {
 			got[to]++
-			g.step(time.Millisecond, AttemptResult{Request: from + i, Host: to, Outcome: OutcomeOK, RequestDone: true, Position: g.now - epochOf(g)})
+			g.step(time.Millisecond, AttemptResult{Request: from + i, Host: to, Outcome: OutcomeOK, RequestDone: true, Position: g.now - positionEpoch(g)})
 		}
 	}
 	return got
 }
 
-func anyClass(s *Settings) {
+func relaxFirstClass(s *Settings) {
 	s.Classes[0].Consistency, s.Classes[0].MaxStaleness, s.Classes[0].LateWeightShare = ConsistencyAny, 0, 1
 }
 
@@ -52,7 +52,7 @@
 func TestRoutersKeepToTheirSubsets(t *testing.T) {
 	all := map[string]int{}
 	for index := 1; index <= 8; index++ {
-		got := spreadOf(crowd(t, index, anyClass), 100, 40)
+		got := readsByHost(newSubsetHarness(t, index, relaxFirstClass), 100, 40)
 		if len(got) != 2 {
 			t.Errorf("router %d used %v", index, got)
 		}
@@ -66,37 +66,37 @@
 	if len(all) < 6 {
 		t.Errorf("together they used %v", all)
 	}
-	if got := spreadOf(crowd(t, 0, anyClass), 100, 60); len(got) < 6 {
+	if got := readsByHost(newSubsetHarness(t, 0, relaxFirstClass), 100, 60); len(got) < 6 {
 		t.Errorf("one that doesn't know its number keeps to %v", got)
 	}
 }
 
 // A member of the subset that takes no connection, or drains, is replaced at once; nothing waits or is refused for it.
 func TestASubsetWidensAtOnce(t *testing.T) {
-	g := crowd(t, 3, anyClass)
+	g := newSubsetHarness(t, 3, relaxFirstClass)
 	var mine []string
-	for id := range spreadOf(g, 100, 40) {
+	for id := range readsByHost(g, 100, 40) {
 		mine = append(mine, id)
 	}
 	acts := g.step(time.Millisecond, Request{ID: 500, Class: 0, Tenant: -1, TimeLeft: time.Second})
-	first := attemptsOf(acts)[0]
-	again := attemptsOf(g.step(time.Millisecond, AttemptResult{Request: 500, Host: first, Outcome: OutcomeNoConnection}))
+	first := attemptedHosts(acts)[0]
+	again := attemptedHosts(g.step(time.Millisecond, AttemptResult{Request: 500, Host: first, Outcome: OutcomeNoConnection}))
 	if len(again) != 1 || again[0] == first {
 		t.Fatalf("after a refused connection: %v", again)
 	}
 	g.step(time.Millisecond, AttemptResult{Request: 500, Attempt: 1, Host: again[0], Outcome: OutcomeOK, RequestDone: true})
-	if got := spreadOf(g, 600, 20); len(got) != 2 || got[first] > 0 {
+	if got := readsByHost(g, 600, 20); len(got) != 2 || got[first] > 0 {
 		t.Errorf("while %s is down: %v", first, got)
 	}
 	g.step(0, EndpointUpdate{Endpoints: []Endpoint{{ID: mine[0], State: StateDraining}, {ID: mine[1], State: StateDraining}}})
-	if got := spreadOf(g, 700, 20); len(got) != 2 || got[mine[0]]+got[mine[1]] > 0 {
+	if got := readsByHost(g, 700, 20); len(got) != 2 || got[mine[0]]+got[mine[1]] > 0 {
 		t.Errorf("while both drain: %v", got)
 	}
 }
 
 // A new view of the gateways changes the subset; one that says nothing new doesn't.
 func TestPeersChangeTheSubset(t *testing.T) {
-	g := crowd(t, 0, anyClass)
+	g := newSubsetHarness(t, 0, relaxFirstClass)
 	names := func(n int) (list []fleet.Gateway) {
 		for i := range n {
 			list = append(list, fleet.Gateway{Name: fmt.Sprintf("g%d", i)})
@@ -107,7 +107,7 @@
 	var last map[string]int
 	for n := 3; n < 12; n++ {
 		g.step(0, RosterUpdate{fleet.NewNamedRoster(fleet.Gateway{Name: "g1"}, names(n))})
-		got := spreadOf(g, uint64(1000*n), 30)
+		got := readsByHost(g, uint64(1000*n), 30)
 		if len(got) < 2 || len(got) > 3 { // what was used before stays for a while only where it was needed
 			t.Errorf("%d gateways: %v", n, got)
 		}
@@ -126,21 +126,21 @@
 
 // Reads ask replicas of the subset where they stand, and new members are not asked by everybody at once.
 func TestOnlyTheSubsetIsAsked(t *testing.T) {
-	g := crowd(t, 2, func(s *Settings) { s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, true })
+	g := newSubsetHarness(t, 2, func(s *Settings) { s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, true })
 	asked := map[string]bool{}
 	step := func(events ...Event) (acts []Action) {
 		g.now += 50 * time.Millisecond
-		for _, a := range g.r.Step(g.now, events) {
+		for _, a := range g.router.Step(g.now, events) {
 			if p, ok := a.(HealthCheck); ok {
 				asked[p.Host] = true
-				acts = append(acts, g.r.Step(g.now, []Event{HealthCheckResult{Host: p.Host, Outcome: OutcomeOK, Role: RoleReplica, Position: g.now - epochOf(g)}})...)
+				acts = append(acts, g.router.Step(g.now, []Event{HealthCheckResult{Host: p.Host, Outcome: OutcomeOK, Role: RoleReplica, Position: g.now - positionEpoch(g)}})...)
 			}
 			acts = append(acts, a)
 		}
 		return acts
 	}
 	for i := range uint64(30) {
-		for _, to := range attemptsOf(step(Request{ID: 100 + i, Class: clsBounded, Tenant: -1, TimeLeft: time.Second})) {
+		for _, to := range attemptedHosts(step(Request{ID: 100 + i, Class: classBounded, Tenant: -1, TimeLeft: time.Second})) {
 			step(AttemptResult{Request: 100 + i, Host: to, Outcome: OutcomeOK, RequestDone: true})
 		}
 	}
--- a/routing/surge_test.go
+++ b/routing/surge_test.go
@@ -16,8 +16,8 @@
 	for _, times := range []int{1, 3} {
 		sent := map[string]int{}
 		for i := range uint64(routers) {
-			g := newRig(t, func(s *Settings) { s.GatewayCount, s.OverloadWindow = routers, 2*time.Second })
-			g.r.rng = rand.New(rand.NewPCG(i, i))
+			g := newHarness(t, func(s *Settings) { s.GatewayCount, s.OverloadWindow = routers, 2*time.Second })
+			g.router.rng = rand.New(rand.NewPCG(i, i))
 			list := EndpointUpdate{Full: true}
 			for n := range groups {
 				for _, id := range []string{"a", "b", "c", "d"} {
@@ -29,7 +29,7 @@
 			second := func(n int, count bool) {
 				for range n {
 					id++
-					e := Request{ID: id, Class: clsAny, Tenant: -1, Group: g.r.rng.IntN(groups), TimeLeft: time.Second}
+					e := Request{ID: id, Class: classAny, Tenant: -1, Group: g.router.rng.IntN(groups), TimeLeft: time.Second}
 					for _, a := range g.step(time.Second/time.Duration(n), e) {
 						at, ok := a.(Attempt)
 						if !ok {
@@ -39,7 +39,7 @@
 							sent[at.Host]++
 						}
 						o := AttemptResult{Request: id, Host: at.Host, Outcome: OutcomeOK, RequestDone: true, Role: RoleReplica}
-						if count && g.r.rng.IntN(times) > 0 { // the group answers no more than before
+						if count && g.router.rng.IntN(times) > 0 { // the group answers no more than before
 							o.Outcome = OutcomeTimeout
 						}
 						g.step(0, o)
@@ -59,7 +59,7 @@
 		for n := range groups {
 			cold += sent[fmt.Sprint("a", n)]
 		}
-		s := settings()
+		s := testSettings()
 		warmth := s.SlowStartMinShare + (1-s.SlowStartMinShare)/s.SlowStartWindow.Seconds() // halfway through the two seconds
 		most := s.OverloadMultiple * warmth * routers * each * 2 / 4                        // of all cold ones together
 		if cold == 0 || float64(cold) > most {                                              // though a surge is seen some tenths of a second late
--- a/routing/told_test.go
+++ b/routing/told_test.go
@@ -11,11 +11,11 @@
 		told time.Duration // before the list came
 		used bool
 	}{{0, true}, {100 * ms, true}, {248 * ms, false}, {time.Hour, false}} {
-		g := newRig(t, nil)
-		g.group()
+		g := newHarness(t, nil)
+		g.listGroup()
 		g.step(ms, EndpointUpdate{NotifiedAt: max(1, g.now-c.told), Endpoints: []Endpoint{{ID: "p", Group: 1, State: StateDraining}}})
 		used := false
-		for _, a := range g.ask(1, clsKeyed, "s") {
+		for _, a := range g.request(1, classKeyedWrite, "s") {
 			at, ok := a.(Attempt)
 			used = used || ok && at.Host == "p"
 		}
@@ -28,9 +28,9 @@
 // A request waits in the module as no member may be used, and its client leaves: a member that comes is not sent it.
 func TestWhoHasLeftIsNotSentWhenAMemberComes(t *testing.T) {
 	for _, left := range []bool{true, false} {
-		g := newRig(t, nil)
+		g := newHarness(t, nil)
 		g.step(ms, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateDraining}}})
-		g.want(g.ask(1, clsAny, ""))
+		g.want(g.request(1, classAny, ""))
 		if left {
 			g.want(g.step(ms, ClientGone{Request: 1}))
 		}
