--- a/routing/decide_test.go
+++ b/routing/decide_test.go
@@ -211,7 +211,7 @@
 		}
 	})
 	g.listGroup()
-	g.router.latencyMean[classAny], g.router.latencyDeviation[classAny] = 0.02, 0.002
+	g.router.latencies[classAny] = latencyEstimate{meanSeconds: 0.02, deviationSeconds: 0.002}
 	g.request(1, classAny, "")
 	for _, a := range g.step(minAttemptTimeout/2+ms, TimerFired{}) {
 		if _, ok := a.(CancelAttempt); ok {
--- /dev/null
+++ b/routing/endpoints.go
@@ -0,0 +1,138 @@
+package routing
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// The endpoint list, and which hosts it leaves in service. The list is often out of date: a host that it
+// names as primary is only tried first (see primary.go).
+
+const (
+	// subscribeRetryInterval is how long after a failed poll the endpoint list is asked for again.
+	subscribeRetryInterval = 500 * time.Millisecond
+	// goneHostRetention is how long a host that is gone is kept, so that rolling replacements don't fill the
+	// tables.
+	goneHostRetention = 30 * time.Second
+)
+
+// onEndpointUpdate takes in the endpoint list or changes of it.
+func (r *Router) onEndpointUpdate(update EndpointUpdate) {
+	if update.Failed {
+		r.subscribeAt = r.now + subscribeRetryInterval
+		return
+	}
+	listed := map[string]bool{}
+	for _, endpoint := range update.Endpoints {
+		listed[endpoint.ID] = true
+		r.applyEndpoint(endpoint, update)
+	}
+	isFirst := r.largestGroupSize == 0
+	for _, group := range r.sortedGroups {
+		if update.Full {
+			r.removeUnlisted(group, listed, update)
+		}
+		r.largestGroupSize = max(r.largestGroupSize, r.settledHostCount(group, isFirst))
+	}
+}
+
+// removeUnlisted marks the hosts of a group that a full list doesn't name as gone.
+func (r *Router) removeUnlisted(group *group, listed map[string]bool, update EndpointUpdate) {
+	for _, host := range group.hosts {
+		if !listed[host.ID] && host.State != StateGone {
+			r.setEndpointState(host, StateGone, update)
+		}
+	}
+}
+
+// settledHostCount is the number of a group's ready hosts. After the first list those that warm up don't
+// count: they replace others that are still listed. The greatest count of all groups is what each group's
+// traffic is taken to be made for, since a gateway that starts late may see one group at its smallest.
+func (r *Router) settledHostCount(group *group, isFirst bool) int {
+	count := 0
+	for _, host := range group.hosts {
+		if host.State == StateReady && (isFirst || r.capacityShare(host) >= 1) {
+			count++
+		}
+	}
+	return count
+}
+
+// applyEndpoint takes in one entry of the list.
+func (r *Router) applyEndpoint(endpoint Endpoint, update EndpointUpdate) {
+	host := r.hosts[endpoint.ID]
+	if host == nil {
+		if endpoint.State == StateGone {
+			return
+		}
+		host = r.addHost(endpoint)
+	}
+	if endpoint.StartedAt > host.StartedAt { // it has restarted: what it owed before is void
+		host.StartedAt, host.strikes, host.unresponsive = endpoint.StartedAt, 0, false
+	}
+	if endpoint.Primary && !host.Primary {
+		host.group.listedPrimary, host.group.listedPrimaryAt = host, r.currentPosition()
+	}
+	host.Primary = endpoint.Primary
+	r.setEndpointState(host, endpoint.State, update)
+}
+
+// addHost adds a host that the list names for the first time. Where its position is needed before it may
+// serve reads it gets a health check; with subsets, only when it is needed, since every gateway would check
+// every host.
+func (r *Router) addHost(endpoint Endpoint) *host {
+	group := r.groupFor(endpoint.Group)
+	added := &host{
+		Endpoint: endpoint, group: group, lastOutcomeAt: r.now, concurrencyLimit: initialConcurrencyLimit,
+	}
+	added.State, added.Primary = StateReady, false // applyEndpoint sets them as changes
+	r.hosts[endpoint.ID] = added
+	group.hosts = append(group.hosts, added)
+	slices.SortFunc(group.hosts, func(a, b *host) int { return cmp.Compare(a.ID, b.ID) })
+	positionNeeded := r.settings.StalenessCheck == StalenessCheckNone && r.settings.SubsetSize == 0
+	if r.settings.HealthChecksAllowed && positionNeeded && endpoint.State == StateReady {
+		r.emit(HealthCheck{endpoint.ID})
+	}
+	return added
+}
+
+// setEndpointState takes in the state that the list gives a host.
+func (r *Router) setEndpointState(host *host, state EndpointState, update EndpointUpdate) {
+	if state != StateReady && host.State == StateReady {
+		host.drainNotifiedAt = update.effectiveNotifiedAt(r.now)
+	}
+	host.listedAsDraining = host.listedAsDraining && state == StateGone || state == StateDraining
+	host.State = state
+	r.topologyVersion++
+}
+
+// inService reports whether the endpoint list and the exclusions by hand allow requests to a host. A
+// primary that drains or is excluded is used until the end of the drain grace period, since only it accepts
+// writes.
+func (r *Router) inService(host *host) bool {
+	drainingSince, excluded := r.excludedSince[host.ID]
+	switch {
+	case host.State == StateGone:
+		return r.settings.RemovalNotBinding && !host.listedAsDraining && !excluded
+	case host.State == StateReady && !excluded:
+		return true
+	case host.State == StateDraining && (!excluded || host.drainNotifiedAt < drainingSince):
+		drainingSince = host.drainNotifiedAt
+	}
+	// An attempt may be written up to two ticks after it is decided.
+	inGracePeriod := r.now+2*r.settings.TickInterval < drainingSince+r.settings.DrainGrace
+	return host.role() == primaryRole && inGracePeriod
+}
+
+// removeGoneHost removes a host from the tables that has been gone for goneHostRetention, and reports
+// whether it did.
+func (r *Router) removeGoneHost(host *host) bool {
+	isUsed := len(host.openAttempts) > 0 || host.role() == primaryRole
+	if host.State != StateGone || isUsed || r.now < host.drainNotifiedAt+goneHostRetention {
+		return false
+	}
+	delete(r.hosts, host.ID)
+	r.topologyVersion++
+	return true
+}
--- a/routing/fuzz_test.go
+++ b/routing/fuzz_test.go
@@ -132,7 +132,7 @@
 				o = OutcomeTimeout
 			}
 			delete(q.openAttempts, n)
-			if !provesNotRun(o) && o != OutcomeOK && !q.mayHaveRun {
+			if !o.provesNotRun() && o != OutcomeOK && !q.mayHaveRun {
 				q.mayHaveRun, q.uncertainSince = true, q.sentAt
 			}
 			q.done = q.done || o == OutcomeOK
--- /dev/null
+++ b/routing/host.go
@@ -0,0 +1,57 @@
+package routing
+
+import (
+	"slices"
+	"time"
+
+	"merlinjunction/fleet"
+)
+
+// A host is what the Router knows of one database host.
+type host struct {
+	Endpoint
+	group *group
+
+	drainNotifiedAt  time.Duration // when it became known that it drains or is gone
+	listedAsDraining bool          // the list has named it as draining, and not as ready since
+
+	position      Position      // it has applied all commits up to here: a lower bound, never lowered
+	lag           time.Duration // where replicas check: how far behind it was last known to be; 0: not behind
+	lagKnownAt    time.Duration // when that became known
+	demotedAt     Position      // position at the time when it last answered as replica
+	lastOutcomeAt time.Duration // when something last came from it
+
+	openAttempts []*attempt // oldest first
+	strikes      float64    // answers that it owes; see addStrike
+	unresponsive bool       // it owes answers and nothing has come from it since, or it takes no connection
+	ejectedUntil time.Duration
+
+	concurrencyLimit  float64       // open attempts that it may have from this gateway
+	limitCutAllowedAt time.Duration // when the limit may be lowered again
+
+	subsetIndex     int               // index in group.subsetHosts; -1: not in it
+	healthCheckedAt time.Duration     // when a health check was sent that is still unanswered; 0: none is
+	slowStartBudget fleet.TokenBucket // sends that it may get from this gateway while it warms up
+}
+
+// removeOpenAttempt takes an attempt from those that are open at the host, if it is among them.
+func (h *host) removeOpenAttempt(ended *attempt) {
+	h.openAttempts = slices.DeleteFunc(h.openAttempts, func(open *attempt) bool { return open == ended })
+}
+
+// hostRole tells the primary of a group from its replicas, as an index.
+type hostRole int
+
+const (
+	replicaRole hostRole = iota
+	primaryRole
+	hostRoles int = iota // number of roles
+)
+
+// role is primaryRole for the host that last answered as primary of its group, else replicaRole.
+func (h *host) role() hostRole {
+	if h == h.group.primary {
+		return primaryRole
+	}
+	return replicaRole
+}
--- /dev/null
+++ b/routing/lag.go
@@ -0,0 +1,123 @@
+package routing
+
+import "time"
+
+// Replica lag: which position a replica is taken to have. Where replicas don't check, it is the last known
+// one. Where they check, a wrong estimate costs only a misdirected read, so a replica counts as up to date
+// until it rejects a read. Otherwise all gateways would crowd the few hosts whose position they learned
+// last.
+
+const (
+	// negligibleLag is the lag below which a replica that checks counts as up to date.
+	negligibleLag = 400 * time.Millisecond
+	// lagRetention is how long a lag is kept where no health checks may confirm it.
+	lagRetention = 3 * time.Second
+	// lagCheckInterval is the interval of health checks to a lagging replica by one gateway. Where gateways
+	// are many, they space their health checks by gatewaySlotGap.
+	lagCheckInterval = 500 * time.Millisecond
+)
+
+// estimatedPosition returns the position that a replica is taken to have.
+func (r *Router) estimatedPosition(replica *host) Position {
+	switch {
+	case r.settings.StalenessCheck == StalenessCheckNone:
+		return replica.position
+	case r.lagIsKnown(replica):
+		return max(replica.position, r.currentPosition()-replica.lag)
+	}
+	return r.currentPosition()
+}
+
+// lagIsKnown reports whether a replica is known to be behind, and the knowledge isn't too old.
+func (r *Router) lagIsKnown(replica *host) bool {
+	return replica.lag > 0 && (r.settings.HealthChecksAllowed || r.now < replica.lagKnownAt+lagRetention)
+}
+
+// healthCheckLagging asks a replica that is behind for its position from time to time. A health check costs
+// much less than the reads that the replica would reject, each after a wait.
+func (r *Router) healthCheckLagging(replica *host) {
+	slots := r.roster.Schedule()
+	interval := slots.Interval(durationToMillis(lagCheckInterval), durationToMillis(gatewaySlotGap))
+	useful := r.settings.HealthChecksAllowed && r.settings.StalenessCheck != StalenessCheckNone
+	lastKnownAt := max(replica.lagKnownAt, replica.healthCheckedAt)
+	if useful && r.now >= lastKnownAt+millisToDuration(interval) {
+		r.sendHealthCheck(replica)
+	}
+}
+
+// sendHealthCheck asks a host for its role and position.
+func (r *Router) sendHealthCheck(host *host) {
+	host.healthCheckedAt = r.now
+	r.emit(HealthCheck{host.ID})
+}
+
+// onHealthCheckResult takes in a load report. It may be older than other evidence: a primary's position is
+// the time of its report, and the report counts for the role only if it is the newest evidence.
+func (r *Router) onHealthCheckResult(event HealthCheckResult) {
+	host := r.hosts[event.Host]
+	if host == nil {
+		return
+	}
+	host.healthCheckedAt = 0
+	if event.Outcome != OutcomeOK {
+		return
+	}
+	r.observePosition(host, event.Position)
+	reportedAt := event.Position + r.settings.PositionEpoch
+	newest := host.group.primary == nil || reportedAt > host.group.primarySeenAt
+	if event.Role == RolePrimary && event.Position > host.demotedAt && newest {
+		r.observeRole(host, RolePrimary)
+	}
+}
+
+// observeAttemptResult takes in what an attempt's result tells about its host: role, position, and lag.
+func (r *Router) observeAttemptResult(ended *attempt, event AttemptResult) {
+	isWrite := ended.request.class.Consistency == ConsistencyWrite
+	switch event.Outcome {
+	case OutcomeOK, OutcomeMisdirected, OutcomeError, OutcomeRejected:
+		role := event.Role
+		if role == RoleUnknown && isWrite && event.Outcome == OutcomeMisdirected {
+			role = RoleReplica
+		}
+		r.observeRole(ended.host, role)
+		if !isWrite || event.Outcome != OutcomeOK { // the position of a write that succeeded is its own commit
+			r.observePosition(ended.host, event.Position)
+		}
+	}
+	if r.settings.StalenessCheck != StalenessCheckNone && !isWrite && ended.requiredPosition != 0 {
+		r.observeStalenessCheck(ended, event)
+	}
+}
+
+// observeStalenessCheck takes in how a replica's check of a read ended: a replica that answered had the
+// required position when the read was sent, one that rejected it had not.
+func (r *Router) observeStalenessCheck(ended *attempt, event AttemptResult) {
+	replica := ended.host
+	allowedLag := ended.sentAt - r.settings.PositionEpoch - ended.requiredPosition
+	switch event.Outcome {
+	case OutcomeOK:
+		r.observePosition(replica, ended.requiredPosition)
+		replica.lag = min(replica.lag, allowedLag)
+	case OutcomeMisdirected:
+		replica.lag, replica.lagKnownAt = max(replica.lag, allowedLag+time.Millisecond), r.now
+		if event.Position > 0 {
+			replica.lag = max(replica.lag, r.currentPosition()-event.Position)
+		}
+	}
+}
+
+// observePosition takes in that a host has applied a position, 0 where it is unknown. The report may be as
+// old as the lag that it shows, so it can lower a known lag but never raise it.
+func (r *Router) observePosition(host *host, reported Position) {
+	if reported <= 0 {
+		return
+	}
+	host.position = max(host.position, reported)
+	if host.lag <= 0 {
+		return
+	}
+	host.lag, host.lagKnownAt = min(host.lag, r.currentPosition()-reported), r.now
+	if host.lag < negligibleLag {
+		host.lag = 0
+	}
+}
--- /dev/null
+++ b/routing/outlier.go
@@ -0,0 +1,173 @@
+package routing
+
+import "time"
+
+// Outlier detection and ejection, by symptom rather than by cause.
+//
+// A host gets a strike for each answer that it owes: overdue, timed out, or a refused connection. Strikes
+// fade. One with a strike gets requests half as often, and one at a time (see eligible). A host is ejected,
+// that is, gets nothing for a while, after it refused a connection or rejected a request. It is
+// unresponsive when nothing has come from it although it owes several answers; while a primary is
+// unresponsive, another is sought (see primary.go). An answer in time ends all of it.
+
+const (
+	// maxStrikes is the greatest number of strikes of a host.
+	maxStrikes = 6
+	// recentStrikeThreshold is the number of strikes above which the next one makes a host unresponsive: a
+	// single lost answer doesn't, nor does one that has faded.
+	recentStrikeThreshold = 0.5
+	// strikeRetentionPerSecond is the part of a host's strikes that is left after a second.
+	strikeRetentionPerSecond = 0.9
+	// rejectionEjectionTime is how long a host is ejected after it rejected a request for lack of capacity.
+	rejectionEjectionTime = 50 * time.Millisecond
+	// connectFailureEjectionTime is how long a host without strikes is ejected after it refused a connection;
+	// each strike doubles it. A time-out sooner than this after the send doesn't count against the host.
+	connectFailureEjectionTime = 200 * time.Millisecond
+	// quickErrorLatencyShare is the part of its class's mean answer time within which an error counts as
+	// quick.
+	quickErrorLatencyShare = 0.4
+	// requestCausedErrorThreshold is the share of quick errors above which they are taken to be the requests'
+	// own.
+	requestCausedErrorThreshold = 0.1
+	// connectionScarcityThreshold is the share of refused connections above which connections are taken to be
+	// scarce, and hosts that refuse them to be well.
+	connectionScarcityThreshold = 0.2
+	// failureShareGain is the weight of a failure or a success in a movingFailureShare.
+	failureShareGain = 0.1
+)
+
+// A movingFailureShare is a moving share of failures of one kind among failures and answers. Failures count
+// only where they move from host to host: a single host that fails doesn't raise it by more than one step.
+type movingFailureShare struct {
+	share    float64 // 0 to 1
+	lastHost *host   // that failed
+}
+
+// failed takes in a failure at a host.
+func (f *movingFailureShare) failed(at *host) {
+	if at != f.lastHost {
+		f.lastHost = at
+		f.share += failureShareGain * (1 - f.share)
+	}
+}
+
+// succeeded takes in an answer.
+func (f *movingFailureShare) succeeded() { f.share *= 1 - failureShareGain }
+
+// recordOutcome counts the end of an attempt for or against its host.
+func (r *Router) recordOutcome(ended *attempt, outcome Outcome) {
+	if r.saysNothingAboutHost(ended, outcome) {
+		return
+	}
+	host := ended.host
+	if outcome != OutcomeTimeout && outcome != OutcomeNoConnection {
+		host.lastOutcomeAt, host.unresponsive = r.now, false
+	}
+	if r.recordRequestCausedError(ended, outcome) {
+		return
+	}
+	r.adjustAdmissionGates(ended, outcome)
+	switch outcome {
+	case OutcomeOK, OutcomeMisdirected:
+		if !ended.overdue {
+			host.strikes = 0
+		}
+		if outcome == OutcomeOK {
+			r.recordAnswer(ended)
+		}
+	case OutcomeRejected:
+		ejection := r.scaleToObjective(rejectionEjectionTime)
+		r.lowerConcurrencyLimit(host, ejection)
+		host.ejectedUntil = r.now + ejection
+	case OutcomeNoConnection:
+		r.recordConnectFailure(host)
+	case OutcomeError, OutcomeTimeout:
+		r.lowerConcurrencyLimit(host, r.now-ended.sentAt)
+		if outcome == OutcomeTimeout && !ended.overdue && ended.nothingReceivedSince() {
+			r.addStrike(host, true)
+		}
+	}
+}
+
+// saysNothingAboutHost reports whether the end of an attempt tells nothing about its host: the answer had
+// begun already, nothing was sent, the gateway cancelled it, or its time was nearly over when it was sent.
+// (A lost connection says that the host was there, and no more: recordOutcome counts it for nothing else.)
+func (r *Router) saysNothingAboutHost(ended *attempt, outcome Outcome) bool {
+	if ended.streaming {
+		return true
+	}
+	switch outcome {
+	case OutcomeNotSent, OutcomeCancelled:
+		return true
+	case OutcomeTimeout:
+		return ended.sentAt+r.scaleToObjective(connectFailureEjectionTime) > r.now
+	}
+	return false
+}
+
+// recordAnswer takes in an answer: how long it took, and that its host serves.
+func (r *Router) recordAnswer(ended *attempt) {
+	latency := r.now - ended.sentAt
+	r.connectFailures.succeeded()
+	ended.host.group.servedCount++
+	r.loadEstimator.RequestServed(durationToMillis(r.now))
+	r.adjustConcurrencyLimit(ended.host, latency, ended.request.class)
+	r.latencies[ended.request.Class].observe(latency.Seconds(), latencyGain)
+}
+
+// recordRequestCausedError reports whether an outcome is an error that the request causes at whichever host
+// is tried: such errors are quick and move from host to host. They don't count against hosts, and the
+// request is not retried. Several hosts that fail quickly at the same time look alike.
+func (r *Router) recordRequestCausedError(ended *attempt, outcome Outcome) bool {
+	quickWithin := quickErrorLatencyShare * r.latencies[ended.request.Class].meanSeconds
+	isQuick := outcome == OutcomeError && (r.now-ended.sentAt).Seconds() < quickWithin
+	switch {
+	case outcome == OutcomeOK:
+		r.quickErrors.succeeded()
+	case isQuick:
+		r.quickErrors.failed(ended.host)
+	}
+	ended.request.causedError = isQuick && r.quickErrors.share > requestCausedErrorThreshold
+	return ended.request.causedError
+}
+
+// recordConnectFailure takes in a refused connection and ejects the host, the longer the more strikes it
+// has. Where one host after another refuses while others answer, connections are scarce and the hosts are
+// well: none becomes unresponsive, so no other primary is sought. Many hosts that are really down at the
+// same time look alike.
+func (r *Router) recordConnectFailure(host *host) {
+	r.connectFailures.failed(host)
+	answeredLately := r.now < host.lastOutcomeAt+r.scaleToObjective(connectFailureEjectionTime)
+	if answeredLately && host.strikes <= recentStrikeThreshold { // it lives: one connection was lost
+		host.ejectedUntil = r.now + r.scaleToObjective(rejectionEjectionTime)
+	} else {
+		host.ejectedUntil = r.now + r.scaleToObjective(connectFailureEjectionTime)<<int(host.strikes)
+		connectionsAreScarce := r.connectFailures.share >= connectionScarcityThreshold
+		host.unresponsive = host.unresponsive || !connectionsAreScarce
+	}
+	r.addStrike(host, false)
+}
+
+// nothingReceivedSince reports whether no outcome has come from the attempt's host since the attempt was
+// sent.
+func (a *attempt) nothingReceivedSince() bool { return a.host.lastOutcomeAt < a.sentAt }
+
+// addStrike takes in that a host owes an answer. nothingReceived says that nothing at all has come from it
+// since it got the request: if that happens again soon, it is unresponsive.
+func (r *Router) addStrike(host *host, nothingReceived bool) {
+	isRepeated := host.strikes > recentStrikeThreshold
+	host.strikes = min(host.strikes+1, maxStrikes)
+	if nothingReceived && isRepeated && !host.unresponsive {
+		host.unresponsive = true
+		r.logf("group %d: %s is silent", host.group.id, host.ID)
+	}
+}
+
+// eligible reports whether a host may get a request now: it is in service, not ejected, and if it has a
+// strike it has no other attempt open.
+func (r *Router) eligible(host *host) bool {
+	if !r.inService(host) || r.now < host.ejectedUntil {
+		return false
+	}
+	return host.strikes < 1 || len(host.openAttempts) == 0
+}
--- /dev/null
+++ b/routing/primary.go
@@ -0,0 +1,123 @@
+package routing
+
+import "time"
+
+// Primary discovery. The primary of a group is the host that last answered as such. The endpoint list is
+// often out of date: the host that it names as primary only gets the first writes. Reads never go by the
+// list, since a host that isn't primary any more would answer them with old data.
+
+const (
+	// primarySearchPause is how long writes wait after all hosts of a group have been tried in vain.
+	primarySearchPause = 50 * time.Millisecond
+	// gatewaySlotGap is the least time between the slots of two gateways that do the same: the ends of two
+	// pauses in a search, or two health checks of one lagging replica.
+	gatewaySlotGap = 2 * time.Millisecond
+)
+
+// A primarySearch tries the hosts of a group in turn with writes.
+type primarySearch struct {
+	nextHost     int // index in group.hosts, modulo their number
+	triedInRound int
+	pausedUntil  time.Duration
+}
+
+// observeRole takes in the role that a host gives itself.
+func (r *Router) observeRole(host *host, role Role) {
+	group := host.group
+	switch role {
+	case RolePrimary:
+		if group.primary != host {
+			r.logf("group %d: primary is %s", group.id, host.ID)
+		}
+		group.primary, group.primarySeenAt, group.search.triedInRound = host, r.now, 0
+	case RoleReplica:
+		host.demotedAt = r.currentPosition()
+		if group.primary == host {
+			group.primary = nil
+			r.logf("group %d: %s is primary no more", group.id, host.ID)
+		}
+	}
+}
+
+// availablePrimary returns the primary, or nil where it is unknown or may not get a request now.
+func (r *Router) availablePrimary(group *group) *host {
+	if group.primary != nil && r.mayReceive(group.primary) {
+		return group.primary
+	}
+	return nil
+}
+
+// mayReceive reports whether a host may get a request now and has capacity left.
+func (r *Router) mayReceive(host *host) bool { return r.eligible(host) && host.hasCapacity() }
+
+// isResponsive reports whether a host is in service and has not stopped answering.
+func (r *Router) isResponsive(host *host) bool { return r.inService(host) && !host.unresponsive }
+
+// selectForWrite returns the host for a write, or nil where it has to wait: the primary, where it is known
+// and responsive; else the host that the list names; else the next host of the search. While one of the
+// first two is only short of capacity the write waits for it.
+func (r *Router) selectForWrite(request *request) *host {
+	group := request.group
+	if primary := group.primary; primary != nil && r.isResponsive(primary) {
+		return r.availablePrimary(group)
+	}
+	if listed := group.credibleListedPrimary(); listed != nil && r.isResponsive(listed) {
+		if r.mayReceive(listed) {
+			return listed
+		}
+		return nil
+	}
+	return r.searchPrimary(request)
+}
+
+// credibleListedPrimary returns the host that the list names as primary, or nil where there is none or it
+// has answered as a replica since. A search in its place would send several writes of each gateway to
+// replicas.
+func (g *group) credibleListedPrimary() *host {
+	if g.listedPrimary != nil && g.listedPrimary.demotedAt < g.listedPrimaryAt {
+		return g.listedPrimary
+	}
+	return nil
+}
+
+// searchPrimary returns the next host of the group's search that may get a write, or nil during the pause
+// after a round. It keeps the request's last attempt for a primary that is found in time.
+func (r *Router) searchPrimary(request *request) *host {
+	group := request.group
+	lastAttempt := request.attemptCount > 0 && request.attemptCount >= r.settings.MaxAttempts-1
+	if r.now < group.search.pausedUntil || lastAttempt {
+		return nil
+	}
+	for range group.hosts {
+		candidate := r.nextSearchHost(group)
+		// A warming host that rejects a write has had the load of it all the same.
+		if r.mayReceive(candidate) && r.admitSlowStart(candidate, 1, r.now-request.arrivedAt) {
+			return candidate
+		}
+	}
+	return nil
+}
+
+// nextSearchHost advances the search by one host. After a round it pauses until a slot of this gateway's
+// own, so that the gateways' rounds don't coincide.
+func (r *Router) nextSearchHost(group *group) *host {
+	search := &group.search
+	next := group.hosts[search.nextHost%len(group.hosts)]
+	search.nextHost++
+	search.triedInRound++
+	if search.triedInRound >= len(group.hosts) {
+		search.triedInRound = 0
+		pauseMs := durationToMillis(r.scaleToObjective(primarySearchPause))
+		slots := r.roster.Schedule()
+		endMs := slots.NextSlot(durationToMillis(r.now), pauseMs, durationToMillis(gatewaySlotGap))
+		search.pausedUntil = millisToDuration(endMs)
+	}
+	return next
+}
+
+// receivesAsPrimary reports whether a request comes to a host because it is the primary, or is listed as
+// such.
+func (h *host) receivesAsPrimary(request *request) bool {
+	isListed := request.class.Consistency == ConsistencyWrite && h == h.group.listedPrimary
+	return h == h.group.primary || isListed
+}
--- /dev/null
+++ b/routing/retry.go
@@ -0,0 +1,108 @@
+package routing
+
+import "time"
+
+// Retry and giving up. A request may be attempted while its time, its attempts and its idempotency allow
+// it; else it gets its final answer at once, so that the client can act on it.
+
+const (
+	// minLatencyShare is the part of its class's mean answer time that an answer takes at least.
+	minLatencyShare = 0.7
+	// dedupWindowMargin is the end of a deduplication window that is left unused, at most a fifth of the
+	// window: hosts count it from when an attempt arrives, and one attempt may be on its way longer than
+	// another.
+	dedupWindowMargin = 20 * time.Millisecond
+	// dedupWindowMarginDivisor is the part of a short deduplication window that is left unused: one fifth.
+	dedupWindowMarginDivisor = 5
+	// waitingCheckInterval is the interval at which requests that wait are looked at.
+	waitingCheckInterval = 10 * time.Millisecond
+)
+
+// mayAttempt reports whether a request that has no attempt in flight may be sent, now or later.
+func (r *Router) mayAttempt(request *request) bool {
+	switch {
+	case r.deadlineIsDue(request),
+		request.attemptCount >= r.settings.MaxAttempts,
+		request.causedError,
+		r.isUnseenTooLong(request),
+		r.isTooLateToCount(request):
+		return false
+	}
+	return r.mayRepeat(request)
+}
+
+// hasWaited reports whether a request arrived before this moment. What has just arrived is tried in any
+// case.
+func (r *Router) hasWaited(request *request) bool { return r.now > request.arrivedAt }
+
+// deadlineIsDue reports whether a request's deadline has passed, or would pass before it is looked at
+// again.
+func (r *Router) deadlineIsDue(request *request) bool {
+	if r.now >= request.deadline {
+		return true
+	}
+	nextLook := r.now + 2*r.settings.TickInterval + r.scaleToObjective(waitingCheckInterval)
+	return r.hasWaited(request) && nextLook >= request.deadline
+}
+
+// isUnseenTooLong reports whether half of a request's time has passed and no attempt has reached a host.
+// Its client is answered while there is time to send it again.
+func (r *Router) isUnseenTooLong(request *request) bool {
+	if request.reachedHost || !r.hasWaited(request) {
+		return false
+	}
+	nextLook := r.now + r.scaleToObjective(waitingCheckInterval)
+	return nextLook >= request.arrivedAt+request.TimeLeft/2
+}
+
+// isTooLateToCount reports whether an answer would come after the latency objective to a request whose late
+// answers have no weight. It is shed at once.
+func (r *Router) isTooLateToCount(request *request) bool {
+	if request.class.LateWeightShare != 0 || !r.hasWaited(request) {
+		return false
+	}
+	earliestAnswer := r.now + secondsToDuration(minLatencyShare*r.latencies[request.Class].meanSeconds)
+	return earliestAnswer >= min(request.arrivedAt+request.class.LatencyObjective, request.deadline)
+}
+
+// mayRepeat reports whether it does no harm to send a request (again): it has not run, or hosts bear or
+// drop its repeat.
+func (r *Router) mayRepeat(request *request) bool {
+	if !request.mayHaveRun {
+		return true
+	}
+	switch request.class.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentWithKey:
+		return r.now < request.retryBefore()
+	}
+	return false
+}
+
+// retryBefore returns the clock time until which hosts drop the repeat of a request with an idempotency key
+// that may have run; 0 for any other request.
+func (q *request) retryBefore() time.Duration {
+	if !q.mayHaveRun || q.class.Idempotency != IdempotentWithKey {
+		return 0
+	}
+	window := q.class.DedupWindow
+	return q.uncertainSince + window - min(dedupWindowMargin, window/dedupWindowMarginDivisor)
+}
+
+// giveUp gives a request its final answer: Reject where the client may send it again without harm, else
+// Fail.
+func (r *Router) giveUp(request *request) {
+	droppedAnywhere := request.class.Idempotency == IdempotentWithKey && request.class.KeySharedByAllHosts
+	harmless := !request.mayHaveRun || request.class.Idempotency == Idempotent || droppedAnywhere
+	switch {
+	case !harmless:
+		r.emit(Fail{request.ID})
+	case r.settings.RetryAfterAllowed:
+		// The longest wait: most retries that come sooner would come too late for their objective all the same.
+		r.emit(Reject{request.ID, r.settings.MaxRetryAfter})
+	default:
+		r.emit(Reject{Request: request.ID})
+	}
+	r.finish(request)
+}
--- /dev/null
+++ b/routing/routing.go
@@ -0,0 +1,44 @@
+// Package routing decides, for one gateway, which database host serves each request, and when a request is
+// admitted, retried, rejected or failed. It is a pure module: no goroutine, no clock, no I/O, no global
+// state.
+//
+// # Messages
+//
+// The embedding program builds a Router with New, passes what has happened as Events to Router.Step and
+// carries out the Actions that Step returns, in order. It calls Step whenever it has events and whenever
+// the time of the last SetTimer has come. All times are clock times of the embedding program.
+//
+// # Model
+//
+// The hosts are divided into groups; a group is one primary and its replicas. As in Harmonia, a gateway
+// keeps a dirty set, the writes that are in flight, and the position of the last completed write, here for
+// each session (see consistency.go). A read whose session has nothing in the dirty set goes to any replica
+// that has applied the position it needs; a read of a dirty session, and every write, goes to the primary.
+// Nothing is shared between gateways: what a gateway doesn't know about a replica is decided on the safe
+// side, or checked by the replica itself (see StalenessCheck).
+//
+// # Files
+//
+// Each rule stands in a file named after it: consistency.go (session consistency), replica.go and lag.go
+// (choice of a replica), primary.go (primary discovery), outlier.go (outlier detection and ejection),
+// attempt_timeout.go, latency.go, concurrency.go (adaptive concurrency limit), admission.go (load shedding
+// by priority), retry.go (retry, deduplication window, giving up), slowstart.go, subset.go, endpoints.go
+// (endpoint list and draining), exclusion.go (exclusion by hand), maintenance.go and timer.go. router.go
+// and dispatch.go connect them.
+//
+// # Invariants
+//
+//   - A request has at most one attempt in flight, and gets at most one final answer: Reject, Fail, or the
+//     result of an attempt with RequestDone.
+//   - A request that may have run is sent again only if it is idempotent, or inside its deduplication window.
+//   - A host that is draining, gone or excluded gets no new request, except the primary during the drain
+//     grace period. (Where Settings.RemovalNotBinding is set, a host that the list drops stays in service.)
+//   - The same seed and the same events lead to the same actions: no decision depends on the order of a map.
+//   - Events about requests, attempts or hosts that the Router doesn't know, and events that come late or
+//     twice, are ignored. A clock that goes back is taken to stand still.
+//   - A Router that has nothing to do sets no timer.
+//
+// After a restart the program builds a new Router with a new seed. It knows nothing of the previous one's
+// sessions; Settings.SessionTokensCarried and SiblingProcess cover what clients may expect across a
+// restart.
+package routing
