--- a/routing/replica.go
+++ b/routing/replica.go
@@ -18,19 +18,37 @@
 	positionCheckTimeout = 50 * time.Millisecond
 )
 
-// replicaCandidates are the replicas of a group that a read may go to.
-type replicaCandidates struct {
-	upToDate []*host // at or past the required position, with capacity
-	lagging  []*host // behind it as far as is known, but perhaps not by much
-	anyFull  bool    // a replica at or past the required position has no capacity left
-}
+// replicaFitness says how well a host suits a read.
+type replicaFitness int
+
+const (
+	replicaUnsuitable replicaFitness = iota // the primary, not eligible, or tried already
+	replicaUpToDate                         // at or past the required position, with capacity
+	replicaFull                             // at or past the required position, without capacity
+	replicaLagging                          // behind it as far as is known, but perhaps not by much
+	replicaFarBehind                        // known to be so far behind it that it would reject the read
+)
 
 // selectForRead returns a random replica among those at or past the required position. If there is none, it
 // returns the most advanced replica where replicas check, else the primary. It returns nil where the read
 // has to wait, or is to be shed (request.shed).
 func (r *Router) selectForRead(request *request, required Position) *host {
-	candidates := r.replicaCandidates(request, required)
-	replica := r.pickReplica(request, r.preferSubset(request.group, candidates.upToDate))
+	var upToDate, lagging []*host
+	anyFull := false
+	for _, host := range request.group.hosts {
+		switch r.replicaFitness(host, request, required) {
+		case replicaUpToDate:
+			upToDate = append(upToDate, host)
+		case replicaFull:
+			anyFull = true
+		case replicaLagging:
+			r.healthCheckLagging(host)
+			lagging = append(lagging, host)
+		case replicaFarBehind:
+			r.healthCheckLagging(host)
+		}
+	}
+	replica := r.pickReplica(request, r.preferSubset(request.group, upToDate))
 	if replica != nil || request.shed {
 		return replica
 	}
@@ -38,38 +56,34 @@
 	primaryBusy := primary == nil || len(primary.openAttempts) > 0
 	replicasCheck := r.settings.StalenessCheck != StalenessCheckNone
 	switch {
-	case candidates.anyFull && primaryBusy:
+	case anyFull && primaryBusy:
 		return nil // wait for a replica; only a primary without an attempt from here helps out
-	case !replicasCheck && r.awaitPosition(request, r.preferSubset(request.group, candidates.lagging)):
+	case !replicasCheck && r.awaitPosition(request, r.preferSubset(request.group, lagging)):
 		return nil
-	case replicasCheck && !candidates.anyFull:
-		if replica := r.mostAdvancedReplica(candidates.lagging); replica != nil {
+	case replicasCheck && !anyFull:
+		if replica := r.mostAdvancedReplica(lagging); replica != nil {
 			return replica
 		}
 	}
 	return r.availablePrimary(request.group)
 }
 
-// replicaCandidates returns the replicas that a read may go to. Where health checks tell that a checking
-// replica is far behind, it is no candidate: it would only reject the read.
-func (r *Router) replicaCandidates(request *request, required Position) replicaCandidates {
-	var candidates replicaCandidates
-	trustsPositions := r.settings.StalenessCheck != StalenessCheckNone && r.settings.HealthChecksAllowed
-	for _, host := range request.group.hosts {
-		switch {
-		case host.role() == primaryRole || !r.eligible(host) || slices.Contains(request.triedHosts, host):
-		case required > 0 && r.estimatedPosition(host) < required:
-			r.healthCheckLagging(host)
-			if !trustsPositions || r.estimatedPosition(host)+negligibleLag >= required {
-				candidates.lagging = append(candidates.lagging, host)
-			}
-		case host.hasCapacity():
-			candidates.upToDate = append(candidates.upToDate, host)
-		default:
-			candidates.anyFull = true
+// replicaFitness returns how well a host suits a read that needs a position.
+func (r *Router) replicaFitness(host *host, request *request, required Position) replicaFitness {
+	if host.role() == primaryRole || !r.eligible(host) || slices.Contains(request.triedHosts, host) {
+		return replicaUnsuitable
+	}
+	if estimated := r.estimatedPosition(host); required > 0 && estimated < required {
+		wouldReject := r.settings.StalenessCheck != StalenessCheckNone && r.settings.HealthChecksAllowed
+		if wouldReject && estimated+negligibleLag < required {
+			return replicaFarBehind
 		}
+		return replicaLagging
+	}
+	if host.hasCapacity() {
+		return replicaUpToDate
 	}
-	return candidates
+	return replicaFull
 }
 
 // pickReplica returns a random replica by selectionWeight, or nil where there is none. If the one drawn is
