--- a/routing/begun_test.go
+++ b/routing/request_test.go
@@ -1,6 +1,16 @@
 package routing
 
-import "testing"
+import (
+	"testing"
+)
+
+func TestEndInTheSameBatchAsAnOutcomeSendsNothing(t *testing.T) {
+	g := newHarness(t, nil)
+	g.listGroup()
+	g.request(1, classKeyedWrite, "s")
+	g.want(g.step(ms, AttemptResult{Request: 1, Host: "p", Outcome: OutcomeError, Role: RolePrimary}, ClientGone{1}))
+	g.want(g.step(100 * ms))
+}
 
 // On the bench slow clients took seconds for answers of megabytes: these held their members' places, and four in ten
 // requests beside them were refused. What has begun is not judged by its length, sent again or called off.
@@ -28,3 +38,19 @@
 		t.Error("one that broke off is still there")
 	}
 }
+
+// A request waits in the module as no member may be used, and its client leaves: a member that comes is not sent it.
+func TestWhoHasLeftIsNotSentWhenAMemberComes(t *testing.T) {
+	for _, left := range []bool{true, false} {
+		g := newHarness(t, nil)
+		g.step(ms, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateDraining}}})
+		g.want(g.request(1, classAny, ""))
+		if left {
+			g.want(g.step(ms, ClientGone{Request: 1}))
+		}
+		acts := g.step(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateReady}}})
+		if sent := len(acts) == 1; sent == left {
+			t.Errorf("left %v: %v", left, acts)
+		}
+	}
+}
