--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -7,7 +7,7 @@
 
 // Routers with a request now and then reach no limit of open attempts: late answers must make each let less through,
 // what is worth least for its time first, and answers in time must open the gate again.
-func TestLateAnswersThinWhatASmallRouterSends(t *testing.T) {
+func TestLateAnswersShedLoadOfSmallGateways(t *testing.T) {
 	g := newHarness(t, func(s *Settings) { s.Classes[classBounded].PriorityWeight = 0.2 })
 	g.listGroup()
 	id := uint64(0)
@@ -35,7 +35,7 @@
 }
 
 // On a quiet day one answer in ten is late by chance: that must refuse nobody.
-func TestSingleLateAnswersRefuseNobody(t *testing.T) {
+func TestSingleLateAnswersShedNothing(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	for id := uint64(1); id <= 200; id++ {
--- a/routing/attempt_timeout_test.go
+++ b/routing/attempt_timeout_test.go
@@ -5,7 +5,7 @@
 )
 
 // On the bench aims were a third of the usual: a silent member's answers were overdue only after the clients' time.
-func TestTimesFollowShortAims(t *testing.T) {
+func TestTimesFollowShortObjectives(t *testing.T) {
 	g := newHarness(t, func(s *Settings) {
 		for i := range s.Classes {
 			s.Classes[i].LatencyObjective /= 4
@@ -24,7 +24,7 @@
 
 // An answer that is lost leaves its attempt open at a member that answers others: the attempt's own patience must
 // end it, and the request go elsewhere while it is still worth something.
-func TestLostAnswerIsNotWaitedForWhileItsMemberAnswersOthers(t *testing.T) {
+func TestLostAnswerIsNotWaitedForWhileItsHostAnswersOthers(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	for id := uint64(100); id < 200; id++ { // the class's usual time
--- a/routing/consistency_test.go
+++ b/routing/consistency_test.go
@@ -67,7 +67,7 @@
 
 // Another process of the gateway may have answered a write of any session: while it lives, and for what it did until it
 // ended, no replica is taken to be fresh that has not said so since.
-func TestBesideAnotherRouterSessionsCountAsHavingWritten(t *testing.T) {
+func TestSiblingProcessMakesSessionsCountAsHavingWritten(t *testing.T) {
 	g := newHarness(t, func(s *Settings) { s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, false })
 	g.listGroup()
 	g.catchUp()
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestDrainedMemberGetsNothingNew(t *testing.T) {
+func TestDrainingHostGetsNothingNew(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	g.step(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateDraining}, {ID: "p", Group: 1, State: StateDraining}}})
@@ -27,7 +27,7 @@
 }
 
 // A drain that counts as told since some time ends the use of a primary that long sooner.
-func TestADrainingPrimaryIsUsedForTheGraceSinceItWasTold(t *testing.T) {
+func TestDrainGracePeriodCountsFromNotification(t *testing.T) {
 	for _, c := range []struct {
 		told time.Duration // before the list came
 		used bool
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestDrainToldWhileARequestWaits(t *testing.T) {
+func TestDrainWhileARequestWaits(t *testing.T) {
 	g := newHarness(t, nil)
 	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateReady}}})
 	n := uint64(initialConcurrencyLimit)
@@ -58,7 +58,7 @@
 }
 
 // A probe of each new member by each gateway is a connection and a probe for every pair of a fleet and its hosts.
-func TestNewMembersAreProbedOnlyWhereReplicasDoNotCheck(t *testing.T) {
+func TestNewHostsGetHealthChecksOnlyWhereReplicasDoNotCheck(t *testing.T) {
 	for check, want := range map[StalenessCheck]int{StalenessCheckNone: 2, StalenessCheckReject: 0, StalenessCheckWait: 0} {
 		g, probes := newHarness(t, func(s *Settings) { s.StalenessCheck = check }), 0
 		for _, a := range g.router.Step(g.now, []Event{EndpointUpdate{Full: true, Endpoints: []Endpoint{
@@ -75,7 +75,7 @@
 
 // What a list says may be empty, repeated, contradictory or large, and events may come late, twice or for nothing:
 // none of it may panic, send past a drain or answer twice.
-func TestOddListsReportsAndClocks(t *testing.T) {
+func TestContradictoryListsReportsAndClocks(t *testing.T) {
 	g := newHarness(t, nil)
 	g.step(0, EndpointUpdate{}, EndpointUpdate{Full: true}, EndpointUpdate{Failed: true})
 	g.want(g.step(ms, Request{ID: 1, Class: classAny, Tenant: -1, Group: 1, TimeLeft: time.Second}))
--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -6,7 +6,7 @@
 )
 
 // A list, a restart or a drain that ends must not bring a member back that operators have taken out; one call back must.
-func TestABanWinsOverTheListUntilOneInclude(t *testing.T) {
+func TestExclusionOverrulesTheListUntilOneInclude(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	g.catchUp()
@@ -42,7 +42,7 @@
 
 // The rule on drains holds from the ban on: a primary, which nobody can stand in for at once, is used while the grace
 // lasts, and no longer where it was banned by an earlier process.
-func TestABannedPrimaryHasTheGraceOfADrain(t *testing.T) {
+func TestExcludedPrimaryHasTheDrainGracePeriod(t *testing.T) {
 	for _, c := range []struct {
 		ago  time.Duration
 		want bool
--- a/routing/lag_test.go
+++ b/routing/lag_test.go
@@ -6,7 +6,7 @@
 )
 
 // On the bench reads were tried at replicas that lagged by seconds, again and again, and each waited to be turned away.
-func TestALaggingReplicaIsAskedNotTried(t *testing.T) {
+func TestLaggingReplicaGetsHealthChecksNotReads(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	g.now += 20 * time.Second
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -6,7 +6,7 @@
 )
 
 // On the bench clients' time was up before an answer was overdue: no time-out ever counted against a silent member.
-func TestATimeOutOfASilentMemberCounts(t *testing.T) {
+func TestTimeoutCountsAgainstUnresponsiveHost(t *testing.T) {
 	for _, talks := range []bool{false, true} {
 		g := newHarness(t, nil)
 		g.listGroup()
@@ -26,7 +26,7 @@
 
 // One lost connection takes all its attempts with it, and on some days connections are lost often: a member
 // must not be left alone for it.
-func TestBrokenConnectionIsNoDeadMember(t *testing.T) {
+func TestLostConnectionIsNoDeadHost(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	for id := range uint64(3) {
@@ -41,7 +41,7 @@
 
 // A bad request gets a quick error from whichever member is asked. Such errors move from member to member: they must
 // neither be repeated nor count against members, while those of one failing member alone are still repeated.
-func TestQuickErrorsFromEveryMemberAreTheRequestsOwn(t *testing.T) {
+func TestQuickErrorsFromEveryHostAreRequestCaused(t *testing.T) {
 	repeats := func(fails func(member string) bool) (n int) {
 		g := newHarness(t, nil)
 		g.listGroup()
@@ -73,7 +73,7 @@
 
 // A primary that alone refuses connections is dead, and another is sought. Where one member after another refuses
 // while others answer, connections are scarce: the primary is kept, and no replica is asked to take its writes.
-func TestSqueezedConnectionsAreNoDeadPrimary(t *testing.T) {
+func TestScarceConnectionsAreNoDeadPrimary(t *testing.T) {
 	for _, squeezed := range []bool{false, true} {
 		g := newHarness(t, nil)
 		g.listGroup()
--- a/routing/primary_test.go
+++ b/routing/primary_test.go
@@ -15,7 +15,7 @@
 }
 
 // The first list's word is taken: the first writes go to the member that it names, each of them.
-func TestFirstWritesGoToTheNamed(t *testing.T) {
+func TestFirstWritesGoToTheListedPrimary(t *testing.T) {
 	g := newListedPrimaryHarness(t, nil)
 	for id := uint64(1); id <= 3; id++ {
 		if to := attemptedHosts(g.step(ms, writeRequest(id))); len(to) != 1 || to[0] != "c" {
@@ -25,7 +25,7 @@
 }
 
 // Where the member that is named says that it is none, the others are tried, until the list names another.
-func TestNamedIsNone(t *testing.T) {
+func TestListedPrimaryThatIsReplicaIsDropped(t *testing.T) {
 	g := newListedPrimaryHarness(t, nil)
 	g.step(ms, writeRequest(1))
 	if to := attemptedHosts(g.step(ms, AttemptResult{Request: 1, Attempt: 0, Host: "c", Outcome: OutcomeMisdirected, Role: RoleReplica})); len(to) != 1 || to[0] == "c" {
@@ -38,7 +38,7 @@
 }
 
 // What answers as primary goes before what the list names: the list is late.
-func TestAnswerBeforeList(t *testing.T) {
+func TestAnswerAsPrimaryOverrulesTheList(t *testing.T) {
 	g := newListedPrimaryHarness(t, nil)
 	g.step(ms, writeRequest(1))
 	g.step(ms, AttemptResult{Request: 1, Attempt: 0, Host: "c", Outcome: OutcomeOK, Role: RolePrimary, RequestDone: true})
@@ -49,7 +49,7 @@
 }
 
 // A read never goes by the list's word: session reads that need the primary wait or go elsewhere by proof.
-func TestReadsDontGoByTheList(t *testing.T) {
+func TestReadsDontGoToTheListedPrimary(t *testing.T) {
 	g := newListedPrimaryHarness(t, func(s *Settings) { s.StalenessCheck = StalenessCheckNone; s.HealthChecksAllowed = false })
 	if to := attemptedHosts(g.step(ms, Request{ID: 1, Class: classStrong, Tenant: -1, Group: 1, TimeLeft: 2 * time.Second})); len(to) > 0 {
 		t.Errorf("a fresh read goes to %v, which has proved nothing", to)
--- a/routing/replica_test.go
+++ b/routing/replica_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestMissPassesToPrimary(t *testing.T) {
+func TestMisdirectedReadGoesToPrimary(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	m := g.attemptedHost(g.request(1, classBounded, ""))
@@ -62,7 +62,7 @@
 }
 
 // A group without a primary must not have each read knock at every replica: misses tip cold members too.
-func TestMissedReadWaitsForAPrimary(t *testing.T) {
+func TestMisdirectedReadWaitsForAPrimary(t *testing.T) {
 	g := newHarness(t, nil)
 	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
 		{ID: "a", Group: 1, State: StateReady}, {ID: "b", Group: 1, State: StateReady}, {ID: "c", Group: 1, State: StateReady},
@@ -73,7 +73,7 @@
 
 // A router that seldom hears from replicas must not crowd the primary with reads: it asks a replica for its
 // position first, and only if that is too old turns to the primary.
-func TestBoundedReadAsksForAPositionWhereNoneChecks(t *testing.T) {
+func TestBoundedReadAwaitsPositionWhereNoneChecks(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		g := newHarness(t, func(s *Settings) { s.StalenessCheck = StalenessCheckNone })
 		g.listGroup()
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -14,7 +14,7 @@
 
 // On the bench slow clients took seconds for answers of megabytes: these held their members' places, and four in ten
 // requests beside them were refused. What has begun is not judged by its length, sent again or called off.
-func TestAnAnswerThatHasBegunHoldsNothingUp(t *testing.T) {
+func TestStreamingAnswerCountsAgainstNoHostOrLimit(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	g.catchUp()
@@ -40,7 +40,7 @@
 }
 
 // A request waits in the module as no member may be used, and its client leaves: a member that comes is not sent it.
-func TestWhoHasLeftIsNotSentWhenAMemberComes(t *testing.T) {
+func TestGoneClientsRequestIsNotSentWhenAHostComes(t *testing.T) {
 	for _, left := range []bool{true, false} {
 		g := newHarness(t, nil)
 		g.step(ms, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "a", Group: 1, State: StateDraining}}})
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -6,7 +6,7 @@
 )
 
 // On the bench requests were refused after more than half of their time that no host had ever seen.
-func TestWhatNoHostHasSeenIsRefusedByHalfOfItsTime(t *testing.T) {
+func TestUnseenRequestIsRejectedByHalfOfItsTime(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "p", Group: 1, State: StateDraining}, {ID: "a", Group: 1, State: StateDraining}}})
@@ -25,7 +25,7 @@
 	t.Error("never refused")
 }
 
-func TestUnsafeWriteIsNeverRepeatedAfterDoubt(t *testing.T) {
+func TestNonIdempotentWriteIsNeverRetriedAfterDoubt(t *testing.T) {
 	for _, o := range []Outcome{OutcomeError, OutcomeTimeout, OutcomeConnectionLost, OutcomeCancelled} {
 		g := newHarness(t, nil)
 		g.listGroup()
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestUnsafeWriteIsRepeatedAfterProof(t *testing.T) {
+func TestNonIdempotentWriteIsRetriedAfterProof(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	g.request(1, classUnsafeWrite, "s")
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestKeyedWriteStaysInsideItsWindow(t *testing.T) {
+func TestKeyedWriteStaysInsideItsDedupWindow(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	g.request(1, classKeyedWrite, "s")
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -10,7 +10,7 @@
 // Hundreds of routers with a trickle each must keep a cold group within its limit together: a floor or a burst
 // for each router, however small, adds up to far too much. The routers are stepped side by side; those sends are
 // counted that reach the cold members in the first seconds.
-func TestManyRoutersKeepColdMembersWithinTheirLimitTogether(t *testing.T) {
+func TestManyGatewaysKeepWarmingHostsWithinTheirLimitTogether(t *testing.T) {
 	const routers, warmRate = 300, 300 // requests a second that the whole group answered when warm
 	list := EndpointUpdate{Full: true}
 	for _, id := range []string{"a", "b", "c"} {
@@ -39,7 +39,7 @@
 
 // A cold primary has all the writes of its group, and after a search for it all that waited: each router thins
 // its own by the same chance, the held ones more.
-func TestColdPrimaryIsGuarded(t *testing.T) {
+func TestWarmingPrimaryGetsPartOfItsWrites(t *testing.T) {
 	sent := func(started time.Duration, wait time.Duration) int {
 		n := 0
 		for seed := range uint64(200) {
@@ -67,7 +67,7 @@
 }
 
 // What a cold member turns away tips it too: the writes of many routers in search of a primary must pass it by.
-func TestSearchForAPrimaryPassesColdMembersBy(t *testing.T) {
+func TestPrimarySearchSparesWarmingHosts(t *testing.T) {
 	cold := 0
 	for seed := range uint64(200) {
 		g := newHarness(t, nil)
@@ -85,7 +85,7 @@
 }
 
 // A cold member that is named gets writes by its warmth, and those that it can't take don't go astray.
-func TestNamedAndCold(t *testing.T) {
+func TestWarmingListedPrimaryGetsPartOfItsWrites(t *testing.T) {
 	g := newHarness(t, func(s *Settings) { s.GatewayCount = 300 })
 	g.step(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
 		{ID: "a", Group: 1, State: StateReady}, {ID: "b", Group: 1, State: StateReady}, {ID: "d", Group: 1, State: StateReady}, {ID: "e", Group: 1, State: StateReady},
@@ -107,7 +107,7 @@
 
 // While members of a group were cold, less was let through to it, so it answered less, so it was taken to be able to do
 // less, so less was let through: on the bench a group of warm and nearly warm members got half of its traffic in the end.
-func TestWhatAColdGroupAnswersIsNotWhatItCanDo(t *testing.T) {
+func TestAnswerRateOfWarmingGroupIsNotItsCapacity(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	g.catchUp()
@@ -143,7 +143,7 @@
 // On join+mass (seed 9351251067, 300 gateways) clients came again two and a half times on average while six in ten hosts
 // were replaced: cold ones got 3.1 times what they could do and fell. Each gateway had taken its group's usual traffic for
 // granted. Here every request comes thrice, and the cold member of each group must not get more than it can do.
-func TestColdMembersAreSparedASurge(t *testing.T) {
+func TestWarmingHostsAreSparedALoadSurge(t *testing.T) {
 	const routers, each = 60, 10 // requests a second at each, in calm: too few for a budget of their own
 	const groups = 20
 	for _, times := range []int{1, 3} {
@@ -203,7 +203,7 @@
 
 // A router that starts while a group is down to its last, cold member must not take that for the group's size: what
 // the group's other members carried before comes to this one.
-func TestARouterThatStartsLateTakesAGroupForAsLargeAsTheOthers(t *testing.T) {
+func TestLateStartTakesGroupForAsLargeAsTheOthers(t *testing.T) {
 	g := newHarness(t, nil)
 	list := EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: "cold", Group: 1, State: StateReady, StartedAt: g.now}}}
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -226,7 +226,7 @@
 
 // While six in ten members of a fleet are replaced, the new ones stand beside the old for some seconds. Groups were then
 // taken to be made for twice their traffic, and until the end of the day half of what came to cold members was refused.
-func TestMembersThatReplaceOthersMakeNoGroupLarger(t *testing.T) {
+func TestReplacingHostsMakeNoGroupLarger(t *testing.T) {
 	sentOf := func(overlap bool) (sent int) {
 		g := newHarness(t, nil)
 		group := func(from, to int, state EndpointState, started time.Duration) (e EndpointUpdate) {
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -49,7 +49,7 @@
 }
 
 // Eight routers of which each knows its number keep to two replicas each, at random among them; together they use all.
-func TestRoutersKeepToTheirSubsets(t *testing.T) {
+func TestGatewaysKeepToTheirSubsets(t *testing.T) {
 	all := map[string]int{}
 	for index := 1; index <= 8; index++ {
 		got := readsByHost(newSubsetHarness(t, index, relaxFirstClass), 100, 40)
@@ -95,7 +95,7 @@
 }
 
 // A new view of the gateways changes the subset; one that says nothing new doesn't.
-func TestPeersChangeTheSubset(t *testing.T) {
+func TestRosterChangesTheSubset(t *testing.T) {
 	g := newSubsetHarness(t, 0, relaxFirstClass)
 	names := func(n int) (list []fleet.Gateway) {
 		for i := range n {
@@ -125,7 +125,7 @@
 }
 
 // Reads ask replicas of the subset where they stand, and new members are not asked by everybody at once.
-func TestOnlyTheSubsetIsAsked(t *testing.T) {
+func TestOnlyTheSubsetGetsHealthChecks(t *testing.T) {
 	g := newSubsetHarness(t, 2, func(s *Settings) { s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, true })
 	asked := map[string]bool{}
 	step := func(events ...Event) (acts []Action) {
--- a/routing/timer_test.go
+++ b/routing/timer_test.go
@@ -7,7 +7,7 @@
 
 // Hundreds of routers that wake for nothing cost more than their traffic: one that holds nothing sleeps, one that
 // waits for an answer wakes when it is overdue and not before.
-func TestAnIdleRouterAsksForNoWakes(t *testing.T) {
+func TestIdleRouterSetsNoTimer(t *testing.T) {
 	g := newHarness(t, nil)
 	g.listGroup()
 	wakes := func(events ...Event) (in []time.Duration) {
