--- a/routing/admission.go
+++ b/routing/admission.go
@@ -79,5 +79,5 @@
 	if request.ClientRetry && class.LateWeightShare == 0 {
 		weight *= clientRetryWeightShare
 	}
-	return weight / r.latencies[request.Class].meanSeconds
+	return weight / r.latencyOf(request).meanSeconds
 }
--- a/routing/attempt_timeout.go
+++ b/routing/attempt_timeout.go
@@ -33,7 +33,7 @@
 		if open.overdue || age < r.attemptTimeout(request.Class) {
 			continue
 		}
-		r.latencies[request.Class].observe(age.Seconds(), overdueLatencyGain)
+		r.latencyOf(request).observe(age.Seconds(), overdueLatencyGain)
 		open.overdue = true
 		r.addStrike(host, open.nothingReceivedSince())
 		if !request.finished && r.settings.CancelAllowed && r.mayRetryAfterCancel(open) {
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -79,7 +79,7 @@
 
 // countLoadSent adds an attempt to what was sent lately, in seconds of the mean answer time of its class.
 func (r *Router) countLoadSent(request *request, target *host) {
-	seconds := r.latencies[request.Class].meanSeconds
+	seconds := r.latencyOf(request).meanSeconds
 	r.totalLoadSent += seconds
 	if target.role() == primaryRole {
 		r.primaryLoadSent += seconds
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -33,6 +33,9 @@
 	l.deviationSeconds += gain * (math.Abs(difference) - l.deviationSeconds)
 }
 
+// latencyOf returns the estimate for the class of a request.
+func (r *Router) latencyOf(request *request) *latencyEstimate { return &r.latencies[request.Class] }
+
 // scaleToObjective shortens a time in proportion where the shortest latency objective of all classes is
 // below referenceObjective. Otherwise a host's answers would become overdue only when the time of the
 // requests is over.
--- a/routing/maintenance.go
+++ b/routing/maintenance.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// Maintenance: what is due by time rather than by an event, and the fading of what the Router has learned.
+
 const (
 	// maintenanceInterval is the least time between two fadings of evidence.
 	maintenanceInterval = time.Second
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -2,13 +2,18 @@
 
 import "time"
 
-// Outlier detection and ejection, by symptom rather than by cause.
+// Outlier detection and ejection, by symptom rather than by cause. A host can be
 //
-// A host gets a strike for each answer that it owes: overdue, timed out, or a refused connection. Strikes
-// fade. One with a strike gets requests half as often, and one at a time (see eligible). A host is ejected,
-// that is, gets nothing for a while, after it refused a connection or rejected a request. It is
-// unresponsive when nothing has come from it although it owes several answers; while a primary is
-// unresponsive, another is sought (see primary.go). An answer in time ends all of it.
+//   - struck: it gets a strike for each overdue answer, for each refused connection, and for a time-out during
+//     which nothing came from it. Each strike halves how often it is picked, and with a whole strike it gets
+//     one request at a time. Strikes fade by a tenth a second; an answer that isn't overdue ends them.
+//   - ejected: it gets nothing until ejectedUntil. That is rejectionEjectionTime after it rejected a request,
+//     and connectFailureEjectionTime, or with strikes longer, after it refused a connection.
+//   - unresponsive: it has a strike, and nothing came from it during one more attempt; or it refuses
+//     connections although they aren't scarce. While a primary is unresponsive, another is sought (see
+//     primary.go). Anything that comes from it ends it.
+//
+// A restart in the endpoint list ends strikes and unresponsiveness, IncludeHost ends all three.
 
 const (
 	// maxStrikes is the greatest number of strikes of a host.
@@ -56,7 +61,7 @@
 
 // recordOutcome counts the end of an attempt for or against its host.
 func (r *Router) recordOutcome(ended *attempt, outcome Outcome) {
-	if r.saysNothingAboutHost(ended, outcome) {
+	if r.isInconclusive(ended, outcome) {
 		return
 	}
 	host := ended.host
@@ -92,7 +97,7 @@
 // saysNothingAboutHost reports whether the end of an attempt tells nothing about its host: the answer had
 // begun already, nothing was sent, the gateway cancelled it, or its time was nearly over when it was sent.
 // (A lost connection says that the host was there, and no more: recordOutcome counts it for nothing else.)
-func (r *Router) saysNothingAboutHost(ended *attempt, outcome Outcome) bool {
+func (r *Router) isInconclusive(ended *attempt, outcome Outcome) bool {
 	if ended.streaming {
 		return true
 	}
@@ -112,14 +117,14 @@
 	ended.host.group.servedCount++
 	r.loadEstimator.RequestServed(durationToMillis(r.now))
 	r.adjustConcurrencyLimit(ended.host, latency, ended.request.class)
-	r.latencies[ended.request.Class].observe(latency.Seconds(), latencyGain)
+	r.latencyOf(ended.request).observe(latency.Seconds(), latencyGain)
 }
 
 // recordRequestCausedError reports whether an outcome is an error that the request causes at whichever host
 // is tried: such errors are quick and move from host to host. They don't count against hosts, and the
 // request is not retried. Several hosts that fail quickly at the same time look alike.
 func (r *Router) recordRequestCausedError(ended *attempt, outcome Outcome) bool {
-	quickWithin := quickErrorLatencyShare * r.latencies[ended.request.Class].meanSeconds
+	quickWithin := quickErrorLatencyShare * r.latencyOf(ended.request).meanSeconds
 	isQuick := outcome == OutcomeError && (r.now-ended.sentAt).Seconds() < quickWithin
 	switch {
 	case outcome == OutcomeOK:
@@ -137,8 +142,8 @@
 // same time look alike.
 func (r *Router) recordConnectFailure(host *host) {
 	r.connectFailures.failed(host)
-	answeredLately := r.now < host.lastOutcomeAt+r.scaleToObjective(connectFailureEjectionTime)
-	if answeredLately && host.strikes <= recentStrikeThreshold { // it lives: one connection was lost
+	respondedLately := r.now < host.lastOutcomeAt+r.scaleToObjective(connectFailureEjectionTime)
+	if respondedLately && !host.hasRecentStrike() { // it is up: a single connection was lost
 		host.ejectedUntil = r.now + r.scaleToObjective(rejectionEjectionTime)
 	} else {
 		host.ejectedUntil = r.now + r.scaleToObjective(connectFailureEjectionTime)<<int(host.strikes)
@@ -155,14 +160,17 @@
 // addStrike takes in that a host owes an answer. nothingReceived says that nothing at all has come from it
 // since it got the request: if that happens again soon, it is unresponsive.
 func (r *Router) addStrike(host *host, nothingReceived bool) {
-	isRepeated := host.strikes > recentStrikeThreshold
+	isRepeated := host.hasRecentStrike()
 	host.strikes = min(host.strikes+1, maxStrikes)
 	if nothingReceived && isRepeated && !host.unresponsive {
 		host.unresponsive = true
-		r.logf("group %d: %s is silent", host.group.id, host.ID)
+		r.logf("group %d: host %s is unresponsive", host.group.id, host.ID)
 	}
 }
 
+// hasRecentStrike reports whether a host has a strike that hasn't faded much.
+func (h *host) hasRecentStrike() bool { return h.strikes > recentStrikeThreshold }
+
 // eligible reports whether a host may get a request now: it is in service, not ejected, and if it has a
 // strike it has no other attempt open.
 func (r *Router) eligible(host *host) bool {
@@ -171,3 +179,9 @@
 	}
 	return host.strikes < 1 || len(host.openAttempts) == 0
 }
+
+// mayReceive reports whether a host may get a request now and has capacity left.
+func (r *Router) mayReceive(host *host) bool { return r.eligible(host) && host.hasCapacity() }
+
+// isResponsive reports whether a host is in service and not unresponsive. It may be ejected for a while.
+func (r *Router) isResponsive(host *host) bool { return r.inService(host) && !host.unresponsive }
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -27,14 +27,14 @@
 	switch role {
 	case RolePrimary:
 		if group.primary != host {
-			r.logf("group %d: primary is %s", group.id, host.ID)
+			r.logf("group %d: host %s is now the primary", group.id, host.ID)
 		}
 		group.primary, group.primarySeenAt, group.search.triedInRound = host, r.now, 0
 	case RoleReplica:
 		host.demotedAt = r.currentPosition()
 		if group.primary == host {
 			group.primary = nil
-			r.logf("group %d: %s is primary no more", group.id, host.ID)
+			r.logf("group %d: host %s is no longer the primary", group.id, host.ID)
 		}
 	}
 }
@@ -47,12 +47,6 @@
 	return nil
 }
 
-// mayReceive reports whether a host may get a request now and has capacity left.
-func (r *Router) mayReceive(host *host) bool { return r.eligible(host) && host.hasCapacity() }
-
-// isResponsive reports whether a host is in service and has not stopped answering.
-func (r *Router) isResponsive(host *host) bool { return r.inService(host) && !host.unresponsive }
-
 // selectForWrite returns the host for a write, or nil where it has to wait: the primary, where it is known
 // and responsive; else the host that the list names; else the next host of the search. While one of the
 // first two is only short of capacity the write waits for it.
--- a/routing/request.go
+++ b/routing/request.go
@@ -24,7 +24,7 @@
 	uncertainSince time.Duration // when the first such attempt was sent
 
 	shed        bool            // the only hosts for it are warming up and get enough already
-	gateDrawn   [hostRoles]bool // it has been let through the admission gate of a role
+	gateDrawn   [hostRoles]bool // the admission gate of a role was drawn for it already
 	causedError bool            // hosts answer it with quick errors, whichever is tried
 	finished    bool            // it has its final answer, or its client is gone
 }
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -61,7 +61,7 @@
 	if request.class.LateWeightShare != 0 || !r.hasWaited(request) {
 		return false
 	}
-	earliestAnswer := r.now + secondsToDuration(minLatencyShare*r.latencies[request.Class].meanSeconds)
+	earliestAnswer := r.now + secondsToDuration(minLatencyShare*r.latencyOf(request).meanSeconds)
 	return earliestAnswer >= min(request.arrivedAt+request.class.LatencyObjective, request.deadline)
 }
 
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -19,7 +19,7 @@
 	// clientAttemptsPerRequest is how often clients send a request that is rejected, the first time included.
 	clientAttemptsPerRequest = 1.5
 	// minBudgetRate is the number of sends per second from which a gateway keeps a budget for a host. Below it
-	// a budget would round up too much over all gateways: requests are admitted by chance.
+	// a budget of whole sends is too coarse over all gateways: requests are admitted by chance.
 	minBudgetRate = 1
 )
 
