--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -4,9 +4,10 @@
 
 // Outlier detection and ejection, by symptom rather than by cause. A host can be
 //
-//   - struck: it gets a strike for each overdue answer, for each refused connection, and for a time-out during
-//     which nothing came from it. Each strike halves how often it is picked, and with a whole strike it gets
-//     one request at a time. Strikes fade by a tenth a second; an answer that isn't overdue ends them.
+//   - struck: it gets a strike for each overdue answer, for each refused connection, and for a time-out
+//     during which nothing came from it. Each strike halves how often it is picked, and with a whole strike
+//     it gets one request at a time. Strikes fade by a tenth a second; an answer that isn't overdue ends
+//     them.
 //   - ejected: it gets nothing until ejectedUntil. That is rejectionEjectionTime after it rejected a request,
 //     and connectFailureEjectionTime, or with strikes longer, after it refused a connection.
 //   - unresponsive: it has a strike, and nothing came from it during one more attempt; or it refuses
