--- a/internal/testkit/knownred_test.go
+++ b/internal/testkit/knownred_test.go
@@ -15,7 +15,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	const form = "TestName | command and seed | what was seen | issue is asked for"
 	module := func(tests string) string {
+		t.Helper()
 		dir := t.TempDir()
 		for name, text := range map[string]string{
 			"go.mod": "module m\n\ngo 1.24\n",
@@ -37,17 +39,19 @@
 		{list: "-", want: []string{"--- FAIL: TestRed "}},
 		{list: "", want: []string{"--- FAIL: TestRed "}, not: "known red"},
 		{list: "# nothing yet\n\n", want: []string{"--- FAIL: TestRed "}, not: "known red"},
-		{list: "TestRed | a real fault | 16\n", passes: true, want: []string{
-			"known red: TestRed: a real fault (issue 16)", "TestRed is still red", "red as ever"}},
+		{list: "TestRed | go test ., seed 3 | a real fault | 16\n", passes: true, want: []string{
+			"known red: TestRed: a real fault (issue 16; go test ., seed 3)", "TestRed is still red", "red as ever"}},
 		// The name is a whole name: TestRedder is not passed over for TestRed.
-		{list: "TestRed | a real fault | 16", more: `t.Error("worse")`, want: []string{"TestRed is still red", "worse"}},
-		{list: "TestRed|a fault|16\n TestGreen | was red | 17 \n", passes: true, want: []string{"TestGreen is GREEN now"}},
-		{list: "TestGone | a fault | 16\n", want: []string{"no test has the name TestGone"}},
-		{list: "TestRed | a fault |\n", want: []string{"line 1: TestRed: TestName | cause | issue is asked for"}},
-		{list: "TestRed\n", want: []string{"line 1: TestRed: TestName | cause | issue is asked for"}},
-		{list: "\nTestRed | a | b | c\n", want: []string{"line 2: TestRed: TestName | cause | issue is asked for"}},
-		{list: "Test.* | all of them | 16\n", want: []string{`line 1: "Test.*" is no test's name`}},
-		{list: "TestRed|a|1\nTestRedder|a|1\nTestGreen|a|1\nTestGreen|a|1\n", want: []string{"lists 4 tests, 3 at most"}},
+		{list: "TestRed | go test . | a real fault | 16", more: `t.Error("worse")`, want: []string{"TestRed is still red", "worse"}},
+		{list: "TestRed|go test .|a fault|16\n TestGreen | go test . | was red | 17 \n", passes: true, want: []string{"TestGreen is GREEN now"}},
+		{list: "TestGone | go test . | a fault | 16\n", want: []string{"no test has the name TestGone"}},
+		{list: "TestRed | go test . | a fault |\n", want: []string{"line 1: TestRed: " + form}},
+		{list: "TestRed | a fault | 16\n", want: []string{"line 1: TestRed: " + form}},
+		{list: "TestRed | | a fault | 16\n", want: []string{"line 1: TestRed: " + form}},
+		{list: "TestRed\n", want: []string{"line 1: TestRed: " + form}},
+		{list: "\nTestRed | a | b | c | d\n", want: []string{"line 2: TestRed: " + form}},
+		{list: "Test.* | go test . | all of them | 16\n", want: []string{`line 1: "Test.*" is no test's name`}},
+		{list: "TestRed|c|a|1\nTestRedder|c|a|1\nTestGreen|c|a|1\nTestGreen|c|a|1\n", want: []string{"lists 4 tests, 3 at most"}},
 	} {
 		dir := module(c.more)
 		if c.list != "-" {
