--- a/cmd/faultsim/demo.go
+++ b/cmd/faultsim/demo.go
@@ -19,7 +19,7 @@
 func demoCommand() *cobra.Command {
 	var o options
 	cmd := &cobra.Command{
-		Use: "demo", Short: "Three gateways, five stand-in hosts and a load for ten seconds; one gateway is killed on the way", Args: cobra.NoArgs,
+		Use: "demo", Short: "Three gateways, five stub hosts and a load for ten seconds; one gateway is killed on the way", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			e, err := faultsim.ParseExperiment("demo.toml", demoExperiment)
 			if err != nil {
@@ -35,19 +35,19 @@
 					return err
 				}
 			}
-			out, f := cmd.OutOrStdout(), r.Figures
-			fmt.Fprintf(out, "%s\n\n", e.About)
+			out, f := cmd.OutOrStdout(), r.Measurements
+			printf(out, "%s\n\n", e.About)
 			w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-			fmt.Fprintf(w, "requests\t%.0f: %.0f served, %.0f refused, %.0f failed, %.0f at the gateway that was killed\n",
+			printf(w, "requests\t%.0f: %.0f served, %.0f refused, %.0f failed, %.0f at the gateway that was killed\n",
 				f["sent"], f["served"], f["refused"], f["failed"], f["excused"])
-			fmt.Fprintf(w, "latency from the intended time\t%.1f ms at the median, %.1f ms at 99 %%\n", f["p50_ms"], f["p99_ms"])
-			fmt.Fprintf(w, "the killed gateway\tdoubted after %.0f ms, known to all after %.0f ms\n", f["suspect_ms"], f["everyone_ms"])
+			printf(w, "latency from the intended time\t%.1f ms at the median, %.1f ms at 99 %%\n", f["p50_ms"], f["p99_ms"])
+			printf(w, "the killed gateway\tdoubted after %.0f ms, known to all after %.0f ms\n", f["suspect_ms"], f["everyone_ms"])
 			for h := range len(r.Hosts) {
 				name := fmt.Sprintf("h%d", h)
-				fmt.Fprintf(w, "statements at %s\t%d\n", name, r.Hosts[name])
+				printf(w, "statements at %s\t%d\n", name, r.Hosts[name])
 			}
 			_ = w.Flush()
-			fmt.Fprintln(out)
+			printf(out, "\n")
 			if !say(out, "", r.Verdicts, true) {
 				return errShort
 			}
@@ -70,9 +70,9 @@
 				return err
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			fmt.Fprintf(w, "\t%s\t%s\n", args[0], args[1])
+			printf(w, "\t%s\t%s\n", args[0], args[1])
 			for _, row := range rows {
-				fmt.Fprintf(w, "%s\t%s\t%s\n", row.Name, row.Values[0], row.Values[1])
+				printf(w, "%s\t%s\t%s\n", row.Name, row.Values[0], row.Values[1])
 			}
 			return w.Flush()
 		},
--- a/cmd/faultsim/main.go
+++ b/cmd/faultsim/main.go
@@ -1,4 +1,4 @@
-// Command faultsim is the laboratory: it plays experiments on a fleet of gateways.
+// Command faultsim, the fault simulator, plays experiments on a fleet of gateways.
 package main
 
 import (
@@ -95,7 +95,7 @@
 				if err != nil {
 					return fmt.Errorf("%s: %w", file, err)
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d gateways, %d steps in %.0f s: fine\n", file, e.Fleet.Gateways, len(steps), e.Seconds)
+				printf(cmd.OutOrStdout(), "%s: %d gateways, %d steps in %.0f s: fine\n", file, e.Fleet.Gateways, len(steps), e.Seconds)
 			}
 			return nil
 		},
@@ -109,7 +109,7 @@
 		return false, err
 	}
 	if (o.engine == "emulated" || o.engine == "processes") && !slices.Contains(e.Engines, o.engine) {
-		fmt.Fprintf(cmd.OutOrStdout(), "%s: passed over, it is only for the engine %s\n", e.Name, strings.Join(e.Engines, ", "))
+		printf(cmd.OutOrStdout(), "%s: passed over, it is only for the engine %s\n", e.Name, strings.Join(e.Engines, ", "))
 		return true, nil
 	}
 	log, err := o.logger()
@@ -147,15 +147,15 @@
 	out := cmd.OutOrStdout()
 	ok = true
 	for _, r := range results {
-		fmt.Fprintf(out, "%s, %s, seed %d, %d gateways, %.1f s", r.Experiment, r.Engine, r.Seed, r.Gateways, r.Took.Seconds())
+		printf(out, "%s, %s, seed %d, %d gateways, %.1f s", r.Experiment, r.Engine, r.Seed, r.Gateways, r.Took.Seconds())
 		if r.Engine == "emulated" {
-			fmt.Fprintf(out, ", %d datagrams, trace %016x", r.Datagrams, r.Trace)
+			printf(out, ", %d datagrams, trace %016x", r.Datagrams, r.Trace)
 		}
-		fmt.Fprintln(out)
+		printf(out, "\n")
 		ok = say(out, "  ", r.Verdicts, o.seeds == 1) && ok
 		if o.figures {
-			for _, name := range slices.Sorted(maps.Keys(r.Figures)) {
-				fmt.Fprintf(out, "       %s: %.6g\n", name, r.Figures[name])
+			for _, name := range slices.Sorted(maps.Keys(r.Measurements)) {
+				printf(out, "       %s: %.6g\n", name, r.Measurements[name])
 			}
 		}
 	}
@@ -167,7 +167,7 @@
 	ok := true
 	for _, v := range list {
 		if !v.OK || all {
-			fmt.Fprintln(out, indent+v.Text)
+			printf(out, "%s%s\n", indent, v.Text)
 		}
 		ok = ok && v.OK
 	}
--- a/cmd/faultsim/main_test.go
+++ b/cmd/faultsim/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -45,7 +46,7 @@
 	if out, err := command("run", write(t, "5000"), "--seeds", "2", "--report", a); err != nil || strings.Count(out, "small, emulated, seed") != 2 {
 		t.Errorf("%v: %s", err, out)
 	}
-	if out, err := command("run", write(t, "1"), "--report", b); err != errShort || !strings.Contains(out, "FAIL first_ms") {
+	if out, err := command("run", write(t, "1"), "--report", b); !errors.Is(err, errShort) || !strings.Contains(out, "FAIL first_ms") {
 		t.Errorf("a bound of 1 ms: %v: %s", err, out)
 	}
 	if out, err := command("compare", a, b); err != nil || !strings.Contains(out, "first_ms") {
--- a/cmd/faultsim/program.go
+++ b/cmd/faultsim/program.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return "", clean, err
 	}
-	clean = func() { os.RemoveAll(dir) }
+	clean = func() { _ = os.RemoveAll(dir) } // left in the system's folder for temporary files at worst
 	path = filepath.Join(dir, "merlinjunction")
 	if out, err := exec.Command("go", "build", "-o", path, "merlinjunction/cmd/merlinjunction").CombinedOutput(); err != nil {
 		clean()
--- a/internal/faultsim/choices_test.go
+++ b/internal/faultsim/choices_test.go
@@ -32,7 +32,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.Figures["served_share"] == 0 || len(r.Verdicts) < 5 {
+			if r.Measurements["served_share"] == 0 || len(r.Verdicts) < 5 {
 				t.Fatalf("nothing was asked: %v", r.Verdicts)
 			}
 			for _, v := range r.Verdicts {
@@ -64,7 +64,7 @@
 // One seed gives one result, requests and all.
 func TestChoicesRepeat(t *testing.T) {
 	a, b := playChoices(t, "small", ""), playChoices(t, "small", "")
-	if a.Trace != b.Trace || a.Figures["handshakes"] != b.Figures["handshakes"] || a.Figures["handshakes"] == 0 {
+	if a.Trace != b.Trace || a.Measurements["handshakes"] != b.Measurements["handshakes"] || a.Measurements["handshakes"] == 0 {
 		t.Errorf("traces %x and %x", a.Trace, b.Trace)
 	}
 }
@@ -72,25 +72,25 @@
 // The rig can tell: gateways that are not told of starts push cold hosts over; each for itself connects to far more hosts,
 // asks more and shakes more hands than those that share.
 func TestBaselinesOfTheChoicesFallShort(t *testing.T) {
-	if blind := playChoices(t, "replaced", "blind"); blind.Figures["cold"] == 0 {
+	if blind := playChoices(t, "replaced", "blind"); blind.Measurements["cold"] == 0 {
 		t.Error("gateways that know of no start push nobody over")
 	}
 	ours, alone := playChoices(t, "replaced", ""), playChoices(t, "replaced", "alone")
 	for _, name := range []string{"conns_gateway", "handshakes", "handshakes_peak", "probes_peak"} {
-		if !(ours.Figures[name] < alone.Figures[name]) {
-			t.Errorf("%s: %.0f, alone %.0f", name, ours.Figures[name], alone.Figures[name])
+		if !(ours.Measurements[name] < alone.Measurements[name]) {
+			t.Errorf("%s: %.0f, alone %.0f", name, ours.Measurements[name], alone.Measurements[name])
 		}
 	}
-	if ours.Figures["cold"] > 0 || ours.Figures["refused_share"] > alone.Figures["refused_share"] {
-		t.Errorf("%v falls, %.4f refused, alone %.4f", ours.Figures["cold"], ours.Figures["refused_share"], alone.Figures["refused_share"])
+	if ours.Measurements["cold"] > 0 || ours.Measurements["refused_share"] > alone.Measurements["refused_share"] {
+		t.Errorf("%v falls, %.4f refused, alone %.4f", ours.Measurements["cold"], ours.Measurements["refused_share"], alone.Measurements["refused_share"])
 	}
 }
 
 // How warm a host is: a part at its start, all of it after its time, and all of it where it started long ago.
 func TestWarmth(t *testing.T) {
-	w := &model.SlowStart{Share: 0.2, Ms: 10_000}
+	w := &model.SlowStart{MinShare: 0.2, WindowMs: 10_000}
 	for _, c := range []struct{ started, now, want float64 }{{0, 0, 0.2}, {0, 5000, 0.2 + 0.8*0.5}, {0, 10_000, 1}, {5000, 0, 0.2}} {
-		if got := w.Of(c.started, c.now); got < c.want-1e-9 || got > c.want+1e-9 {
+		if got := w.CapacityShare(c.started, c.now); got < c.want-1e-9 || got > c.want+1e-9 {
 			t.Errorf("started at %.0f, at %.0f: %v, want %v", c.started, c.now, got, c.want)
 		}
 	}
--- /dev/null
+++ b/internal/faultsim/database_session.go
@@ -0,0 +1,120 @@
+package faultsim
+
+import (
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"merlinjunction/internal/protocol/pg"
+	"merlinjunction/internal/stubserver"
+)
+
+// maxMessageBody is the longest body of a message that the fault simulator's hosts and clients take, bytes.
+const maxMessageBody = 1<<20 - 4
+
+// databaseSession is one connection to a stub host; it keeps one statement and its values.
+type databaseSession struct {
+	host      *database
+	conn      net.Conn
+	out       []byte
+	statement stubserver.Statement
+	failed    bool // the rest up to Sync is skipped
+}
+
+// run answers messages until the client leaves.
+func (s *databaseSession) run() {
+	for s.sendReady() {
+		for {
+			kind, body, err := stubserver.ReadMessage(s.conn, maxMessageBody)
+			if err != nil || kind == pg.MsgEnd {
+				return
+			}
+			if s.handle(kind, body) {
+				break
+			}
+		}
+	}
+}
+
+// position is the time up to which the host has applied the log. It is told in whole milliseconds and a commit must not
+// be later than the position told with it, so the primary's is rounded up.
+func (s *databaseSession) position() time.Time {
+	if s.host.isPrimary() {
+		return time.Now().Add(time.Millisecond)
+	}
+	return time.Now().Add(-s.host.all.lag)
+}
+
+// sendReady ends an answer and sends it; false where the connection is broken.
+func (s *databaseSession) sendReady() bool {
+	standby := "on"
+	if s.host.isPrimary() {
+		standby = "off"
+	}
+	position := strconv.FormatInt(s.position().UnixMilli(), 10)
+	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "in_hot_standby", standby)
+	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "replay_position", position)
+	s.out = pg.AppendReadyForQuery(s.out)
+	_, err := s.conn.Write(s.out)
+	s.out, s.failed = nil, false
+	return err == nil
+}
+
+// handle takes in one message; true at the end of an answer.
+func (s *databaseSession) handle(kind byte, body []byte) bool {
+	switch {
+	case kind == pg.MsgSync:
+		return true
+	case s.failed:
+	case kind == pg.MsgQuery:
+		s.statement.ReadQuery(body)
+		if s.statement.Text == "" {
+			s.out = pg.AppendMessage(s.out, pg.MsgEmptyQuery)
+		} else {
+			s.execute(true)
+		}
+		return true
+	case kind == pg.MsgParse:
+		s.statement.ReadParse(body)
+		s.out = pg.AppendMessage(s.out, pg.MsgParseComplete)
+	case kind == pg.MsgBind:
+		s.statement.ReadBind(body)
+		s.out = pg.AppendMessage(s.out, pg.MsgBindComplete)
+	case kind == pg.MsgExecute:
+		s.execute(false)
+	}
+	return false
+}
+
+func (s *databaseSession) fail(sqlstate string) {
+	s.out = pg.ErrorResponse{State: sqlstate, Text: "stub"}.Append(s.out)
+	s.failed = true
+}
+
+// execute runs the statement: INSERT ... VALUES ('session', 'key', 'value') or SELECT ... WHERE greenhouse = 'session'.
+func (s *databaseSession) execute(simple bool) {
+	host, all, now := s.host, s.host.all, time.Now()
+	text, values := s.statement.Text, s.statement.Values
+	all.mutex.Lock()
+	defer all.mutex.Unlock()
+	host.countStatement(now)
+	switch {
+	case strings.HasPrefix(text, "INSERT") && len(values) == 3:
+		if !host.isPrimary() {
+			s.fail(stubserver.StateReadOnly)
+			return
+		}
+		value, _ := strconv.Atoi(values[2])
+		all.write(values[0], values[1], value, now)
+		s.out = pg.AppendStrings(s.out, pg.MsgComplete, "INSERT 0 1")
+	case strings.HasPrefix(text, "SELECT") && len(values) == 1:
+		if simple {
+			s.out = stubserver.AppendColumnDescription(s.out)
+		}
+		s.out = stubserver.AppendRow(s.out, strconv.Itoa(host.read(values[0], now)))
+		s.out = pg.AppendStrings(s.out, pg.MsgComplete, "SELECT 1")
+	default:
+		s.fail(pg.StateSyntax)
+	}
+}
--- a/internal/faultsim/emulate_test.go
+++ b/internal/faultsim/emulate_test.go
@@ -53,7 +53,7 @@
 			t.Error(v.Text)
 		}
 	}
-	if v := (&Expect{FirstMs: new(float64)}).Judge(Figures{"first_ms": math.NaN()}); v[0].OK {
+	if v := (&Expect{FirstMs: new(float64)}).Judge(Measurements{"first_ms": math.NaN()}); v[0].OK {
 		t.Error("nothing measured counts as met")
 	}
 }
--- a/internal/faultsim/expect.go
+++ b/internal/faultsim/expect.go
@@ -49,8 +49,8 @@
 	WorstSecond     *float64 `toml:"worst_second"` // share served in the worst second, at least
 }
 
-// Figures are what a run measured, by the names of Expect. NaN stands for nothing to measure.
-type Figures map[string]float64
+// Measurements are what a run measured, by the names of Expect. NaN stands for nothing to measure.
+type Measurements map[string]float64
 
 // Verdict is one expectation, held against its figure.
 type Verdict struct {
@@ -82,10 +82,10 @@
 	return m
 }
 
-// Figures are what the truth has to say.
-func (t *Oracle) Figures() Figures {
+// Measurements are what the truth has to say.
+func (t *Oracle) Measurements() Measurements {
 	var suspected, dead, everyone []float64
-	for _, f := range t.falls {
+	for _, f := range t.crashes {
 		if math.IsNaN(f.everyone) && math.IsNaN(f.suspected) {
 			continue // it was started anew before anybody could know
 		}
@@ -100,18 +100,18 @@
 			everyone = append(everyone, f.everyone)
 		}
 	}
-	return Figures{
+	return Measurements{
 		"suspect_ms": median(suspected), "first_ms": median(dead), "everyone_ms": most(everyone), "everyone_median_ms": median(everyone),
-		"agree_ms": t.AgreeMs(), "back_ms": most(t.Backs), "false_deaths": float64(t.FalseDeaths),
+		"agree_ms": t.AgreeMs(), "back_ms": most(t.RecoveryTimes), "false_deaths": float64(t.FalseDeaths),
 		"false_doubts": float64(t.FalseDoubts), "return_blames": float64(t.ReturnBlames), "flaps": float64(t.MostFlaps()),
-		"deaf": float64(len(t.seen[membership.StatusIsolated])), "unheard": float64(len(t.seen[membership.StatusDisputed])),
-		"slow": float64(len(t.seen[membership.StatusSlow])), "taken": float64(len(t.seen[membership.StatusNameTaken])),
-		"part": float64(len(t.parts)),
+		"deaf": float64(len(t.statuses[membership.StatusIsolated])), "unheard": float64(len(t.statuses[membership.StatusDisputed])),
+		"slow": float64(len(t.statuses[membership.StatusSlow])), "taken": float64(len(t.statuses[membership.StatusNameTaken])),
+		"part": float64(len(t.partialViews)),
 	}
 }
 
 // Judge holds figures against what is expected.
-func (x *Expect) Judge(f Figures) []Verdict {
+func (x *Expect) Judge(f Measurements) []Verdict {
 	var list []Verdict
 	add := func(name, bound string, ok func(float64) bool) {
 		v, asked := f[name]
--- a/internal/faultsim/experiment.go
+++ b/internal/faultsim/experiment.go
@@ -1,5 +1,5 @@
-// Package lab is the laboratory: it plays experiments, files that describe a fleet, a load, a timeline of faults and what
-// must hold. One engine starts real processes, the other plays the pure modules on virtual time. Both take the same file.
+// Package faultsim plays experiments: files that describe a fleet of gateways, a load, a timeline of faults and what must
+// hold. One engine starts real processes, the other plays the pure modules on virtual time. Both take the same file.
 package faultsim
 
 import (
@@ -61,7 +61,7 @@
 	Duplicate float64   `toml:"duplicate"`
 }
 
-// Hosts are the database hosts: stand-ins in the processes engine, models in the emulator.
+// Hosts are the database hosts: stubs in the processes engine, models in the emulator.
 type Hosts struct {
 	Count    int     `toml:"count"`    // processes: 3 unless given, of one group; the first is the primary
 	Emulated int     `toml:"emulated"` // emulator: none unless given, and then no request is played
@@ -119,7 +119,7 @@
 	"host-slow": "hosts: all takes step_ms times as long (emulated)", "host-cut": "cut connections from gateways to the host `to`, silently",
 }
 
-// Load reads an experiment. The error names file, line and key.
+// LoadExperiment reads an experiment. The error names file, line and key.
 func LoadExperiment(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -173,47 +173,67 @@
 	return 0
 }
 
+// complete fills in defaults and checks all keys; the error names the first one that is wrong.
 func (e *Experiment) complete() error {
-	if len(e.Engines) == 0 {
-		e.Engines = []string{"emulated", "processes"}
-	}
-	for _, name := range e.Engines {
-		if name != "emulated" && name != "processes" {
-			return fmt.Errorf("engines: unknown engine %q", name)
+	e.setDefaults()
+	for _, check := range []func() error{e.checkEngines, e.checkFleet, e.checkHosts, e.checkChoices, e.checkLoad} {
+		if err := check(); err != nil {
+			return err
 		}
 	}
-	f := &e.Fleet
-	defaults := func(v *int, d int) {
-		if *v == 0 {
-			*v = d
-		}
+	if err := e.Network.check(); err != nil {
+		return fmt.Errorf("network.%w", err)
 	}
-	defaults(&f.Zones, 1)
-	defaults(&f.Seeds, 3)
-	defaults(&f.Processes, 5)
-	defaults(&e.Hosts.Count, 3)
-	defaults(&e.Load.Clients, 2)
-	defaults(&e.Hosts.Groups, 1)
-	defaults(&e.Hosts.Cores, 2)
-	defaults(&e.Hosts.Conns, 1000)
-	defaults(&e.Choices.Subset, 2)
-	for _, d := range []struct {
-		v   *float64
-		def float64
-	}{{&e.Hosts.ReadMs, 4}, {&e.Hosts.ColdMs, 10_000}, {&e.Choices.Wrong, 1}} {
-		if *d.v == 0 {
-			*d.v = d.def
+	for i := range e.Fault {
+		if err := e.Fault[i].check(); err != nil {
+			return fmt.Errorf("fault %d: %w", i+1, err)
 		}
 	}
-	if e.Choices.By == "" {
-		e.Choices.By = "alone"
+	return nil
+}
+
+// setDefault sets a value that is not given.
+func setDefault[T comparable](value *T, otherwise T) {
+	var zero T
+	if *value == zero {
+		*value = otherwise
 	}
-	if f.Settle == 0 {
-		f.Settle = 5
+}
+
+func (e *Experiment) setDefaults() {
+	if len(e.Engines) == 0 {
+		e.Engines = []string{"emulated", "processes"}
 	}
 	if len(e.Network.DelayMs) == 0 {
 		e.Network.DelayMs = []float64{0.2, 1}
 	}
+	setDefault(&e.Fleet.Zones, 1)
+	setDefault(&e.Fleet.Seeds, 3)
+	setDefault(&e.Fleet.Processes, 5)
+	setDefault(&e.Fleet.Settle, 5)
+	setDefault(&e.Hosts.Count, 3)
+	setDefault(&e.Hosts.Groups, 1)
+	setDefault(&e.Hosts.Cores, 2)
+	setDefault(&e.Hosts.Conns, 1000)
+	setDefault(&e.Hosts.ReadMs, 4)
+	setDefault(&e.Hosts.ColdMs, 10_000)
+	setDefault(&e.Load.Clients, 2)
+	setDefault(&e.Choices.By, "alone")
+	setDefault(&e.Choices.Subset, 2)
+	setDefault(&e.Choices.Wrong, 1)
+}
+
+func (e *Experiment) checkEngines() error {
+	for _, name := range e.Engines {
+		if name != "emulated" && name != "processes" {
+			return fmt.Errorf("engines: unknown engine %q", name)
+		}
+	}
+	return nil
+}
+
+func (e *Experiment) checkFleet() error {
+	f := &e.Fleet
 	switch {
 	case e.Name == "":
 		return errors.New("name: is missing")
@@ -225,43 +245,59 @@
 		return errors.New("fleet.processes: 1 to 32 are needed")
 	case f.Seeds < 1 || f.Seeds > 16 || f.Zones < 1 || f.Zones > 26:
 		return errors.New("fleet.seeds, fleet.zones: out of range")
-	case !(f.Old >= 0 && f.Old <= 1):
+	case !isShare(f.Old):
 		return errors.New("fleet.old: is a share")
-	case e.Hosts.Count < 1 || e.Hosts.Count > 20:
+	}
+	return nil
+}
+
+func (e *Experiment) checkHosts() error {
+	h := &e.Hosts
+	switch {
+	case h.Count < 1 || h.Count > 20:
 		return errors.New("hosts.count: 1 to 20 are needed")
-	case e.Hosts.Emulated < 0 || e.Hosts.Emulated > 2000 || e.Hosts.Groups < 1 || e.Hosts.Cores < 1 || e.Hosts.Conns < 1:
+	case h.Emulated < 0 || h.Emulated > 2000 || h.Groups < 1 || h.Cores < 1 || h.Conns < 1:
 		return errors.New("hosts.emulated, hosts.groups, hosts.cores or hosts.conns: out of range")
-	case e.Hosts.Emulated > 0 && e.Hosts.Emulated < e.Hosts.Groups:
+	case h.Emulated > 0 && h.Emulated < h.Groups:
 		return errors.New("hosts.groups: each needs a host")
-	case !(e.Hosts.ReadMs > 0) || !(e.Hosts.ColdMs > 0) || !(e.Hosts.Lists >= 0) || !(e.Hosts.LagMs >= 0):
+	case !(h.ReadMs > 0) || !(h.ColdMs > 0) || !(h.Lists >= 0) || !(h.LagMs >= 0):
 		return errors.New("hosts.read_ms, hosts.cold_ms, hosts.lists or hosts.lag_ms: out of range")
-	case e.Choices.By != "alone" && e.Choices.By != "number" && e.Choices.By != "members":
-		return fmt.Errorf("choices.by: unknown word %q", e.Choices.By)
-	case e.Choices.Subset < 1 || !(e.Choices.Wrong > 0 && e.Choices.Wrong <= 10):
+	}
+	return nil
+}
+
+func (e *Experiment) checkChoices() error {
+	c := &e.Choices
+	switch {
+	case c.By != "alone" && c.By != "number" && c.By != "members":
+		return fmt.Errorf("choices.by: unknown word %q", c.By)
+	case c.Subset < 1 || !(c.Wrong > 0 && c.Wrong <= 10):
 		return errors.New("choices.subset or choices.wrong: out of range")
-	case !(e.Load.Emulated >= 0 && e.Load.Emulated <= 100_000) || !(e.Load.Heavy >= 0) || !(e.Load.Idle >= 0 && e.Load.Idle < 1):
+	}
+	return nil
+}
+
+func (e *Experiment) checkLoad() error {
+	l := &e.Load
+	switch {
+	case !(l.Emulated >= 0 && l.Emulated <= 100_000) || !(l.Heavy >= 0) || !(l.Idle >= 0 && l.Idle < 1):
 		return errors.New("load.emulated, load.heavy or load.idle: out of range")
-	case !(e.Load.Rate >= 0 && e.Load.Rate <= 2000) || !(e.Load.Writes >= 0 && e.Load.Writes <= 1) || e.Load.Clients < 1 || e.Load.Clients > 64:
+	case !(l.Rate >= 0 && l.Rate <= 2000) || !isShare(l.Writes) || l.Clients < 1 || l.Clients > 64:
 		return errors.New("load.rate, load.writes or load.clients: out of range")
 	}
-	if err := e.Network.check(); err != nil {
-		return fmt.Errorf("network.%w", err)
-	}
-	for i := range e.Fault {
-		if err := e.Fault[i].check(); err != nil {
-			return fmt.Errorf("fault %d: %w", i+1, err)
-		}
-	}
 	return nil
 }
 
+// isShare is false for NaN, too.
+func isShare(value float64) bool { return value >= 0 && value <= 1 }
+
 func (w *NetworkConditions) check() error {
 	switch {
 	case len(w.DelayMs) != 0 && (len(w.DelayMs) != 2 || !(w.DelayMs[0] >= 0 && w.DelayMs[1] >= w.DelayMs[0] && w.DelayMs[1] <= 10_000)):
 		return errors.New("delay_ms: is [least, most]")
-	case !(w.Loss >= 0 && w.Loss <= 1):
+	case !isShare(w.Loss):
 		return errors.New("loss: is a share")
-	case !(w.Duplicate >= 0 && w.Duplicate <= 1):
+	case !isShare(w.Duplicate):
 		return errors.New("duplicate: is a share")
 	case !(w.FarMs >= 0 && w.FarMs <= 10_000):
 		return errors.New("far_ms: out of range")
--- a/internal/faultsim/experiment_test.go
+++ b/internal/faultsim/experiment_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"merlinjunction/internal/stubserver"
 	"merlinjunction/membership"
 )
 
@@ -121,11 +122,11 @@
 		t.Errorf("%d lost, %d twice in good weather", l, d)
 	}
 	bad := &NetworkConditions{Loss: 0.3, Duplicate: 0.5, DelayMs: []float64{10, 20}}
-	n.Apply(&Step{Do: Change, Weather: bad})
+	n.Apply(&Step{Do: ChangeConditions, Conditions: bad})
 	if l, d := lost(); l < 250 || l > 350 || d < 300 || d > 400 {
 		t.Errorf("%d lost, %d twice", l, d)
 	}
-	n.Apply(&Step{Do: Change, Weather: bad, Undo: true})
+	n.Apply(&Step{Do: ChangeConditions, Conditions: bad, Undo: true})
 	// Two cuts of one link: it is whole again when both are taken back. The way back was never cut.
 	cut, back := &Step{Do: Cut, Who: 1, To: []int{2}}, &Step{Do: Cut, Who: 1, To: []int{2}, Undo: true}
 	for i, s := range []*Step{cut, cut, back, back} {
@@ -145,39 +146,39 @@
 	}
 	for i := range 4 {
 		for j := range 4 {
-			tr.Sees(i, j, membership.Alive, "joined", -4000)
+			tr.ObserveBelief(i, j, membership.Alive, "joined", -4000)
 		}
 	}
 	if tr.wrong != 0 {
 		t.Fatalf("%d beliefs are wrong", tr.wrong)
 	}
 	tr.Apply(&Step{Do: Kill, Who: 3}, 1000)
-	tr.Sees(0, 3, membership.Suspect, "", 1400)
-	tr.Sees(0, 3, membership.Dead, "", 2000)
-	tr.Sees(1, 3, membership.Dead, "", 2100)
+	tr.ObserveBelief(0, 3, membership.Suspect, "", 1400)
+	tr.ObserveBelief(0, 3, membership.Dead, "", 2000)
+	tr.ObserveBelief(1, 3, membership.Dead, "", 2100)
 	if tr.wrong != 1 {
 		t.Errorf("%d beliefs are wrong, one is", tr.wrong)
 	}
-	tr.Sees(2, 3, membership.Unreachable, "", 2500)
-	f := tr.Figures()
+	tr.ObserveBelief(2, 3, membership.Unreachable, "", 2500)
+	f := tr.Measurements()
 	if f["suspect_ms"] != 400 || f["first_ms"] != 1000 || f["everyone_ms"] != 1500 || f["agree_ms"] != 1500 || f["false_deaths"] != 0 {
 		t.Errorf("%v", f)
 	}
-	tr.Sees(0, 1, membership.Suspect, "no answer here", 6000)
-	tr.Sees(0, 1, membership.Dead, "", 6100) // false
+	tr.ObserveBelief(0, 1, membership.Suspect, "no answer here", 6000)
+	tr.ObserveBelief(0, 1, membership.Dead, "", 6100) // false
 	if tr.FalseDeaths != 1 || tr.FalseDoubts != 1 {
 		t.Errorf("%d false deaths, %d false doubts", tr.FalseDeaths, tr.FalseDoubts)
 	}
-	tr.Sees(0, 1, membership.Alive, "", 6200)
+	tr.ObserveBelief(0, 1, membership.Alive, "", 6200)
 	tr.Apply(&Step{Do: Pause, Who: 2}, 7000)
-	tr.Sees(0, 2, membership.Dead, "", 8500) // it is stopped: not false
+	tr.ObserveBelief(0, 2, membership.Dead, "", 8500) // it is stopped: not false
 	tr.Apply(&Step{Do: Resume, Who: 2}, 9000)
 	if tr.wrong != 1 {
 		t.Errorf("after its return %d beliefs are wrong, one is", tr.wrong)
 	}
-	tr.Sees(2, 0, membership.Suspect, "no answer here", 9200)
-	tr.Sees(0, 2, membership.Alive, "", 9700)
-	f = tr.Figures()
+	tr.ObserveBelief(2, 0, membership.Suspect, "no answer here", 9200)
+	tr.ObserveBelief(0, 2, membership.Alive, "", 9700)
+	f = tr.Measurements()
 	if f["false_deaths"] != 1 || f["back_ms"] != 700 || f["return_blames"] != 1 || f["flaps"] != 1 {
 		t.Errorf("%v", f)
 	}
@@ -188,7 +189,7 @@
 
 // What one engine does not measure is said, not passed over.
 func TestVerdictNotMeasured(t *testing.T) {
-	v := (&Expect{Lost: new(float64)}).Judge(Figures{})
+	v := (&Expect{Lost: new(float64)}).Judge(Measurements{})
 	if v[0].Asked || !strings.Contains(v[0].Text, "not measured by this engine") {
 		t.Errorf("%+v", v)
 	}
@@ -230,7 +231,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if x, y := got.Results[0].Figures["first_ms"], r.Figures["first_ms"]; x != y || len(got.Results[0].Figures) != len(r.Figures) {
+		if x, y := got.Results[0].Measurements["first_ms"], r.Measurements["first_ms"]; x != y || len(got.Results[0].Measurements) != len(r.Measurements) {
 			t.Errorf("first_ms %v came back as %v", y, x)
 		}
 		page, err := os.ReadFile(filepath.Join(dir, pageName))
@@ -255,13 +256,13 @@
 		t.Fatal(err)
 	}
 	defer d.close()
-	l, err := newLink(func() string { return d.hosts[0].addr })
+	l, err := newHostRelay(func() string { return d.hosts[0].listener.Address() })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.close()
 	c := newClient(func(int) (target, bool) {
-		return target{addr: l.addr(), life: "x", disturbed: func(time.Time) bool { return false }}, true
+		return target{address: l.addr(), process: "x", disturbed: func(time.Time) bool { return false }}, true
 	})
 	var list []arrival
 	for i := range 100 {
@@ -271,9 +272,9 @@
 		time.Sleep(300 * time.Millisecond)
 		l.setCut(true)
 		time.Sleep(400 * time.Millisecond)
-		l.mu.Lock()
-		close(l.cut) // heals without a reset
-		l.mu.Unlock()
+		l.mutex.Lock()
+		close(l.open) // heals without a reset
+		l.mutex.Unlock()
 	}()
 	c.play(time.Now(), list, make(chan struct{}))
 	y := &c.tally
@@ -286,7 +287,7 @@
 	}
 }
 
-// The stand-in hosts keep their books.
+// The stub hosts count statements and broken rules.
 func TestBooks(t *testing.T) {
 	d, err := newDatabases(2, 50*time.Millisecond)
 	if err != nil {
@@ -294,11 +295,9 @@
 	}
 	defer d.close()
 	ask := func(host int, text string) string {
-		s := &databaseSession{host: d.hosts[host], text: text}
-		for _, m := range quoted.FindAllStringSubmatch(text, -1) {
-			s.values = append(s.values, m[1])
-		}
-		s.run(false)
+		s := &databaseSession{host: d.hosts[host]}
+		s.statement.ReadQuery(append([]byte(text), 0))
+		s.execute(false)
 		return string(s.out)
 	}
 	write := "INSERT INTO setpoints VALUES ('s', 'k', '5')"
@@ -311,27 +310,27 @@
 		t.Errorf("the primary says %q, the replica behind it %q", a, b)
 	}
 	ask(0, write)
-	if d.books.Doubled != 0 {
+	if d.counters.Doubled != 0 {
 		t.Error("a repeat in its window counts as doubled")
 	}
-	d.ran["k"] = time.Now().Add(-keyWindow - time.Millisecond)
+	d.keysAt["k"] = time.Now().Add(-dedupWindow - time.Millisecond)
 	ask(0, write)
 	d.hosts[1].drainAt = time.Now().Add(-drainGrace - 2*drainSlack)
 	ask(1, read)
-	if b := d.books; b.Doubled != 1 || b.Drained != 1 || b.Served["h0"] != 4 {
+	if b := d.counters; b.Doubled != 1 || b.Drained != 1 || b.Served["h0"] != 4 {
 		t.Errorf("%+v", b)
 	}
-	d.hosts[0].started = time.Now()
+	d.hosts[0].startedAt = time.Now()
 	for range 400 {
 		ask(0, read)
 	}
-	if d.books.Cold == 0 {
+	if d.counters.Cold == 0 {
 		t.Error("400 statements in a moment push no cold host over")
 	}
 }
 
-// A primary tells a position in whole milliseconds. Cut off instead of rounded up it was less than the commit it stood for,
-// and a replica that had come just so far showed a session less than it had written (seen once, on grow among processes).
+// A primary tells a position in whole milliseconds. Truncated instead of rounded up it would be less than the commit that it
+// stands for, and a replica that has applied just so much would show a session less than it has written.
 func TestToldPositionCoversTheCommit(t *testing.T) {
 	d, err := newDatabases(1, 0)
 	if err != nil {
@@ -339,13 +338,14 @@
 	}
 	defer d.close()
 	here, there := net.Pipe()
-	defer there.Close()
+	defer stubserver.CloseQuietly(there)
 	go func() { _, _ = io.Copy(io.Discard, there) }()
 	for i := range 50 {
-		s := &databaseSession{host: d.hosts[0], conn: here, text: "INSERT", values: []string{"s", fmt.Sprint("k", i), "1"}}
-		s.run(true)
+		insert := stubserver.Statement{Text: "INSERT", Values: []string{"s", fmt.Sprint("k", i), "1"}}
+		s := &databaseSession{host: d.hosts[0], conn: here, statement: insert}
+		s.execute(true)
 		told := time.UnixMilli(s.position().UnixMilli())
-		if commit := d.rows["s"][i].at; told.Before(commit) {
+		if commit := d.rows["s"][i].committedAt; told.Before(commit) {
 			t.Fatalf("commit %d is told as %v before it was made", i, commit.Sub(told))
 		}
 	}
--- a/internal/faultsim/load.go
+++ b/internal/faultsim/load.go
@@ -34,20 +34,20 @@
 		if t >= seconds {
 			return list
 		}
-		list = append(list, arrival{time.Duration(t * 1e9), rng.IntN(mostSessions), rng.Float64() < l.Writes, len(list) + 1})
+		list = append(list, arrival{time.Duration(t * 1e9), rng.IntN(sessionCount), rng.Float64() < l.Writes, len(list) + 1})
 	}
 }
 
 // The classes of the load, as the gateways are configured.
 const (
-	mostSessions  = 64
-	readDeadline  = 600 * time.Millisecond
-	writeDeadline = 2 * time.Second
-	lateAnswer    = 500 * time.Millisecond // later than this past its deadline an answer counts as none
+	sessionCount    = 64
+	readDeadline    = 600 * time.Millisecond
+	writeDeadline   = 2 * time.Second
+	lateAnswerLimit = 500 * time.Millisecond // later than this past its deadline an answer counts as none
 )
 
-// Tally is what became of the requests, seen from the clients.
-type Tally struct {
+// RequestCounts is what became of the requests, seen from the clients.
+type RequestCounts struct {
 	Sent, Served, Refused, Failed int
 	Lost                          int                     // no final answer, and nothing had been done to the gateway
 	Excused                       int                     // the gateway was killed, stopped or paused under it
@@ -55,8 +55,8 @@
 	Latency                       *hdrhistogram.Histogram // of the served, µs from the intended time
 }
 
-// figures are what both engines measure of the requests.
-func (y *Tally) figures(r *Result, f Figures) {
+// measure are what both engines measure of the requests.
+func (y *RequestCounts) measure(r *Result, f Measurements) {
 	f["lost"], f["stale"] = float64(y.Lost), float64(y.Stale)
 	f["served_share"] = float64(y.Served) / float64(max(1, y.Sent-y.Excused))
 	f["p99_ms"] = float64(y.Latency.ValueAtQuantile(99)) / 1000
@@ -67,24 +67,24 @@
 
 // client sends the load to the gateways, as a front would: a session keeps to one gateway while that one is up.
 type client struct {
-	mu      sync.Mutex
-	targets func(session int) (target, bool) // which process takes a session now
-	idle    map[string][]net.Conn
-	written map[string]int // by process and session: the newest write that it acknowledged
-	tally   Tally
-	wait    sync.WaitGroup
+	mutex        sync.Mutex
+	targetOf     func(session int) (target, bool) // which process takes a session now
+	idleConns    map[string][]net.Conn
+	acknowledged map[string]int // by process and session: the newest write that it acknowledged
+	tally        RequestCounts
+	pending      sync.WaitGroup
 }
 
 // target is one life of one gateway.
 type target struct {
-	addr      string
-	life      string
+	address   string
+	process   string
 	disturbed func(since time.Time) bool // it was held up or ended since
 }
 
 func newClient(targets func(int) (target, bool)) *client {
-	return &client{targets: targets, idle: map[string][]net.Conn{}, written: map[string]int{},
-		tally: Tally{Latency: hdrhistogram.New(1, 60_000_000, 3)}}
+	return &client{targetOf: targets, idleConns: map[string][]net.Conn{}, acknowledged: map[string]int{},
+		tally: RequestCounts{Latency: hdrhistogram.New(1, 60_000_000, 3)}}
 }
 
 // play sends each request at its time and returns when all have ended.
@@ -94,67 +94,67 @@
 		select {
 		case <-time.After(time.Until(start.Add(a.at))):
 		case <-stop:
-			c.wait.Wait()
+			c.pending.Wait()
 			return
 		}
-		c.wait.Add(1)
+		c.pending.Add(1)
 		go func() {
-			defer c.wait.Done()
+			defer c.pending.Done()
 			c.request(start.Add(a.at), a)
 		}()
 	}
-	c.wait.Wait()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, list := range c.idle {
+	c.pending.Wait()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, list := range c.idleConns {
 		for _, conn := range list {
-			conn.Close()
+			stubserver.CloseQuietly(conn)
 		}
 	}
 }
 
-// connection is an idle connection to a process, or a new one. Its first word is the startup message.
-func (c *client) connection(t target, deadline time.Time) (conn net.Conn, fresh bool, err error) {
-	c.mu.Lock()
-	if list := c.idle[t.life]; len(list) > 0 {
+// connect is an idle connection to a process, or a new one. Its first word is the startup message.
+func (c *client) connect(t target, deadline time.Time) (conn net.Conn, fresh bool, err error) {
+	c.mutex.Lock()
+	if list := c.idleConns[t.process]; len(list) > 0 {
 		conn = list[len(list)-1]
-		c.idle[t.life] = list[:len(list)-1]
+		c.idleConns[t.process] = list[:len(list)-1]
 	}
-	c.mu.Unlock()
+	c.mutex.Unlock()
 	if conn != nil {
 		return conn, false, conn.SetDeadline(deadline)
 	}
-	conn, err = net.DialTimeout("tcp4", t.addr, time.Until(deadline))
+	conn, err = net.DialTimeout("tcp4", t.address, time.Until(deadline))
 	if err != nil {
 		return nil, true, err
 	}
 	if err := conn.SetDeadline(deadline); err != nil {
-		conn.Close()
+		stubserver.CloseQuietly(conn)
 		return nil, true, err
 	}
 	body := []byte("\x00\x03\x00\x00user\x00svc\x00database\x00main\x00\x00")
 	start := append([]byte{0, 0, 0, byte(len(body) + 4)}, body...)
 	if _, err = conn.Write(start); err == nil {
-		_, err = answer(conn)
+		_, err = readResult(conn)
 	}
 	if err != nil {
-		conn.Close()
+		stubserver.CloseQuietly(conn)
 		return nil, true, err
 	}
 	return conn, true, nil
 }
 
-// reply is a gateway's answer to one query.
-type reply struct {
-	state string // SQLSTATE of an error
-	value int
-	tag   bool
+// queryResult is a gateway's answer to one query.
+type queryResult struct {
+	sqlstate  string // SQLSTATE of an error
+	value     int
+	completed bool
 }
 
-// answer reads up to ReadyForQuery, or a fatal error.
-func answer(conn net.Conn) (r reply, err error) {
+// readResult reads up to ReadyForQuery, or a fatal error.
+func readResult(conn net.Conn) (r queryResult, err error) {
 	for {
-		kind, body, err := stubserver.ReadMessage(conn, mostMessage)
+		kind, body, err := stubserver.ReadMessage(conn, maxMessageBody)
 		if err != nil {
 			return r, err
 		}
@@ -162,7 +162,7 @@
 		case pg.MsgReady:
 			return r, nil
 		case pg.MsgComplete:
-			r.tag = true
+			r.completed = true
 		case pg.MsgDataRow:
 			f := pg.NewFieldReader(body)
 			f.Int16()
@@ -171,7 +171,7 @@
 			f := pg.NewFieldReader(body)
 			for field := f.Byte(); field != 0 && !f.Malformed; field = f.Byte() {
 				if text := f.Text(); field == 'C' {
-					r.state = text
+					r.sqlstate = text
 				}
 			}
 		}
@@ -186,53 +186,53 @@
 		limit = writeDeadline
 		text = fmt.Sprintf("INSERT INTO setpoints VALUES ('%s', 'k%d', '%d')", session, a.value, a.value)
 	}
-	t, ok := c.targets(a.session)
-	c.mu.Lock()
+	t, ok := c.targetOf(a.session)
+	c.mutex.Lock()
 	c.tally.Sent++
-	asked := c.written[t.life+session]
-	c.mu.Unlock()
+	asked := c.acknowledged[t.process+session]
+	c.mutex.Unlock()
 	if !ok {
-		c.count(func(y *Tally) { y.Excused++ }) // nobody is up
+		c.count(func(y *RequestCounts) { y.Excused++ }) // nobody is up
 		return
 	}
-	deadline := intended.Add(limit + lateAnswer)
-	var r reply
+	deadline := intended.Add(limit + lateAnswerLimit)
+	var r queryResult
 	var err error
 	for { // a kept connection may have been closed meanwhile: once more, on a new one
 		var conn net.Conn
 		var fresh bool
-		if conn, fresh, err = c.connection(t, deadline); err == nil {
+		if conn, fresh, err = c.connect(t, deadline); err == nil {
 			if _, err = conn.Write(pg.AppendStrings(nil, pg.MsgQuery, text)); err == nil {
-				r, err = answer(conn)
+				r, err = readResult(conn)
 			}
 			if err == nil {
-				c.mu.Lock()
-				c.idle[t.life] = append(c.idle[t.life], conn)
-				c.mu.Unlock()
+				c.mutex.Lock()
+				c.idleConns[t.process] = append(c.idleConns[t.process], conn)
+				c.mutex.Unlock()
 				break
 			}
-			conn.Close()
+			stubserver.CloseQuietly(conn)
 		}
 		if fresh {
 			break
 		}
 	}
 	took := time.Since(intended)
-	c.count(func(y *Tally) {
+	c.count(func(y *RequestCounts) {
 		switch {
 		case err != nil && t.disturbed(intended):
 			y.Excused++
 		case err != nil:
 			y.Lost++
-		case r.state == pg.StateTooManyConnections || r.state == "57P03":
+		case r.sqlstate == pg.StateTooManyConnections || r.sqlstate == "57P03":
 			y.Refused++
-		case r.state != "" || !r.tag:
+		case r.sqlstate != "" || !r.completed:
 			y.Failed++
 		default:
 			y.Served++
 			_ = y.Latency.RecordValue(min(took.Microseconds(), 60_000_000))
 			if a.write {
-				c.written[t.life+session] = max(c.written[t.life+session], a.value)
+				c.acknowledged[t.process+session] = max(c.acknowledged[t.process+session], a.value)
 			} else if r.value < asked {
 				y.Stale++
 			}
@@ -240,8 +240,8 @@
 	})
 }
 
-func (c *client) count(f func(*Tally)) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (c *client) count(f func(*RequestCounts)) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	f(&c.tally)
 }
--- a/internal/faultsim/model/discovery.go
+++ b/internal/faultsim/model/discovery.go
@@ -36,12 +36,12 @@
 		}
 		phase, started := routing.StateReady, time.Duration(0)
 		if !math.IsNaN(h.DrainAt) {
-			if phase = routing.StateDraining; math.IsNaN(h.ToldAt) {
-				h.ToldAt = d.world.Now()
+			if phase = routing.StateDraining; math.IsNaN(h.NotifiedAt) {
+				h.NotifiedAt = d.world.Now()
 			}
 		}
-		if !math.IsNaN(h.Started) && !d.Blind {
-			started = time.Duration((Epoch + h.Started) * float64(time.Millisecond))
+		if !math.IsNaN(h.StartedAt) && !d.Blind {
+			started = time.Duration((Epoch + h.StartedAt) * float64(time.Millisecond))
 		}
 		d.entries = append(d.entries, proxy.Host{Address: strconv.Itoa(h.Index), Endpoint: routing.Endpoint{ID: h.ID, Group: h.Group.Index, Zone: h.Zone,
 			Primary: h.Group.Primary == h, State: phase, StartedAt: started}})
@@ -65,7 +65,7 @@
 }
 
 func (d *Discovery) watch(g *Gateway, set routing.Settings, seed uint64) *Watch {
-	w := &Watch{d: d, g: g, rng: rand.New(rand.NewPCG(seed, 5)), since: -1, life: g.life,
+	w := &Watch{d: d, g: g, rng: rand.New(rand.NewPCG(seed, 5)), since: -1, life: g.generation,
 		calls: fleet.PollPolicy{SlotSchedule: set.Schedule(), DrainGraceMs: float64(set.DrainGrace / time.Millisecond)}}
 	w.after(0, w.ask)
 	return w
@@ -74,7 +74,7 @@
 func (w *Watch) after(ms float64, f func()) {
 	s := w.d.world
 	s.At(s.Now()+ms, func() {
-		if w.g.life == w.life {
+		if w.g.generation == w.life {
 			f()
 		}
 	})
@@ -85,19 +85,19 @@
 	wait, patience := w.calls.NextCall(w.since >= 0)
 	w.turn++
 	turn, asked := w.turn, d.world.Now()
-	d.world.Counters.Calls++
+	d.world.Counters.Polls++
 	w.after(patience, func() {
 		if w.turn == turn {
 			w.turn++
 			w.after(w.calls.TimedOut(asked, d.world.Now(), w.rng.Float64()), w.ask)
 		}
 	})
-	w.after(d.world.Link, func() {
+	w.after(d.world.LinkMs, func() {
 		switch {
 		case w.turn != turn:
 		case w.since < 0 && !d.room():
-			d.world.Counters.CallsRefused++
-			w.after(d.world.Link, w.failed)
+			d.world.Counters.PollsRejected++
+			w.after(d.world.LinkMs, w.failed)
 		case d.version > w.since:
 			w.answer()
 		default:
@@ -137,11 +137,11 @@
 	changed := w.d.version > w.since
 	version := w.d.version
 	list := append([]proxy.Host(nil), w.d.entries...)
-	w.after(w.d.world.Link, func() {
+	w.after(w.d.world.LinkMs, func() {
 		_, told := w.calls.Answered(w.d.world.Now())
 		w.since = version
 		if changed {
-			w.g.hear(func() { w.g.core.UpdateHostsNotifiedAt(true, list, told) })
+			w.g.receive(func() { w.g.core.UpdateHostsNotifiedAt(true, list, told) })
 		}
 		w.ask()
 	})
--- a/internal/faultsim/model/host.go
+++ b/internal/faultsim/model/host.go
@@ -10,38 +10,38 @@
 
 // HostConfig is what all hosts are like.
 type HostConfig struct {
-	Cores       int
-	ReadMs      float64 // mean work of a read on one core of a warm host
-	WriteMs     float64
-	HandshakeMs float64 // work of taking a connection
-	Queue       int     // statements that wait; more are turned away
-	Conns       int     // connections that it holds; more are refused
-	LagMs       float64 // that a replica applies the log later
-	KeyMs       float64 // that the key of a write is remembered
-	GraceMs     float64 // of a drain
+	Cores         int
+	ReadMs        float64 // mean work of a read on one core of a warm host
+	WriteMs       float64
+	HandshakeMs   float64 // work of taking a connection
+	Queue         int     // statements that wait; more are turned away
+	Conns         int     // connections that it holds; more are refused
+	LagMs         float64 // that a replica applies the log later
+	DedupWindowMs float64 // that the key of a write is remembered
+	DrainGraceMs  float64 // of a drain
 }
 
 // Host is a database host.
 type Host struct {
 	*HostConfig
-	Index   int
-	ID      string
-	Zone    string
-	Group   *Group
-	Started float64 // NaN: long ago
-	DrainAt float64 // NaN: it doesn't
-	ToldAt  float64 // the list has said so since then; NaN: it hasn't
-	Up      bool
-	Slow    float64 // times as long as usual all work takes; 0 stands for 1
-
-	world  *World
-	conns  map[*conn]bool
-	order  []*conn // of conns, oldest first
-	busy   int
-	queue  []job
-	recent []float64 // starts of statements while it is cold
-	fellAt float64
-	held   float64 // it had applied the log up to here when it ceased to be primary
+	Index      int
+	ID         string
+	Zone       string
+	Group      *Group
+	StartedAt  float64 // NaN: long ago
+	DrainAt    float64 // NaN: it doesn't
+	NotifiedAt float64 // the list has said so since then; NaN: it hasn't
+	Up         bool
+	Slow       float64 // times as long as usual all work takes; 0 stands for 1
+
+	world            *World
+	conns            map[*conn]bool
+	order            []*conn // of conns, oldest first
+	busy             int
+	queue            []job
+	recent           []float64 // starts of statements while it is cold
+	overloadedAt     float64
+	appliedAsPrimary float64 // it had applied the log up to here when it ceased to be primary
 }
 
 type job struct {
@@ -55,8 +55,8 @@
 	if g.keys == nil {
 		g.keys = map[uint64]float64{}
 	}
-	h := &Host{HostConfig: cfg, Index: len(w.Hosts), ID: id, Zone: zone, Group: g, Started: started, DrainAt: math.NaN(), ToldAt: math.NaN(), Up: true,
-		world: w, conns: map[*conn]bool{}, fellAt: math.Inf(-1), held: math.Inf(-1)}
+	h := &Host{HostConfig: cfg, Index: len(w.Hosts), ID: id, Zone: zone, Group: g, StartedAt: started, DrainAt: math.NaN(), NotifiedAt: math.NaN(), Up: true,
+		world: w, conns: map[*conn]bool{}, overloadedAt: math.Inf(-1), appliedAsPrimary: math.Inf(-1)}
 	w.Hosts = append(w.Hosts, h)
 	return h
 }
@@ -69,14 +69,16 @@
 	h.Up = false
 	h.queue = nil
 	for _, c := range append([]*conn(nil), h.order...) {
-		c.drop()
+		c.reset()
 	}
 	if h.Group.Primary == h {
 		h.Group.SetPrimary(nil)
 	}
 }
 
-func (h *Host) warmth() float64 { return h.world.Warm.Of(h.Started, h.world.Now()) }
+func (h *Host) capacityShare() float64 {
+	return h.world.SlowStart.CapacityShare(h.StartedAt, h.world.Now())
+}
 
 // accept takes a new connection after a handshake, or refuses it.
 func (h *Host) accept(c *conn) {
@@ -88,11 +90,11 @@
 	h.world.Counters.Handshakes++
 	h.conns[c] = true
 	h.order = append(h.order, c)
-	h.enter(job{c, h.HandshakeMs, c.welcome})
+	h.enqueue(job{c, h.HandshakeMs, c.establish})
 }
 
-// enter puts work in line.
-func (h *Host) enter(j job) {
+// enqueue puts work in line.
+func (h *Host) enqueue(j job) {
 	if h.busy < h.Cores {
 		h.run(j)
 		return
@@ -103,16 +105,16 @@
 func (h *Host) run(j job) {
 	h.busy++
 	slow := max(1, h.Slow)
-	took := j.work * slow / h.warmth()
+	took := j.work * slow / h.capacityShare()
 	h.world.At(h.world.Now()+took, func() {
 		h.busy--
-		if h.Up && !j.conn.gone {
+		if h.Up && !j.conn.closed {
 			j.do()
 		}
 		for h.busy < h.Cores && len(h.queue) > 0 {
 			next := h.queue[0]
 			h.queue = h.queue[1:]
-			if next.conn.gone { // nobody waits for it any more
+			if next.conn.closed { // nobody waits for it any more
 				continue
 			}
 			h.run(next)
@@ -126,51 +128,51 @@
 	now := w.Now()
 	if s.Probe {
 		w.Counters.Probes++
-		h.enter(job{c, 0.05, func() { c.answer(h.result(routing.OutcomeOK)) }})
+		h.enqueue(job{c, 0.05, func() { c.answer(h.result(routing.OutcomeOK)) }})
 		return
 	}
 	w.Counters.Statements++
-	if now > h.ToldAt+h.GraceMs+drainSlack {
+	if now > h.NotifiedAt+h.DrainGraceMs+drainSlackMs {
 		w.Counters.Drained++
 	}
-	h.tips(now)
+	h.checkOverload(now)
 	switch {
-	case now < h.fellAt+fallenMs:
+	case now < h.overloadedAt+overloadedMs:
 		c.answer(proxy.Response{Outcome: routing.OutcomeError})
 	case len(h.queue) >= h.Queue:
 		c.answer(h.result(routing.OutcomeRejected))
 	case s.Write && h.Group.Primary != h:
 		w.Counters.Misdirected++
-		h.enter(job{c, 0.1, func() { c.answer(h.result(routing.OutcomeMisdirected)) }})
+		h.enqueue(job{c, 0.1, func() { c.answer(h.result(routing.OutcomeMisdirected)) }})
 	default:
 		mean := h.ReadMs
 		if s.Write {
 			mean = h.WriteMs
 		}
-		h.enter(job{c, mean * w.Rng.ExpFloat64(), func() { h.finish(c, s) }})
+		h.enqueue(job{c, mean * w.Rng.ExpFloat64(), func() { h.finish(c, s) }})
 	}
 }
 
 const (
-	drainSlack = 150.0  // what is told takes its time
-	fallenMs   = 3000.0 // a host that was pushed over answers with errors so long
+	drainSlackMs = 150.0  // what is told takes its time
+	overloadedMs = 3000.0 // a host that was pushed over answers with errors so long
 )
 
-// tips counts what comes to a host that is cold, and pushes it over where that is more than the rule allows: the settings'
+// checkOverload counts what comes to a host that is cold, and pushes it over where that is more than the rule allows: the settings'
 // multiple of its warmth of an even part of the traffic in the time that they name, with three roots for chance.
-func (h *Host) tips(now float64) {
+func (h *Host) checkOverload(now float64) {
 	w := h.world
-	if !(now-h.Started < w.Warm.Ms) || now < h.fellAt+fallenMs {
+	if !(now-h.StartedAt < w.SlowStart.WindowMs) || now < h.overloadedAt+overloadedMs {
 		return
 	}
 	h.recent = append(h.recent, now)
-	for now-h.recent[0] > w.Warm.FallMs {
+	for now-h.recent[0] > w.SlowStart.OverloadWindowMs {
 		h.recent = h.recent[1:]
 	}
-	n := w.Warm.Tip * h.warmth() * w.Warm.Usual * w.Warm.FallMs / 1000
+	n := w.SlowStart.OverloadMultiple * h.capacityShare() * w.SlowStart.UsualRate * w.SlowStart.OverloadWindowMs / 1000
 	if float64(len(h.recent)) > n+3*math.Sqrt(n)+3 {
-		w.Counters.Falls++
-		h.fellAt, h.recent = now, nil
+		w.Counters.Overloads++
+		h.overloadedAt, h.recent = now, nil
 	}
 }
 
@@ -181,7 +183,7 @@
 			c.answer(h.result(routing.OutcomeMisdirected))
 			return
 		}
-		if before, again := h.Group.keys[s.Key]; again && now-before > h.KeyMs {
+		if before, again := h.Group.keys[s.Key]; again && now-before > h.DedupWindowMs {
 			h.world.Counters.Doubled++
 		}
 		h.Group.keys[s.Key] = now
@@ -194,13 +196,13 @@
 	if h.Group.Primary == h {
 		return h.world.Now()
 	}
-	return max(h.held, h.world.Now()-h.LagMs)
+	return max(h.appliedAsPrimary, h.world.Now()-h.LagMs)
 }
 
 // SetPrimary makes a host the primary of its group, or nobody. The one before it keeps what it had applied.
 func (g *Group) SetPrimary(h *Host) {
 	if old := g.Primary; old != nil && old != h {
-		old.held = old.world.Now()
+		old.appliedAsPrimary = old.world.Now()
 	}
 	g.Primary = h
 }
@@ -222,50 +224,52 @@
 type conn struct {
 	gateway *Gateway
 	host    *Host
-	owner   proxy.UpstreamHandler
-	gone    bool // closed at either end
+	handler proxy.UpstreamHandler
+	closed  bool // closed at either end
 }
 
-// later carries something to the other end, unless the way is cut: then it is lost, and the connection is silent.
-func (c *conn) later(f func()) {
+// deliverToHost carries something to the other end, unless the way is cut: then it is lost, and the connection is silent.
+func (c *conn) deliverToHost(f func()) {
 	w := c.host.world
 	if w.IsCut(c.gateway.Index, c.host.Index) {
 		return
 	}
-	way := w.Link
+	way := w.LinkMs
 	if c.gateway.Zone != c.host.Zone {
-		way += w.Far
+		way += w.FarMs
 	}
-	life := c.gateway.life
+	life := c.gateway.generation
 	w.At(w.Now()+way, func() {
-		if !c.gone && c.gateway.life == life && !w.IsCut(c.gateway.Index, c.host.Index) {
+		if !c.closed && c.gateway.generation == life && !w.IsCut(c.gateway.Index, c.host.Index) {
 			f()
 		}
 	})
 }
 
-// toGateway is later, for what its core hears.
-func (c *conn) toGateway(f func()) {
-	c.later(func() { c.gateway.hear(f) })
+// deliverToGateway is later, for what its core hears.
+func (c *conn) deliverToGateway(f func()) {
+	c.deliverToHost(func() { c.gateway.receive(f) })
 }
 
-func (c *conn) refuse() { c.toGateway(func() { c.end(); c.owner.ConnectionClosed(errRefused) }) }
+func (c *conn) refuse() {
+	c.deliverToGateway(func() { c.end(); c.handler.ConnectionClosed(errRefused) })
+}
 
-func (c *conn) welcome() { c.toGateway(func() { c.owner.Established() }) }
+func (c *conn) establish() { c.deliverToGateway(func() { c.handler.Established() }) }
 
-func (c *conn) answer(a proxy.Response) { c.toGateway(func() { c.owner.ResponseReceived(a) }) }
+func (c *conn) answer(a proxy.Response) { c.deliverToGateway(func() { c.handler.ResponseReceived(a) }) }
 
-// drop resets it from the host's side.
-func (c *conn) drop() {
+// reset resets it from the host's side.
+func (c *conn) reset() {
 	c.forget()
-	c.toGateway(func() { c.end(); c.owner.ConnectionClosed(errReset) })
+	c.deliverToGateway(func() { c.end(); c.handler.ConnectionClosed(errReset) })
 }
 
 // Send sends a command; it is written at once.
 func (c *conn) Send(command any, _ float64) {
 	s := command.(*Statement)
-	c.owner.RequestWritten()
-	c.later(func() {
+	c.handler.RequestWritten()
+	c.deliverToHost(func() {
 		if c.host.Up {
 			c.host.statement(c, s)
 		}
@@ -278,7 +282,7 @@
 	c.forget()
 }
 
-func (c *conn) end() { c.gone = true }
+func (c *conn) end() { c.closed = true }
 
 func (c *conn) forget() {
 	h := c.host
--- a/internal/faultsim/model/model.go
+++ b/internal/faultsim/model/model.go
@@ -1,4 +1,4 @@
-// Package model has the laboratory's models of what surrounds a gateway on virtual time: database hosts with cores, a
+// Package model has the fault simulator's models of what surrounds a gateway on virtual time: database hosts with cores, a
 // queue, a connection table, a log and a warm-up; discovery with a bounded rate; and a driver that plays the program's
 // own core (package proxy, with the decisions in routing and fleet) against them. It is written from the protocol pages.
 // All times are milliseconds, all rates a second.
@@ -15,41 +15,40 @@
 // World is what all models of one run share.
 type World struct {
 	Scheduler
-	Rng      *rand.Rand
-	Link     float64                      // one way between a gateway and a host
-	Far      float64                      // added between zones
-	IsCut    func(gateway, host int) bool // nothing goes between them
-	Groups   []*Group
-	Hosts    []*Host // all that ever were
-	Warm     SlowStart
-	Counters Counters
-	serving  int // hosts that are not gone
+	Rng       *rand.Rand
+	LinkMs    float64                      // one way between a gateway and a host
+	FarMs     float64                      // added between zones
+	IsCut     func(gateway, host int) bool // nothing goes between them
+	Groups    []*Group
+	Hosts     []*Host // all that ever were
+	SlowStart SlowStart
+	Counters  Counters
 }
 
 // SlowStart is how hosts warm up, and what the gateways are told of it.
 type SlowStart struct {
-	Share  float64 // of its capacity that a host has at its start
-	Ms     float64 // until it has all
-	Tip    float64 // times its warmth of Usual, that pushes a host over that warms up
-	Usual  float64 // requests a second that a warm host is made for: an even part of the traffic
-	FallMs float64 // over so long
+	MinShare         float64 // of its capacity that a host has at its start
+	WindowMs         float64 // until it has all
+	OverloadMultiple float64 // times its warmth of Usual, that pushes a host over that warms up
+	UsualRate        float64 // requests a second that a warm host is made for: an even part of the traffic
+	OverloadWindowMs float64 // over so long
 }
 
-// Of is the share of its capacity that a host has that started at a time; NaN stands for long ago.
-func (w *SlowStart) Of(started, now float64) float64 {
-	if !(now-started < w.Ms) {
+// CapacityShare is the share of its capacity that a host has that started at a time; NaN stands for long ago.
+func (w *SlowStart) CapacityShare(started, now float64) float64 {
+	if !(now-started < w.WindowMs) {
 		return 1
 	}
-	return w.Share + (1-w.Share)*max(0, now-started)/w.Ms
+	return w.MinShare + (1-w.MinShare)*max(0, now-started)/w.WindowMs
 }
 
 // Counters are what was counted over all hosts and gateways.
 type Counters struct {
-	Handshakes, Refusals, Probes, Calls, CallsRefused int
-	Misdirected                                       int // writes at a replica
-	Falls                                             int // cold hosts pushed over
-	Drained, Doubled                                  int // the rules
-	Statements                                        int
+	Handshakes, Refusals, Probes, Polls, PollsRejected int
+	Misdirected                                        int // writes at a replica
+	Overloads                                          int // cold hosts pushed over
+	Drained, Doubled                                   int // the rules
+	Statements                                         int
 }
 
 // Group is the hosts that hold the same data: one is primary. Its log is kept as the times of the sessions' last writes.
--- a/internal/faultsim/model/model_test.go
+++ b/internal/faultsim/model/model_test.go
@@ -45,12 +45,12 @@
 
 func world() (*World, *agenda) {
 	a := &agenda{}
-	return &World{Scheduler: a, Rng: rand.New(rand.NewPCG(1, 1)), Link: 0.3, IsCut: func(int, int) bool { return false },
-		Warm: SlowStart{Share: 0.2, Ms: 10_000, Tip: 2.5, FallMs: 1000, Usual: 50}, Groups: []*Group{{}}}, a
+	return &World{Scheduler: a, Rng: rand.New(rand.NewPCG(1, 1)), LinkMs: 0.3, IsCut: func(int, int) bool { return false },
+		SlowStart: SlowStart{MinShare: 0.2, WindowMs: 10_000, OverloadMultiple: 2.5, OverloadWindowMs: 1000, UsualRate: 50}, Groups: []*Group{{}}}, a
 }
 
 func config() *HostConfig {
-	return &HostConfig{Cores: 2, ReadMs: 4, WriteMs: 6, HandshakeMs: 2, Queue: 20, Conns: 3, LagMs: 30, KeyMs: 2000, GraceMs: 2000}
+	return &HostConfig{Cores: 2, ReadMs: 4, WriteMs: 6, HandshakeMs: 2, Queue: 20, Conns: 3, LagMs: 30, DedupWindowMs: 2000, DrainGraceMs: 2000}
 }
 
 // peer is the gateway's end of a connection.
@@ -69,7 +69,7 @@
 func dial(t *testing.T, w *World, to string) (*peer, proxy.UpstreamConn) {
 	t.Helper()
 	p, g := &peer{}, w.NewGateway(0, "")
-	if err := g.Start(Settings(&w.Warm, config(), 1), w.NewDiscovery(0), 1); err != nil {
+	if err := g.Start(Settings(&w.SlowStart, config(), 1), w.NewDiscovery(0), 1); err != nil {
 		t.Fatal(err)
 	}
 	c, err := dialer{g}.Dial(to, p)
@@ -171,18 +171,18 @@
 		t.Errorf("%d turned away", full)
 	}
 	a.until(2000)
-	h.Started = 2000
+	h.StartedAt = 2000
 	p.got = nil
 	for i := range 60 { // 2.5 times a fifth of 50 in a second, with three roots of it and three: 43
 		a.until(2000 + 10*float64(i))
 		c.Send(&Statement{}, 0)
-		if fell := w.Counters.Falls; i < 40 && fell > 0 || i == 50 && fell == 0 {
+		if fell := w.Counters.Overloads; i < 40 && fell > 0 || i == 50 && fell == 0 {
 			t.Fatalf("%d falls after %d", fell, i)
 		}
 	}
 	a.until(3000)
-	if w.Counters.Falls != 1 || p.got[len(p.got)-1].Outcome != routing.OutcomeError {
-		t.Errorf("%d falls, at the last %+v", w.Counters.Falls, p.got[len(p.got)-1])
+	if w.Counters.Overloads != 1 || p.got[len(p.got)-1].Outcome != routing.OutcomeError {
+		t.Errorf("%d falls, at the last %+v", w.Counters.Overloads, p.got[len(p.got)-1])
 	}
 }
 
@@ -193,7 +193,7 @@
 	w.AddHost(cfg, "h0", "", w.Groups[0], math.NaN())
 	d := w.NewDiscovery(2)
 	d.Publish()
-	set := Settings(&w.Warm, cfg, 6)
+	set := Settings(&w.SlowStart, cfg, 6)
 	var gates []*Gateway
 	a.until(5000)
 	for i := range 6 {
@@ -204,8 +204,8 @@
 		gates = append(gates, g)
 	}
 	a.until(5010)
-	if w.Counters.CallsRefused != 4 {
-		t.Errorf("%d of 6 lists at once were refused, room is for 2", w.Counters.CallsRefused)
+	if w.Counters.PollsRejected != 4 {
+		t.Errorf("%d of 6 lists at once were refused, room is for 2", w.Counters.PollsRejected)
 	}
 	a.until(20_000)
 	h := w.AddHost(cfg, "h1", "", w.Groups[0], 20_000)
@@ -218,7 +218,7 @@
 			heard++
 		}
 	}
-	if heard != 6 || h.ToldAt != 20_000 {
-		t.Errorf("%d of 6 heard at once, told since %.0f", heard, h.ToldAt)
+	if heard != 6 || h.NotifiedAt != 20_000 {
+		t.Errorf("%d of 6 heard at once, told since %.0f", heard, h.NotifiedAt)
 	}
 }
--- a/internal/faultsim/network.go
+++ b/internal/faultsim/network.go
@@ -2,17 +2,17 @@
 
 import "math/rand/v2"
 
-// Network is what the stand-in network does to each datagram: which links are cut, and the weather. It sends nothing itself.
+// Network decides what becomes of each datagram: which links are cut, loss, delay and duplication. It sends nothing itself.
 type Network struct {
-	zones   int
-	weather []*NetworkConditions // the experiment's first, those of faults behind it
-	cuts    map[[2]int]int
-	in, out map[int]int // of how many others a gateway can't hear, or be heard by
+	zones                         int
+	conditions                    []*NetworkConditions // the experiment's first, those of faults behind it
+	cuts                          map[[2]int]int
+	unreachableIn, unreachableOut map[int]int // of how many others a gateway can't hear, or be heard by
 }
 
 // NewNetwork returns a network without faults.
 func NewNetwork(zones int, w *NetworkConditions) *Network {
-	return &Network{zones: zones, weather: []*NetworkConditions{w}, cuts: map[[2]int]int{}, in: map[int]int{}, out: map[int]int{}}
+	return &Network{zones: zones, conditions: []*NetworkConditions{w}, cuts: map[[2]int]int{}, unreachableIn: map[int]int{}, unreachableOut: map[int]int{}}
 }
 
 // Apply carries out a Step that concerns the network.
@@ -23,23 +23,23 @@
 			link := [2]int{s.Who, to}
 			if !s.Undo {
 				if n.cuts[link]++; n.cuts[link] == 1 {
-					n.out[s.Who]++
-					n.in[to]++
+					n.unreachableOut[s.Who]++
+					n.unreachableIn[to]++
 				}
 			} else if n.cuts[link]--; n.cuts[link] == 0 {
 				delete(n.cuts, link)
-				n.out[s.Who]--
-				n.in[to]--
+				n.unreachableOut[s.Who]--
+				n.unreachableIn[to]--
 			}
 		}
-	case Change:
+	case ChangeConditions:
 		if !s.Undo {
-			n.weather = append(n.weather, s.Weather)
+			n.conditions = append(n.conditions, s.Conditions)
 			return
 		}
-		for i, w := range n.weather {
-			if i > 0 && w == s.Weather {
-				n.weather = append(n.weather[:i], n.weather[i+1:]...)
+		for i, w := range n.conditions {
+			if i > 0 && w == s.Conditions {
+				n.conditions = append(n.conditions[:i], n.conditions[i+1:]...)
 				return
 			}
 		}
@@ -56,8 +56,8 @@
 		return
 	}
 	kept, twice := 1.0, 0.0
-	delay := n.weather[0].DelayMs
-	for _, w := range n.weather {
+	delay := n.conditions[0].DelayMs
+	for _, w := range n.conditions {
 		kept *= 1 - w.Loss
 		twice = max(twice, w.Duplicate)
 		if len(w.DelayMs) == 2 {
@@ -70,7 +70,7 @@
 	draw := func() float64 {
 		d := delay[0] + (delay[1]-delay[0])*rng.Float64()
 		if n.zones > 1 && from%n.zones != to%n.zones {
-			d += n.weather[0].FarMs
+			d += n.conditions[0].FarMs
 		}
 		return d
 	}
--- a/internal/faultsim/plan.go
+++ b/internal/faultsim/plan.go
@@ -13,32 +13,32 @@
 // Step is something that is done to the fleet at a time. A plan is a list of them: whoever plays it needs to choose nothing
 // any more, so one seed gives one plan in both engines.
 type Step struct {
-	At      float64 // ms since second 0
-	Do      Operation
-	Who     int
-	To      []int // of Cut and Join: the others
-	Undo    bool  // of Cut and Weather
-	StepMs  float64
-	Weather *NetworkConditions
-	Last    bool // the last step of its fault
-	Fresh   bool // of HostStart: another host in the place of this one (emulated)
+	At         float64 // ms since second 0
+	Do         Operation
+	Who        int
+	To         []int // of Cut and Join: the others
+	Undo       bool  // of Cut and Change
+	StepMs     float64
+	Conditions *NetworkConditions
+	Last       bool // the last step of its fault
+	Fresh      bool // of HostStart: another host in the place of this one (emulated)
 }
 
 // Operation is the kind of a Step.
 type Operation int
 
-// The deeds.
+// The operations.
 const (
 	Start Operation = iota
 	Kill
 	Term
 	Pause
 	Resume
-	Starve // pauses that are too short to be told one by one; Undo ends them
-	Cut    // datagrams from Who to To; also connections of clients and hosts are left alone
-	Change // the weather
+	Starve           // pauses that are too short to be told one by one; Undo ends them
+	Cut              // datagrams from Who to To; also connections of clients and hosts are left alone
+	ChangeConditions // of the network's conditions
 	Clock
-	Twin
+	StartDuplicate
 	HostDrain
 	HostKill
 	HostStart
@@ -250,24 +250,16 @@
 	p.steps = append(p.steps, s)
 }
 
+// fault adds the steps of one fault.
 func (p *planner) fault(f *Fault) error {
 	switch f.Do {
 	case "weather":
-		w := f.NetworkConditions
-		p.add(f.At, Step{Do: Change, Weather: &w})
-		p.add(f.At+f.For, Step{Do: Change, Weather: &w, Undo: true})
+		conditions := f.NetworkConditions
+		p.add(f.At, Step{Do: ChangeConditions, Conditions: &conditions})
+		p.add(f.At+f.For, Step{Do: ChangeConditions, Conditions: &conditions, Undo: true})
 		return nil
 	case "join":
-		s, err := parseWho(f.Who)
-		n := s.number(len(p.up), -1)
-		if err != nil || n <= 0 {
-			return fmt.Errorf("who: %q is no number to join", f.Who)
-		}
-		for i := range n {
-			p.add(f.At+f.Spread*float64(i)/float64(n), Step{Do: Start, Who: len(p.up)})
-			p.up = append(p.up, true)
-		}
-		return nil
+		return p.join(f)
 	case "drain", "host-kill", "host-start", "host-slow", "replace":
 		return p.hostFault(f)
 	}
@@ -275,62 +267,89 @@
 	if err != nil {
 		return err
 	}
-	if f.Do == "cut" {
+	switch f.Do {
+	case "cut":
 		return p.cut(f, who)
+	case "host-cut":
+		return p.hostCut(f, who)
 	}
-	if f.Do == "host-cut" {
-		if p.hosts == 0 { // this engine has none here
-			return nil
-		}
-		for _, i := range who {
-			to, err := p.chooseHosts(f.To, i%p.zones)
-			if err != nil {
-				return fmt.Errorf("to: %w", err)
-			}
-			p.add(f.At, Step{Do: HostCut, Who: i, To: to})
-			p.add(f.At+f.For, Step{Do: HostCut, Who: i, To: to, Undo: true})
-		}
+	for k, i := range who {
+		p.gatewayFault(f, i, f.At+f.Spread*float64(k)/float64(len(who)))
+	}
+	return nil
+}
+
+// join adds gateways that were not there before.
+func (p *planner) join(f *Fault) error {
+	s, err := parseWho(f.Who)
+	n := s.number(len(p.up), -1)
+	if err != nil || n <= 0 {
+		return fmt.Errorf("who: %q is no number to join", f.Who)
+	}
+	for i := range n {
+		p.add(f.At+f.Spread*float64(i)/float64(n), Step{Do: Start, Who: len(p.up)})
+		p.up = append(p.up, true)
+	}
+	return nil
+}
+
+// hostCut cuts connections from gateways to hosts.
+func (p *planner) hostCut(f *Fault, who []int) error {
+	if p.hosts == 0 { // this engine has none here
 		return nil
 	}
-	for k, i := range who {
-		at := f.At + f.Spread*float64(k)/float64(len(who))
-		switch f.Do {
-		case "kill":
-			p.up[i] = false
-			p.add(at, Step{Do: Kill, Who: i})
-		case "stop":
-			p.up[i] = false
-			p.add(at, Step{Do: Term, Who: i})
-		case "start":
-			p.up[i] = true
-			p.add(at, Step{Do: Start, Who: i})
-		case "restart", "roll":
-			end := Kill
-			if f.Do == "roll" {
-				end = Term
-			}
-			p.add(at, Step{Do: end, Who: i})
-			p.add(at+f.After, Step{Do: Start, Who: i})
-		case "pause":
-			p.add(at, Step{Do: Pause, Who: i})
-			p.add(at+f.For, Step{Do: Resume, Who: i})
-		case "starve":
-			p.add(at, Step{Do: Starve, Who: i})
-			cycle := (f.StopMs + f.RunMs) / 1000
-			for t := 0.0; t+cycle <= f.For; t += cycle {
-				p.add(at+t, Step{Do: Pause, Who: i})
-				p.add(at+t+f.StopMs/1000, Step{Do: Resume, Who: i})
-			}
-			p.add(at+f.For, Step{Do: Starve, Who: i, Undo: true})
-		case "clock":
-			p.add(at, Step{Do: Clock, Who: i, StepMs: f.StepMs})
-		case "twin":
-			p.add(at, Step{Do: Twin, Who: i})
+	for _, i := range who {
+		to, err := p.chooseHosts(f.To, i%p.zones)
+		if err != nil {
+			return fmt.Errorf("to: %w", err)
 		}
+		p.add(f.At, Step{Do: HostCut, Who: i, To: to})
+		p.add(f.At+f.For, Step{Do: HostCut, Who: i, To: to, Undo: true})
 	}
 	return nil
 }
 
+// gatewayFault adds what happens to gateway i from a time on, in seconds.
+func (p *planner) gatewayFault(f *Fault, i int, at float64) {
+	switch f.Do {
+	case "kill":
+		p.up[i] = false
+		p.add(at, Step{Do: Kill, Who: i})
+	case "stop":
+		p.up[i] = false
+		p.add(at, Step{Do: Term, Who: i})
+	case "start":
+		p.up[i] = true
+		p.add(at, Step{Do: Start, Who: i})
+	case "restart":
+		p.add(at, Step{Do: Kill, Who: i})
+		p.add(at+f.After, Step{Do: Start, Who: i})
+	case "roll":
+		p.add(at, Step{Do: Term, Who: i})
+		p.add(at+f.After, Step{Do: Start, Who: i})
+	case "pause":
+		p.add(at, Step{Do: Pause, Who: i})
+		p.add(at+f.For, Step{Do: Resume, Who: i})
+	case "starve":
+		p.starve(f, i, at)
+	case "clock":
+		p.add(at, Step{Do: Clock, Who: i, StepMs: f.StepMs})
+	case "twin":
+		p.add(at, Step{Do: StartDuplicate, Who: i})
+	}
+}
+
+// starve pauses a gateway for short times, again and again.
+func (p *planner) starve(f *Fault, i int, at float64) {
+	p.add(at, Step{Do: Starve, Who: i})
+	cycle := (f.StopMs + f.RunMs) / 1000
+	for t := 0.0; t+cycle <= f.For; t += cycle {
+		p.add(at+t, Step{Do: Pause, Who: i})
+		p.add(at+t+f.StopMs/1000, Step{Do: Resume, Who: i})
+	}
+	p.add(at+f.For, Step{Do: Starve, Who: i, Undo: true})
+}
+
 func (p *planner) cut(f *Fault, who []int) error {
 	var to []int
 	if f.To == "" {
--- a/internal/faultsim/processes_test.go
+++ b/internal/faultsim/processes_test.go
@@ -13,13 +13,13 @@
 )
 
 // The test binary plays an experiment and is killed on the way when this is set.
-const asRig = "MERLINLAB_TEST_RIG"
+const asRig = "FAULTSIM_TEST_RIG"
 
 func TestMain(m *testing.M) {
 	if program := os.Getenv(asRig); program != "" {
 		e, err := ParseExperiment("x", "name = \"x\"\nseconds = 60\n[fleet]\ngateways = 3\nprocesses = 3\n")
 		if err == nil {
-			_, err = Processes(e, program, Options{Seed: 1, Progress: func(s float64, up int, _ float64, _ int) {
+			_, err = Processes(e, program, Options{Seed: 1, Progress: func(s float64, _ int, _ float64, _ int) {
 				if s > -4 {
 					_, _ = os.Stdout.WriteString("up\n")
 				}
@@ -29,7 +29,7 @@
 	}
 	code := m.Run()
 	if builtIn != "" {
-		os.RemoveAll(builtIn)
+		_ = os.RemoveAll(builtIn) // left in the system's folder for temporary files at worst
 	}
 	os.Exit(code)
 }
@@ -47,7 +47,7 @@
 	path := filepath.Join(dir, "merlinjunction")
 	out, err := exec.Command("go", "build", "-o", path, "merlinjunction/cmd/merlinjunction").CombinedOutput()
 	if err != nil {
-		os.Stderr.Write(out)
+		_, _ = os.Stderr.Write(out)
 	}
 	return path, err
 })
--- a/internal/faultsim/report.go
+++ b/internal/faultsim/report.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"html/template"
 	"math"
@@ -10,14 +11,6 @@
 	"slices"
 	"sort"
 	"strconv"
-	"strings"
-
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/plotutil"
-	"gonum.org/v1/plot/vg"
-	"gonum.org/v1/plot/vg/draw"
-	"gonum.org/v1/plot/vg/vgsvg"
 )
 
 // Report is what is kept of the runs of one experiment.
@@ -28,7 +21,7 @@
 }
 
 // MarshalJSON writes figures that JSON has no word for as null (nothing measured) and "never".
-func (f Figures) MarshalJSON() ([]byte, error) {
+func (f Measurements) MarshalJSON() ([]byte, error) {
 	m := map[string]any{}
 	for k, v := range f {
 		switch {
@@ -44,12 +37,12 @@
 }
 
 // UnmarshalJSON reads them back.
-func (f *Figures) UnmarshalJSON(text []byte) error {
+func (f *Measurements) UnmarshalJSON(text []byte) error {
 	var m map[string]any
 	if err := json.Unmarshal(text, &m); err != nil {
 		return err
 	}
-	*f = Figures{}
+	*f = Measurements{}
 	for k, v := range m {
 		switch v := v.(type) {
 		case nil:
@@ -112,7 +105,7 @@
 	names := map[string]bool{}
 	for _, r := range reports {
 		for _, x := range r.Results {
-			for name := range x.Figures {
+			for name := range x.Measurements {
 				names[name] = true
 			}
 		}
@@ -123,7 +116,7 @@
 		for _, r := range reports {
 			var list []float64
 			for _, x := range r.Results {
-				if v, ok := x.Figures[name]; ok && !math.IsNaN(v) {
+				if v, ok := x.Measurements[name]; ok && !math.IsNaN(v) {
 					list = append(list, v)
 				}
 			}
@@ -190,6 +183,14 @@
 </body></html>
 `))
 
+// pageContent is what the page's template shows.
+type pageContent struct {
+	Title   string
+	Reports []*Report
+	Rows    []Row
+	Plots   []template.HTML
+}
+
 func writePage(path, title string, reports []*Report) error {
 	plots, err := plotsOf(reports)
 	if err != nil {
@@ -199,112 +200,9 @@
 	if err != nil {
 		return fmt.Errorf("--report: %w", err)
 	}
-	defer out.Close()
-	err = page.Execute(out, map[string]any{"Title": title, "Reports": reports, "Rows": Table(reports...), "Plots": plots})
-	if err != nil {
+	content := pageContent{Title: title, Reports: reports, Rows: Table(reports...), Plots: plots}
+	if err := errors.Join(page.Execute(out, content), out.Close()); err != nil {
 		return fmt.Errorf("--report: %w", err)
 	}
-	return out.Close()
-}
-
-// plotsOf draws the first seed of each report.
-func plotsOf(reports []*Report) ([]template.HTML, error) {
-	type curve struct {
-		name string
-		of   func(*Result) []float64
-	}
-	var list []template.HTML
-	for _, p := range []struct {
-		title, x, y string
-		along       func(*Result) []float64
-		curves      []curve
-	}{
-		{"Gateways alive, and believed alive", "s", "gateways", seconds, []curve{
-			{"up", func(r *Result) []float64 { return r.Series.Up }}, {"believed, mean", func(r *Result) []float64 { return r.Series.Believed }}}},
-		{"Beliefs that are wrong", "s", "beliefs", seconds, []curve{{"wrong", func(r *Result) []float64 { return r.Series.Wrong }}}},
-		{"False suspicions so far", "s", "accusations", seconds, []curve{{"false", func(r *Result) []float64 { return r.Series.Doubts }}}},
-		{"Bytes sent a second", "s", "bytes", seconds, []curve{
-			{"mean", func(r *Result) []float64 { return r.Series.BytesMean }}, {"busiest", func(r *Result) []float64 { return r.Series.BytesMost }}}},
-		{"Latency from the intended time", "percentile", "ms", percents, []curve{{"served", func(r *Result) []float64 { return r.Latency }}}},
-	} {
-		pl := plot.New()
-		pl.Title.Text, pl.X.Label.Text, pl.Y.Label.Text = p.title, p.x, p.y
-		pl.Y.Min, pl.Legend.Top, pl.Legend.XOffs = 0, true, -vg.Points(12)
-		pl.Legend.TextStyle.Font.Size, pl.Legend.ThumbnailWidth, pl.Legend.Padding = vg.Points(9), vg.Points(16), vg.Points(6)
-		drawn := 0
-		for _, rep := range reports {
-			for _, c := range p.curves {
-				r := rep.Results[0]
-				xs, ys := p.along(r), c.of(r)
-				if len(xs) == 0 || len(xs) != len(ys) {
-					continue
-				}
-				xy := make(plotter.XYs, len(xs))
-				for i := range xs {
-					xy[i] = plotter.XY{X: xs[i], Y: ys[i]}
-				}
-				line, err := plotter.NewLine(xy)
-				if err != nil {
-					return nil, err
-				}
-				line.Color, line.Width = plotutil.Color(drawn), vg.Points(1.4)
-				pl.Add(line)
-				name := c.name
-				if len(reports) > 1 {
-					name += ", " + rep.Title
-				}
-				pl.Legend.Add(name, line)
-				drawn++
-			}
-		}
-		if drawn > 0 {
-			list = append(list, svg(pl))
-		}
-	}
-	for _, rep := range reports {
-		r := rep.Results[0]
-		if len(r.Hosts) == 0 {
-			continue
-		}
-		var names []string
-		for h := range r.Hosts {
-			names = append(names, h)
-		}
-		sort.Strings(names)
-		var values plotter.Values
-		for _, h := range names {
-			values = append(values, float64(r.Hosts[h]))
-		}
-		bars, err := plotter.NewBarChart(values, vg.Points(20))
-		if err != nil {
-			return nil, err
-		}
-		bars.Color = plotutil.Color(0)
-		pl := plot.New()
-		pl.Title.Text, pl.Y.Label.Text = "Load of each host, "+rep.Title, "statements"
-		pl.Add(bars)
-		pl.NominalX(names...)
-		list = append(list, svg(pl))
-	}
-	return list, nil
-}
-
-func seconds(r *Result) []float64 { return r.Series.Seconds }
-
-func percents(r *Result) []float64 {
-	list := make([]float64, len(r.Latency))
-	for i := range list {
-		list[i] = float64(i)
-	}
-	return list
-}
-
-// svg is a plot as part of a page.
-func svg(p *plot.Plot) template.HTML {
-	c := vgsvg.New(vg.Points(430), vg.Points(250))
-	p.Draw(draw.New(c))
-	var b strings.Builder
-	_, _ = c.WriteTo(&b) // a Builder takes all
-	text := b.String()
-	return template.HTML(text[max(0, strings.Index(text, "<svg")):])
+	return nil
 }
--- a/internal/stubserver/standin.go
+++ b/internal/stubserver/message.go
@@ -1,26 +1,33 @@
-// Package stubserver holds what stand-ins for clients, hosts and discovery speak alike, in the tests and in the laboratory. It
-// blocks; the gateway's own side of the protocol is internal/protocol.
+// Package stubserver holds what the stub database hosts and the stub discovery of the tests and of the fault simulator
+// have in common: framing of the PostgreSQL wire protocol, a listener that tracks its connections, the statement that a
+// connection works on, and the endpoint list. It blocks; the gateway's own side of the protocols is internal/protocol.
 package stubserver
 
 import (
 	"encoding/binary"
 	"fmt"
 	"io"
-	"net/http"
-	"strconv"
-	"time"
 
 	"merlinjunction/internal/protocol/pg"
 )
 
-// ReadMessage reads one message of the PostgreSQL wire protocol with a body of at most so many bytes.
-func ReadMessage(r io.Reader, most int) (kind byte, body []byte, err error) {
+const (
+	textTypeOID    = 25 // PostgreSQL's object ID of the type text
+	typeOIDAt      = 13 // offset of the type's last byte in the one-column description below
+	columnTailSize = 18 // bytes of a column's description behind its name
+)
+
+// StateReadOnly is the SQLSTATE of a write at a replica (read_only_sql_transaction).
+const StateReadOnly = "25006"
+
+// ReadMessage reads one message of the PostgreSQL wire protocol with a body of at most maxBody bytes.
+func ReadMessage(r io.Reader, maxBody int) (kind byte, body []byte, err error) {
 	var head [5]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
 	}
 	n := int(binary.BigEndian.Uint32(head[1:])) - 4
-	if n < 0 || n > most {
+	if n < 0 || n > maxBody {
 		return 0, nil, fmt.Errorf("a message of %d bytes", n)
 	}
 	body = make([]byte, n)
@@ -28,7 +35,7 @@
 	return head[0], body, err
 }
 
-// AcceptStartup reads a client's startup message and returns the answer's beginning: no password is asked for.
+// AcceptStartup reads a client's startup message and returns the beginning of the answer: no password is asked for.
 func AcceptStartup(r io.Reader) ([]byte, error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
@@ -42,29 +49,12 @@
 
 // AppendColumnDescription appends the description of a row with one column of text.
 func AppendColumnDescription(out []byte) []byte {
-	column := append([]byte{0, 1, 'v', 0}, make([]byte, 18)...)
-	column[13] = 25 // text
+	column := append([]byte{0, 1, 'v', 0}, make([]byte, columnTailSize)...)
+	column[typeOIDAt] = textTypeOID
 	return pg.AppendMessage(out, pg.MsgRowDescription, column...)
 }
 
-// AppendRow appends a row of one short value.
+// AppendRow appends a row of one value of at most 255 bytes.
 func AppendRow(out []byte, value string) []byte {
 	return pg.AppendMessage(out, pg.MsgDataRow, append([]byte{0, 1, 0, 0, 0, byte(len(value))}, value...)...)
 }
-
-// AwaitChange holds a watch of discovery until there is something newer than the version that the call names, or its time is
-// over. state tells whether there is, and is closed when there will be.
-func AwaitChange(r *http.Request, state func(since int) (news bool, changed <-chan struct{})) {
-	since, err := strconv.Atoi(r.FormValue("since"))
-	if err != nil {
-		return
-	}
-	ms, _ := strconv.Atoi(r.FormValue("timeout_ms"))
-	if news, changed := state(since); !news {
-		select {
-		case <-changed:
-		case <-time.After(time.Duration(ms) * time.Millisecond):
-		case <-r.Context().Done():
-		}
-	}
-}
--- /dev/null
+++ b/internal/testkit/client_message.go
@@ -0,0 +1,146 @@
+package testkit
+
+import (
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+
+	"merlinjunction/internal/protocol/pg"
+	"merlinjunction/internal/stubserver"
+)
+
+// messageText is a client's message as a scenario writes it: its kind, and its arguments, of which "-" is the empty one.
+type messageText struct {
+	kind      string
+	rest      string // all behind the kind, as it stands
+	arguments []string
+}
+
+func parseMessageText(text string) messageText {
+	kind, rest, _ := strings.Cut(text, " ")
+	return messageText{kind: kind, rest: rest, arguments: strings.Fields(rest)}
+}
+
+func (m *messageText) argument(i int) string {
+	if i < len(m.arguments) && m.arguments[i] != "-" {
+		return m.arguments[i]
+	}
+	return ""
+}
+
+// Encode appends a client's message, written as in scenarios.
+func Encode(out []byte, text string) ([]byte, error) {
+	m := parseMessageText(text)
+	switch m.kind {
+	case "startup":
+		return m.appendStartup(out), nil
+	case "raw":
+		raw, err := hex.DecodeString(strings.Join(m.arguments, ""))
+		return append(out, raw...), err
+	case "query":
+		return pg.AppendStrings(out, pg.MsgQuery, m.rest), nil
+	case "parse":
+		return m.appendParse(out), nil
+	case "bind":
+		return m.appendBind(out), nil
+	case "execute":
+		return m.appendExecute(out), nil
+	case "describe":
+		return pg.AppendStrings(out, pg.MsgDescribe, m.argument(0)+m.argument(1)), nil
+	case "close":
+		return pg.AppendStrings(out, pg.MsgClose, m.argument(0)+m.argument(1)), nil
+	case "sync":
+		return pg.AppendMessage(out, pg.MsgSync), nil
+	case "flush":
+		return pg.AppendMessage(out, pg.MsgFlush), nil
+	case "terminate":
+		return pg.AppendMessage(out, pg.MsgEnd), nil
+	}
+	return nil, fmt.Errorf("unknown message %q", m.kind)
+}
+
+// appendStartup appends the startup message of the user svc; its argument is the database, main unless given.
+func (m *messageText) appendStartup(out []byte) []byte {
+	database := "main"
+	if m.argument(0) != "" {
+		database = m.argument(0)
+	}
+	out, mark := pg.BeginMessage(out, 0)
+	out = binary.BigEndian.AppendUint32(out, pg.Version3)
+	for _, text := range []string{"user", "svc", "database", database, ""} {
+		out = append(append(out, text...), 0)
+	}
+	return pg.EndMessage(out, mark)
+}
+
+// appendParse appends a Parse: the statement's name, then its text.
+func (m *messageText) appendParse(out []byte) []byte {
+	_, sql, _ := strings.Cut(m.rest, " ")
+	out, mark := pg.BeginMessage(out, pg.MsgParse)
+	out = append(append(out, m.argument(0)+"\x00"+sql...), 0, 0, 0)
+	return pg.EndMessage(out, mark)
+}
+
+// appendBind appends a Bind: portal, statement, then the values as text.
+func (m *messageText) appendBind(out []byte) []byte {
+	out, mark := pg.BeginMessage(out, pg.MsgBind)
+	out = append(out, m.argument(0)+"\x00"+m.argument(1)+"\x00\x00\x00"...)
+	values := m.arguments[min(2, len(m.arguments)):]
+	out = append(out, 0, byte(len(values)))
+	for _, value := range values {
+		if value == "NULL" {
+			out = append(out, 255, 255, 255, 255)
+			continue
+		}
+		out = append(binary.BigEndian.AppendUint32(out, uint32(len(value))), value...)
+	}
+	return pg.EndMessage(append(out, 0, 0), mark)
+}
+
+// appendExecute appends an Execute: the portal and the row limit.
+func (m *messageText) appendExecute(out []byte) []byte {
+	rowLimit, _ := strconv.Atoi(m.argument(1))
+	out, mark := pg.BeginMessage(out, pg.MsgExecute)
+	out = append(out, m.argument(0)+"\x00"...)
+	return pg.EndMessage(binary.BigEndian.AppendUint32(out, uint32(rowLimit)), mark)
+}
+
+// Answer reads one message of the gateway's and names it as scenarios do. Parameters and notices are passed over.
+func Answer(r io.Reader) (string, error) {
+	for {
+		kind, body, err := stubserver.ReadMessage(r, maxMessageBody)
+		if err != nil {
+			return "", err
+		}
+		fields := pg.NewFieldReader(body)
+		switch kind {
+		case pg.MsgParameterStatus, pg.MsgNotice:
+			continue
+		case pg.MsgBackendKeyData:
+			return "K:" + hex.EncodeToString(body), nil
+		case pg.MsgComplete:
+			return "C:" + strings.ReplaceAll(fields.Text(), " ", "_"), nil
+		case pg.MsgDataRow:
+			fields.Int16()
+			return "D:" + string(fields.Value()), nil
+		case pg.MsgError:
+			return errorName(fields), nil
+		}
+		return string(kind), nil
+	}
+}
+
+// errorName names an ErrorResponse by its SQLSTATE and, where there is one, its detail.
+func errorName(fields *pg.FieldReader) string {
+	parts := map[byte]string{}
+	for part := fields.Byte(); part != 0; part = fields.Byte() {
+		parts[part] = fields.Text()
+	}
+	if parts['D'] != "" {
+		return "E:" + parts['C'] + ":" + parts['D']
+	}
+	return "E:" + parts['C']
+}
--- a/internal/testkit/seed/seed.go
+++ b/internal/testkit/seed/seed.go
@@ -1,4 +1,4 @@
-// Package seed, imported by the tests of a package, makes its property tests draw the same cases each time, so that CI has one
+// Package seed makes the property tests of a package that imports it draw the same cases each time, so that CI has one
 // verdict; -rapid.seed draws others.
 package seed
 
