--- a/routing/actions.go
+++ b/routing/actions.go
@@ -39,8 +39,12 @@
 // SetTimer asks for a Step with TimerFired after a while. The Router ignores a timer that it needs no more.
 type SetTimer struct{ After time.Duration }
 
-// Log is a line for the operators.
-type Log struct{ Text string }
+// Log is a line for the operators about a host.
+type Log struct {
+	Text  string // what happened; it names the group and the host
+	Group int
+	Host  string
+}
 
 func (Attempt) action()            {}
 func (CancelAttempt) action()      {}
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -165,7 +165,7 @@
 	host.strikes = min(host.strikes+1, maxStrikes)
 	if nothingReceived && isRepeated && !host.unresponsive {
 		host.unresponsive = true
-		r.logf("group %d: host %s is unresponsive", host.group.id, host.ID)
+		r.log(host, "is unresponsive")
 	}
 }
 
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -108,3 +108,33 @@
 		})
 	}
 }
+
+// A host that refuses connections is ejected, twice as long for each strike that it has; one that has responded just
+// before only for a short time.
+func TestEjectionAfterRefusedConnections(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		strikes      float64
+		sinceOutcome time.Duration
+		want         time.Duration
+	}{
+		{"responded just before", 0, 0, rejectionEjectionTime},
+		{"responded long ago", 0, time.Second, connectFailureEjectionTime},
+		{"responded just before, with a strike", 1, 0, 2 * connectFailureEjectionTime},
+		{"with as many strikes as can be", maxStrikes, time.Second, 64 * connectFailureEjectionTime},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			harness := newHarness(t, nil)
+			harness.listGroup()
+			host := harness.router.hosts["a"]
+			host.strikes, host.lastOutcomeAt = test.strikes, harness.now-test.sinceOutcome
+			harness.router.recordConnectFailure(host)
+			if ejection := host.ejectedUntil - harness.now; ejection != test.want {
+				t.Errorf("ejected for %v, want %v", ejection, test.want)
+			}
+			if harness.router.eligible(host) {
+				t.Error("an ejected host may get requests")
+			}
+		})
+	}
+}
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -27,14 +27,14 @@
 	switch role {
 	case RolePrimary:
 		if group.primary != host {
-			r.logf("group %d: host %s is now the primary", group.id, host.ID)
+			r.log(host, "is now the primary")
 		}
 		group.primary, group.primarySeenAt, group.search.triedInRound = host, r.now, 0
 	case RoleReplica:
 		host.demotedAt = r.currentPosition()
 		if group.primary == host {
 			group.primary = nil
-			r.logf("group %d: host %s is no longer the primary", group.id, host.ID)
+			r.log(host, "is no longer the primary")
 		}
 	}
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -126,13 +126,15 @@
 // currentPosition is the position of a host that has applied everything up to now.
 func (r *Router) currentPosition() Position { return r.now - r.settings.PositionEpoch }
 
-// logf writes a line for the operators. Lines within logInterval of the last one are dropped.
-func (r *Router) logf(format string, args ...any) {
+// log writes a line for the operators: what has happened to a host. Lines within logInterval of the last one
+// are dropped.
+func (r *Router) log(host *host, whatHappened string) {
 	if r.lastLogAt > 0 && r.now < r.lastLogAt+logInterval {
 		return
 	}
 	r.lastLogAt = r.now
-	r.emit(Log{fmt.Sprintf(format, args...)})
+	text := fmt.Sprintf("group %d: host %s %s", host.group.id, host.ID, whatHappened)
+	r.emit(Log{Text: text, Group: host.group.id, Host: host.ID})
 }
 
 // A group is one primary and its replicas.
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 )
@@ -66,6 +67,19 @@
 	}
 }
 
+// An operator finds in the log when a host stops answering and which host is the primary.
+func TestLogNamesGroupAndHost(t *testing.T) {
+	harness := newHarness(t, nil)
+	harness.list(ready("p", "a")...)
+	actions := harness.router.Step(harness.now, []Event{
+		HealthCheckResult{Host: "p", Role: RolePrimary, Position: harness.now},
+	})
+	want := Log{Text: "group 1: host p is now the primary", Group: 1, Host: "p"}
+	if !slices.Contains(actions, Action(want)) {
+		t.Errorf("got %v, want %v among them", actions, want)
+	}
+}
+
 // BenchmarkStep has the Router of a large deployment (60 groups of 5 hosts) take in and finish one request a Step.
 func BenchmarkStep(b *testing.B) {
 	router, err := New(testSettings(), 1)
