--- /dev/null
+++ b/internal/proxy/doc.go
@@ -0,0 +1,21 @@
+// Package proxy is the proxy core between the frontends, which speak to clients, and the database hosts.
+//
+// A frontend submits requests to the Core. The Core passes what happened as events to a routing.Router, which makes
+// every decision, and carries out the actions that come back: it starts and cancels attempts, sends health checks and
+// gives each request its final answer. The package knows no wire protocol: clients are behind Responder and Streamer,
+// hosts are behind Dialer and UpstreamConn.
+//
+// All calls and callbacks come from the goroutine of the event loop; nothing here is safe for concurrent use. Times
+// are in milliseconds of the clock of eventloop.Timers, except where a type says otherwise.
+//
+// Ownership:
+//   - The Core owns each request from Submit until its final answer, and the record of it until no attempt is open.
+//   - A host owns its upstream connections (pooledConn) and the queue of attempts that wait for one.
+//   - An attempt owns at most one upstream connection, from the time it is sent until its result.
+//
+// Invariants:
+//   - A request gets at most one final answer, and has at most one open attempt.
+//   - The router learns the result of each attempt exactly once.
+//   - An attempt whose last byte was not handed to the system can't have run; its outcome says so.
+//   - What happens to several hosts at one time happens in the order of their IDs, so that one seed gives one run.
+package proxy
--- /dev/null
+++ b/internal/proxy/healthcheck.go
@@ -0,0 +1,69 @@
+package proxy
+
+import "merlinjunction/routing"
+
+const (
+	// healthCheckTimeoutMs is how long a host has for its answer.
+	healthCheckTimeoutMs = 250.0
+	// healthCheckGapMs is the least time between two health checks of a host, by whichever gateways.
+	healthCheckGapMs = 10.0
+)
+
+// checkAllHosts asks all hosts in use for their roles, and again after an interval that grows with the number of
+// gateways. The router looks for an unknown primary by sending writes; without these health checks a group that only
+// gets reads would have no known primary, and all reads that need it would be rejected.
+func (c *Core) checkAllHosts() {
+	if !c.healthChecksEnabled() {
+		return
+	}
+	for _, h := range c.sortedHosts() {
+		c.checkIfInUse(h)
+	}
+	c.timers.After(c.schedule.Interval(c.limits.HealthCheckIntervalMs, healthCheckGapMs), c.checkAllHosts)
+}
+
+// checkNewHost asks a host that was added to the endpoint list for its role.
+func (c *Core) checkNewHost(h *host) {
+	if c.healthChecksEnabled() {
+		c.checkIfInUse(h)
+	}
+}
+
+func (c *Core) healthChecksEnabled() bool { return c.limits.HealthCheckIntervalMs > 0 }
+
+func (c *Core) checkIfInUse(h *host) {
+	if h.inUse() {
+		c.sendHealthCheck(h.ID)
+	}
+}
+
+// sendHealthCheck asks a host for its load report.
+func (c *Core) sendHealthCheck(hostID string) {
+	h := c.hosts[hostID]
+	if h == nil {
+		c.events = append(c.events, routing.HealthCheckResult{Host: hostID, Outcome: routing.OutcomeNotSent})
+		return
+	}
+	attempt := &hostAttempt{host: h}
+	attempt.timer = c.timers.After(healthCheckTimeoutMs, func() { c.abortAttempt(attempt, routing.OutcomeTimeout) })
+	c.dispatch(attempt)
+}
+
+// finishHealthCheck passes the result of a health check to the router.
+func (c *Core) finishHealthCheck(attempt *hostAttempt, outcome routing.Outcome, response Response) {
+	result := routing.HealthCheckResult{
+		Host:     attempt.host.ID,
+		Outcome:  outcome,
+		Role:     response.Role,
+		Position: c.position(response.PositionMs),
+	}
+	if outcome == routing.OutcomeOK {
+		if role, positionMs, ok := c.parseLoadReport(response.Body); ok {
+			result.Role, result.Position = role, c.position(positionMs)
+		}
+	}
+	if result.Role == routing.RolePrimary && result.Position == 0 {
+		result.Position = c.position(c.Now()) // a primary has all commits
+	}
+	c.events = append(c.events, result)
+}
--- /dev/null
+++ b/internal/proxy/pool.go
@@ -0,0 +1,178 @@
+package proxy
+
+import (
+	"errors"
+	"slices"
+
+	"go.uber.org/zap"
+
+	"merlinjunction/routing"
+)
+
+const (
+	// settlePeriodMs is how long a connection gets no command after a response. A host may close a connection right
+	// after its response, or send bytes beyond it: a command that crosses that would be lost, or take those bytes
+	// for its response.
+	settlePeriodMs = 2.0
+	// idleRetireShare is the share of Limits.HostIdleTimeoutMs after which an idle connection is closed. A command
+	// that is written to a connection that the host is closing fails, and might have run.
+	idleRetireShare = 0.5
+	// maintainIntervalMs is the time between two runs of maintainConns.
+	maintainIntervalMs = 500.0
+)
+
+// errConnectionLimit means that Limits.MaxConns is reached and no connection is idle.
+var errConnectionLimit = errors.New("all connections to hosts are in use")
+
+// dispatch sends an attempt on an idle connection, or lets it wait for the next one that is free.
+func (c *Core) dispatch(attempt *hostAttempt) {
+	h := attempt.host
+	if conn := h.takeSettled(); conn != nil && len(h.waiting) == 0 {
+		conn.send(attempt)
+		return
+	}
+	h.waiting = append(h.waiting, attempt)
+	if len(h.idle) > 0 {
+		c.timers.After(settlePeriodMs, h.serveWaiting)
+	}
+	h.dialIfNeeded()
+}
+
+// takeSettled takes the most recently used idle connection whose settle period is over; nil where there is none.
+func (h *host) takeSettled() *pooledConn {
+	now := h.core.Now()
+	for i := len(h.idle) - 1; i >= 0; i-- {
+		conn := h.idle[i]
+		if conn.settledAtMs <= now {
+			h.idle = slices.Delete(h.idle, i, i+1)
+			return conn
+		}
+	}
+	return nil
+}
+
+// serveWaiting sends the waiting attempts on idle connections whose settle period is over.
+func (h *host) serveWaiting() {
+	for len(h.waiting) > 0 {
+		conn := h.takeSettled()
+		if conn == nil {
+			return
+		}
+		conn.send(h.takeOldestWaiting())
+	}
+}
+
+// takeOldestWaiting takes the attempt that has waited longest; there has to be one.
+func (h *host) takeOldestWaiting() *hostAttempt {
+	oldest := h.waiting[0]
+	h.waiting = h.waiting[1:]
+	return oldest
+}
+
+// removeWaiting removes an attempt that has ended. A connection that was dialed for it serves the next one.
+func (h *host) removeWaiting(attempt *hostAttempt) {
+	h.waiting = slices.DeleteFunc(h.waiting, func(other *hostAttempt) bool { return other == attempt })
+}
+
+// needsConn returns whether more attempts wait than connections are idle or being dialed.
+func (h *host) needsConn() bool { return len(h.dialing)+len(h.idle) < len(h.waiting) }
+
+// dialIfNeeded dials a connection where one is needed. The attempt that came last ends where that can't be done.
+func (h *host) dialIfNeeded() {
+	if !h.needsConn() {
+		return
+	}
+	err := h.dial()
+	if err == nil {
+		return
+	}
+	h.core.log.Debug("cannot dial host", zap.String("host", h.ID), zap.Error(err))
+	last := h.waiting[len(h.waiting)-1]
+	h.removeWaiting(last)
+	h.core.finishAttempt(last, routing.OutcomeNoConnection, Response{})
+}
+
+// dial starts to establish a connection. The error is errConnectionLimit or the Dialer's.
+func (h *host) dial() error {
+	c := h.core
+	if c.openConns >= c.limits.MaxConns && !c.closeOldestIdle() {
+		return errConnectionLimit
+	}
+	conn := &pooledConn{host: h}
+	upstream, err := c.dialer.Dial(h.Address, conn)
+	if err != nil {
+		return err
+	}
+	c.openConns++
+	conn.upstream = upstream
+	h.dialing = append(h.dialing, conn)
+	conn.connectTimer = c.timers.After(c.limits.ConnectTimeoutMs, func() {
+		conn.close()
+		h.connectionFailed()
+	})
+	return nil
+}
+
+// connectionFailed notes that a connection was not established, and ends the attempt that has waited longest where no
+// other connection is on its way for it.
+func (h *host) connectionFailed() {
+	h.connectFailed = true
+	if h.needsConn() {
+		h.core.finishAttempt(h.takeOldestWaiting(), routing.OutcomeNoConnection, Response{})
+	}
+}
+
+// closeIdle closes all idle connections.
+func (h *host) closeIdle() {
+	for len(h.idle) > 0 {
+		h.idle[0].close()
+	}
+}
+
+// closeOldestIdle closes the connection that has been idle longest, of all hosts; of several the one of the first host
+// by ID. It returns false where no connection is idle.
+func (c *Core) closeOldestIdle() bool {
+	var oldest *pooledConn
+	for _, h := range c.hosts {
+		if len(h.idle) == 0 {
+			continue
+		}
+		if conn := h.idle[0]; oldest == nil || conn.idleLongerThan(oldest) {
+			oldest = conn
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	oldest.close()
+	return true
+}
+
+// maintainConns keeps the pools in order: it runs again after maintainIntervalMs.
+func (c *Core) maintainConns() {
+	c.retireIdle()
+	if !c.Ready() {
+		c.redialHosts()
+	}
+	c.timers.After(maintainIntervalMs, c.maintainConns)
+}
+
+// retireIdle closes idle connections well before their hosts do.
+func (c *Core) retireIdle() {
+	idleSinceLimitMs := c.Now() - c.limits.HostIdleTimeoutMs*idleRetireShare
+	for _, h := range c.sortedHosts() {
+		for len(h.idle) > 0 && h.idle[0].idleSinceMs < idleSinceLimitMs {
+			h.idle[0].close()
+		}
+	}
+}
+
+// redialHosts dials the hosts in use to find out whether they are back. While the Core isn't ready no request may come
+// that would do so.
+func (c *Core) redialHosts() {
+	for _, h := range c.sortedHosts() {
+		if h.inUse() && len(h.dialing) == 0 {
+			_ = h.dial() // tried again by the next maintainConns
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/stats.go
@@ -0,0 +1,50 @@
+package proxy
+
+import "merlinjunction/routing"
+
+// ReplyCounts counts the final answers to the requests of one class.
+type ReplyCounts struct {
+	Success  int `json:"success"`
+	Overload int `json:"overload"` // rejected
+	Error    int `json:"error"`    // failed
+}
+
+// Stats are the figures of a Core at a moment, besides ReplyCounts.
+type Stats struct {
+	Dispatches      int `json:"dispatches"`       // attempts whose last byte was written to a host
+	Concurrent      int `json:"concurrent"`       // requests without a final answer
+	Targets         int `json:"targets"`          // hosts in the endpoint list
+	TargetsDisabled int `json:"targets_disabled"` // hosts in it that get no new request: excluded, draining or ejected
+}
+
+// Stats returns the present figures.
+func (c *Core) Stats() Stats {
+	stats := Stats{
+		Dispatches:      c.dispatches,
+		Concurrent:      c.OpenRequests(),
+		TargetsDisabled: c.router.UnavailableHosts(toDuration(c.Now())),
+	}
+	for _, h := range c.hosts {
+		if h.State != routing.StateGone {
+			stats.Targets++
+		}
+	}
+	return stats
+}
+
+// ReplyCounts returns the counts by class, in the order of the settings. The caller must not change them.
+func (c *Core) ReplyCounts() []ReplyCounts { return c.replyCounts }
+
+// AcceptedRequests returns how many requests Submit has accepted in all.
+func (c *Core) AcceptedRequests() int { return int(c.lastID) }
+
+// OpenRequests returns how many requests have no final answer yet.
+func (c *Core) OpenRequests() int {
+	open := 0
+	for _, req := range c.requests {
+		if !req.answered {
+			open++
+		}
+	}
+	return open
+}
--- /dev/null
+++ b/internal/proxy/upstream_conn.go
@@ -0,0 +1,140 @@
+package proxy
+
+import (
+	"slices"
+
+	"go.uber.org/zap"
+
+	"merlinjunction/internal/eventloop"
+	"merlinjunction/routing"
+)
+
+// pooledConn is an upstream connection in a host's pool, and the UpstreamHandler of its UpstreamConn.
+type pooledConn struct {
+	host         *host
+	upstream     UpstreamConn
+	established  bool
+	closed       bool
+	attempt      *hostAttempt     // whose command is on it; nil while it is dialed or idle
+	connectTimer *eventloop.Timer // ends an attempt to connect
+	idleSinceMs  float64
+	settledAtMs  float64 // it gets no command before
+}
+
+// send sends an attempt on an idle connection. Since the router started the attempt it may have waited for the
+// connection, so what allows it is checked again.
+func (p *pooledConn) send(attempt *hostAttempt) {
+	c := p.host.core
+	timeLeftMs := healthCheckTimeoutMs
+	command := c.healthCheckCommand
+	if req := attempt.request; req != nil {
+		timeLeftMs = req.deadlineMs - c.Now()
+		command = req.Command
+	}
+	tooLate := attempt.sendBeforeMs > 0 && c.Now() >= attempt.sendBeforeMs
+	if p.host.drainGraceOver() || tooLate || timeLeftMs < minSendTimeLeftMs {
+		p.release(0)
+		c.finishAttempt(attempt, routing.OutcomeNotSent, Response{})
+		return
+	}
+	p.attempt, attempt.conn = attempt, p
+	p.upstream.Send(command, timeLeftMs)
+}
+
+// release makes the connection idle; after the settle period the oldest waiting attempt gets it. A connection to a
+// host that is gone is closed where no attempt waits.
+func (p *pooledConn) release(settleMs float64) {
+	h := p.host
+	p.attempt = nil
+	if h.State == routing.StateGone && len(h.waiting) == 0 {
+		p.close()
+		return
+	}
+	p.idleSinceMs = h.core.Now()
+	p.settledAtMs = p.idleSinceMs + settleMs
+	h.idle = append(h.idle, p)
+	if len(h.waiting) > 0 {
+		h.core.timers.At(p.settledAtMs, h.serveWaiting)
+	}
+}
+
+// close closes the connection and removes it from its pool.
+func (p *pooledConn) close() {
+	if p.closed {
+		return
+	}
+	p.closed = true
+	p.connectTimer.Stop()
+	p.upstream.Close()
+	p.host.core.openConns--
+	p.host.idle = withoutConn(p.host.idle, p)
+	p.host.dialing = withoutConn(p.host.dialing, p)
+}
+
+// withoutConn removes a connection from a list, in place.
+func withoutConn(list []*pooledConn, conn *pooledConn) []*pooledConn {
+	return slices.DeleteFunc(list, func(other *pooledConn) bool { return other == conn })
+}
+
+// idleLongerThan orders idle connections by the time since when they are idle, then by host.
+func (p *pooledConn) idleLongerThan(other *pooledConn) bool {
+	if p.idleSinceMs != other.idleSinceMs {
+		return p.idleSinceMs < other.idleSinceMs
+	}
+	return p.host.ID < other.host.ID
+}
+
+// Established makes the connection available to attempts.
+func (p *pooledConn) Established() {
+	h := p.host
+	p.established, h.connectFailed = true, false
+	p.connectTimer.Stop()
+	h.dialing = withoutConn(h.dialing, p)
+	p.release(0)
+	h.serveWaiting()
+}
+
+// RequestWritten notes that the command may run from now on.
+func (p *pooledConn) RequestWritten() {
+	attempt := p.attempt
+	if attempt == nil {
+		return
+	}
+	attempt.written = true
+	if attempt.request != nil {
+		p.host.core.dispatches++
+	}
+}
+
+// ResponseReceived ends the attempt with the host's response and frees the connection.
+func (p *pooledConn) ResponseReceived(response Response) {
+	attempt := p.attempt
+	if attempt == nil {
+		return
+	}
+	p.host.core.finishAttempt(attempt, response.Outcome, response)
+	if response.ConnectionEnds {
+		p.close()
+		p.host.dialIfNeeded()
+		return
+	}
+	p.release(settlePeriodMs)
+}
+
+// ConnectionClosed ends the attempt on the connection. One whose command was completely written may have run.
+func (p *pooledConn) ConnectionClosed(err error) {
+	attempt := p.attempt
+	p.close()
+	c := p.host.core
+	switch {
+	case !p.established:
+		c.log.Debug("connection to host failed", zap.String("host", p.host.ID), zap.Error(err))
+		p.host.connectionFailed()
+	case attempt == nil:
+		p.host.dialIfNeeded()
+	case attempt.written:
+		c.finishAttempt(attempt, routing.OutcomeConnectionLost, Response{})
+	default:
+		c.finishAttempt(attempt, routing.OutcomeNoConnection, Response{})
+	}
+}
