--- /dev/null
+++ b/internal/transport/decode.go
@@ -0,0 +1,143 @@
+package transport
+
+import (
+	"fmt"
+	"net/netip"
+
+	"merlinjunction/membership"
+)
+
+// Sizes of an encoded address and port.
+const (
+	ipv4AddrPortSize = 4 + 2
+	ipv6AddrPortSize = 16 + 2 // without a zone
+)
+
+// Decode reads the body of a message. It returns ErrUnsupportedVersion for a message that only a newer version can
+// read; any other error says what is wrong with the body.
+func Decode(data []byte) (membership.Message, error) {
+	var encoded body
+	if err := decodeMode.Unmarshal(data, &encoded); err != nil {
+		return membership.Message{}, fmt.Errorf("decode: %w", err)
+	}
+	if err := checkBody(&encoded); err != nil {
+		return membership.Message{}, err
+	}
+	addr, err := decodeAddr(encoded.Addr)
+	if err != nil {
+		return membership.Message{}, err
+	}
+	m := membership.Message{
+		Kind:        membership.Kind(encoded.Kind),
+		Version:     encoded.Version,
+		From:        membership.ID(encoded.From),
+		BootID:      encoded.BootID,
+		Incarnation: encoded.Incarnation,
+		Seq:         encoded.Seq,
+		Attempt:     encoded.Attempt,
+		Target:      membership.ID(encoded.Target),
+		Addr:        addr,
+		Digest:      encoded.Digest,
+		Buckets:     encoded.Buckets,
+	}
+	for i := range encoded.Rumors {
+		decoded, err := decodeRumor(&encoded.Rumors[i])
+		if err != nil {
+			return membership.Message{}, err
+		}
+		m.Rumors = append(m.Rumors, decoded)
+	}
+	for i := range encoded.Records {
+		decoded, err := decodeRecord(&encoded.Records[i])
+		if err != nil {
+			return membership.Message{}, err
+		}
+		m.Records = append(m.Records, decoded)
+	}
+	return m, nil
+}
+
+// checkBody returns ErrUnsupportedVersion, or which field besides the rumors and records is out of range.
+func checkBody(encoded *body) error {
+	switch {
+	case encoded.Needs > membership.Version:
+		return ErrUnsupportedVersion
+	case !membership.Kind(encoded.Kind).Known() || encoded.BootID == 0 || !isValidIncarnation(encoded.Incarnation):
+		return fmt.Errorf("decode: kind %d, boot %d or incarnation %d is out of range",
+			encoded.Kind, encoded.BootID, encoded.Incarnation)
+	case len(encoded.Buckets) > maxBuckets || len(encoded.Rumors) > maxRumors || len(encoded.Records) > maxRecords:
+		return fmt.Errorf("decode: %d digests, %d rumors or %d records are too many",
+			len(encoded.Buckets), len(encoded.Rumors), len(encoded.Records))
+	}
+	return nil
+}
+
+func decodeRumor(encoded *rumor) (membership.Rumor, error) {
+	if !isKnownState(encoded.State) || !isValidIncarnation(encoded.Incarnation) || len(encoded.Accusers) > maxAccusers {
+		return membership.Rumor{}, fmt.Errorf("decode: a rumor's state %d, incarnation or accusers are out of range",
+			encoded.State)
+	}
+	decoded := membership.Rumor{
+		Subject:     membership.ID(encoded.Subject),
+		BootTag:     encoded.BootTag,
+		Incarnation: encoded.Incarnation,
+		State:       membership.State(encoded.State),
+	}
+	for _, accuser := range encoded.Accusers {
+		decoded.Accusers = append(decoded.Accusers, membership.ID(accuser))
+	}
+	return decoded, nil
+}
+
+func decodeRecord(encoded *record) (membership.Record, error) {
+	if !isValidRecord(encoded) {
+		return membership.Record{}, fmt.Errorf("decode: a field of the record of %.64q is out of range", encoded.Name)
+	}
+	addr, err := decodeAddr(encoded.Addr)
+	if err != nil {
+		return membership.Record{}, err
+	}
+	return membership.Record{
+		Name:           encoded.Name,
+		Addr:           addr,
+		Zone:           encoded.Zone,
+		Version:        encoded.Version,
+		BootID:         encoded.BootID,
+		Incarnation:    encoded.Incarnation,
+		State:          membership.State(encoded.State),
+		Payload:        encoded.Payload,
+		PayloadVersion: encoded.PayloadVersion,
+	}, nil
+}
+
+func isValidRecord(encoded *record) bool {
+	return isKnownState(encoded.State) &&
+		isValidIncarnation(encoded.Incarnation) &&
+		encoded.BootID != 0 &&
+		encoded.Name != "" &&
+		len(encoded.Name) <= membership.MaxName &&
+		len(encoded.Zone) <= membership.MaxZone &&
+		len(encoded.Payload) <= membership.MaxPayload
+}
+
+func isValidIncarnation(incarnation uint64) bool {
+	return incarnation != 0 && incarnation <= maxIncarnation
+}
+
+func isKnownState(state uint8) bool {
+	return state >= uint8(membership.Alive) && state <= uint8(membership.Left)
+}
+
+// decodeAddr decodes an address and port; no bytes stand for an address that is not valid.
+func decodeAddr(data []byte) (addr netip.AddrPort, err error) {
+	if len(data) == 0 {
+		return addr, nil
+	}
+	if len(data) != ipv4AddrPortSize && len(data) != ipv6AddrPortSize {
+		return addr, fmt.Errorf("decode: %d bytes are no address", len(data))
+	}
+	if err = addr.UnmarshalBinary(data); err != nil {
+		return addr, fmt.Errorf("decode: address: %w", err)
+	}
+	return addr, nil
+}
--- /dev/null
+++ b/internal/transport/encode.go
@@ -0,0 +1,82 @@
+package transport
+
+import (
+	"fmt"
+	"net/netip"
+
+	"merlinjunction/membership"
+)
+
+// Encode appends the body of a message to a buffer. An error means that the encoder failed; there is no message that
+// it can't encode.
+func Encode(buffer []byte, m *membership.Message) ([]byte, error) {
+	encoded := body{
+		Kind:        uint8(m.Kind),
+		Version:     m.Version,
+		From:        uint64(m.From),
+		BootID:      m.BootID,
+		Incarnation: m.Incarnation,
+		Seq:         m.Seq,
+		Attempt:     m.Attempt,
+		Target:      uint64(m.Target),
+		Addr:        encodeAddr(m.Addr),
+		Digest:      m.Digest,
+		Buckets:     m.Buckets,
+		Rumors:      encodeRumors(m.Rumors),
+		Records:     encodeRecords(m.Records),
+	}
+	data, err := encodeMode.Marshal(&encoded)
+	if err != nil {
+		return nil, fmt.Errorf("encode: %w", err)
+	}
+	return append(buffer, data...), nil
+}
+
+func encodeRumors(rumors []membership.Rumor) []rumor {
+	if len(rumors) == 0 {
+		return nil
+	}
+	encoded := make([]rumor, len(rumors))
+	for i, r := range rumors {
+		encoded[i] = rumor{
+			Subject:     uint64(r.Subject),
+			Incarnation: r.Incarnation,
+			State:       uint8(r.State),
+			BootTag:     r.BootTag,
+		}
+		for _, accuser := range r.Accusers {
+			encoded[i].Accusers = append(encoded[i].Accusers, uint64(accuser))
+		}
+	}
+	return encoded
+}
+
+func encodeRecords(records []membership.Record) []record {
+	if len(records) == 0 {
+		return nil
+	}
+	encoded := make([]record, len(records))
+	for i, r := range records {
+		encoded[i] = record{
+			Name:           r.Name,
+			Addr:           encodeAddr(r.Addr),
+			Zone:           r.Zone,
+			Version:        r.Version,
+			BootID:         r.BootID,
+			Incarnation:    r.Incarnation,
+			State:          uint8(r.State),
+			Payload:        r.Payload,
+			PayloadVersion: r.PayloadVersion,
+		}
+	}
+	return encoded
+}
+
+// encodeAddr encodes an address and port; no bytes stand for an address that is not valid.
+func encodeAddr(addr netip.AddrPort) []byte {
+	if !addr.IsValid() {
+		return nil
+	}
+	encoded, _ := addr.MarshalBinary() // never fails
+	return encoded
+}
--- a/internal/transport/payload.go
+++ b/internal/transport/payload.go
@@ -5,43 +5,33 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"merlinjunction/fleet"
 	"merlinjunction/membership"
 )
 
-// Payload is what a gateway tells of itself beside that it lives.
+// Payload is what a gateway publishes of itself to the other members of its fleet.
 type Payload struct {
-	Load float64 `cbor:"1,keyasint,omitempty"` // requests a second that it takes, rounded; 0: not told
+	Load float64 `cbor:"1,keyasint,omitempty"` // requests a second that it accepts, rounded; 0: unknown
 }
 
-// NewRoster is the gateways that share the hosts with this one: those that live, as far as its view tells. One that only this
-// gateway can't reach counts too: it serves.
-func NewRoster(self fleet.Gateway, members []membership.Member) *fleet.Roster {
-	var peers []fleet.Gateway
-	for _, m := range members {
-		if m.State == membership.Alive || m.State == membership.Suspect || m.State == membership.Unreachable {
-			peers = append(peers, fleet.Gateway{Name: m.Name, Zone: m.Zone, Load: ParsePayload(m.Payload).Load})
-		}
-	}
-	return fleet.NewNamedRoster(self, peers)
-}
+// maxLoad bounds the load that is accepted of a member, in requests a second.
+const maxLoad = 1e6
 
-// mostLoad bounds what is believed, requests a second.
-const mostLoad = 1e6
-
-// Bytes is the payload as members carry it.
+// Bytes returns the payload as a membership record carries it; nil where it can't be encoded.
 func (p Payload) Bytes() []byte {
-	text, err := encoding.Marshal(p)
-	if err != nil || len(text) > membership.MaxPayload {
+	data, err := encodeMode.Marshal(p)
+	if err != nil || len(data) > membership.MaxPayload {
 		return nil
 	}
-	return text
+	return data
 }
 
-// ParsePayload reads a member's payload; what can't be read, or makes no sense, tells nothing.
-func ParsePayload(text []byte) (p Payload) {
-	if len(text) == 0 || cbor.Unmarshal(text, &p) != nil || !(p.Load >= 0 && p.Load <= mostLoad) || math.IsNaN(p.Load) {
+// ParsePayload reads a member's payload. One that can't be decoded, or is out of range, gives an empty Payload.
+func ParsePayload(data []byte) Payload {
+	var payload Payload
+	if len(data) == 0 || cbor.Unmarshal(data, &payload) != nil || !isValidLoad(payload.Load) {
 		return Payload{}
 	}
-	return p
+	return payload
 }
+
+func isValidLoad(load float64) bool { return !math.IsNaN(load) && load >= 0 && load <= maxLoad }
--- /dev/null
+++ b/internal/transport/roster.go
@@ -0,0 +1,24 @@
+package transport
+
+import (
+	"merlinjunction/fleet"
+	"merlinjunction/membership"
+)
+
+// NewRoster returns the gateways that share the hosts with this one: itself and the members that serve, as far as its
+// view of the fleet tells.
+func NewRoster(self fleet.Gateway, members []membership.Member) *fleet.Roster {
+	var peers []fleet.Gateway
+	for _, m := range members {
+		if isServing(m.State) {
+			peers = append(peers, fleet.Gateway{Name: m.Name, Zone: m.Zone, Load: ParsePayload(m.Payload).Load})
+		}
+	}
+	return fleet.NewNamedRoster(self, peers)
+}
+
+// isServing returns whether a member in a state counts as a gateway that serves. One that only this gateway can't reach
+// does.
+func isServing(state membership.State) bool {
+	return state == membership.Alive || state == membership.Suspect || state == membership.Unreachable
+}
--- /dev/null
+++ b/internal/transport/transport.go
@@ -0,0 +1,255 @@
+package transport
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"net/netip"
+
+	"github.com/VictoriaMetrics/metrics"
+	"go.uber.org/zap"
+	"go4.org/netipx"
+
+	"merlinjunction/internal/eventloop"
+	"merlinjunction/membership"
+)
+
+// Config says how this gateway takes part in a fleet.
+type Config struct {
+	Name      string           // of the gateway
+	Fleet     string           // of the fleet: datagrams of other fleets are dropped
+	Listen    string           // the address to receive on
+	Advertise netip.AddrPort   // the address that the other members send to; not valid: the address listened on
+	Zone      string           // of the gateway
+	Version   uint8            // of messages, during an upgrade from an older version; 0: the newest
+	Seeds     []netip.AddrPort // members to join through
+	Keys      [][]byte         // as for NewSealer
+	Networks  *netipx.IPSet    // from which datagrams are accepted; nil: from any
+	Seed      uint64           // of the view's random draws
+}
+
+// Transport drives a membership.View on an event loop: it passes on the messages that arrive and sends those that the
+// View wants sent.
+type Transport struct {
+	loop            *eventloop.Loop
+	log             *zap.Logger
+	socket          *eventloop.Packet
+	allowedNetworks *netipx.IPSet // nil: all
+	sealer          *Sealer
+	replays         ReplayFilter
+	view            *membership.View
+	events          []membership.Event // since the last step of the view
+	wakeTimer       *eventloop.Timer   // ends the loop's wait when the view's next step is due
+	changeCount     int                // of changes of members' states
+	partial         bool               // the view sees only a part of the fleet
+	payload         Payload            // as it was announced last
+	metricSet       *metrics.Set
+	counters        counters
+	lastDropLogMs   float64
+	suppressedDrops map[string]int // datagrams dropped since then, by reason
+}
+
+// New opens the socket and creates the View, which the first Step starts. The errors name the configuration key that is
+// wrong.
+func New(loop *eventloop.Loop, log *zap.Logger, config Config) (*Transport, error) {
+	sealer, err := NewSealer(config.Fleet, config.Keys)
+	if err != nil {
+		return nil, fmt.Errorf("fleet.keys: %w", err)
+	}
+	t := &Transport{
+		loop:            loop,
+		log:             log,
+		allowedNetworks: config.Networks,
+		sealer:          sealer,
+		metricSet:       metrics.NewSet(),
+		lastDropLogMs:   -dropLogIntervalMs,
+		suppressedDrops: map[string]int{},
+	}
+	if t.socket, err = loop.ListenPacket(config.Listen, t.receive); err != nil {
+		return nil, fmt.Errorf("fleet.listen: %w", err)
+	}
+	if t.view, err = newView(config, t.socket.Addr()); err != nil {
+		t.socket.Close()
+		return nil, err
+	}
+	t.registerMetrics()
+	return t, nil
+}
+
+// newView creates the View of a gateway that listens on an address.
+func newView(config Config, listenAddr netip.AddrPort) (*membership.View, error) {
+	addr := config.Advertise
+	if !addr.IsValid() {
+		addr = listenAddr
+	}
+	if addr.Addr().IsUnspecified() {
+		return nil, errors.New("fleet.advertise: the others can't reach an address that stands for all")
+	}
+	view, err := membership.New(membership.Config{
+		Name:    config.Name,
+		Addr:    addr,
+		Zone:    config.Zone,
+		Version: config.Version,
+		BootID:  newBootID(),
+		Seeds:   config.Seeds,
+	}, config.Seed)
+	if err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	return view, nil
+}
+
+// newBootID returns a random ID of this process, which is never 0.
+func newBootID() uint64 {
+	var random [8]byte
+	_, _ = rand.Read(random[:]) // never fails
+	return binary.BigEndian.Uint64(random[:]) | 1
+}
+
+// Metrics returns the metrics, for the management address.
+func (t *Transport) Metrics() *metrics.Set { return t.metricSet }
+
+// Addr returns the address that datagrams are received on.
+func (t *Transport) Addr() netip.AddrPort { return t.socket.Addr() }
+
+// SetKeys replaces the keys of the Sealer. On an error, which names the configuration key, the old ones stay.
+func (t *Transport) SetKeys(keys [][]byte) error {
+	if err := t.sealer.SetKeys(keys); err != nil {
+		return fmt.Errorf("fleet.keys: %w", err)
+	}
+	return nil
+}
+
+// Members returns all members that the view knows, and its summary.
+func (t *Transport) Members() ([]membership.Member, membership.Summary) {
+	return t.view.Members(), t.view.Summary()
+}
+
+// ChangeCount grows with each change of a member's state.
+func (t *Transport) ChangeCount() int { return t.changeCount }
+
+// Announce publishes a payload to the other members; nothing is sent where it is the same as before.
+func (t *Transport) Announce(payload Payload) {
+	if payload == t.payload {
+		return
+	}
+	t.payload = payload
+	t.events = append(t.events, membership.SetPayload{Payload: payload.Bytes()})
+}
+
+// Leave tells the other members that this one leaves the fleet.
+func (t *Transport) Leave() {
+	t.events = append(t.events, membership.Leave{})
+	t.Step()
+}
+
+// Close closes the socket.
+func (t *Transport) Close() {
+	t.wakeTimer.Stop()
+	t.socket.Close()
+}
+
+// receive checks a datagram and keeps its message for the next Step.
+func (t *Transport) receive(from netip.AddrPort, data []byte) {
+	t.counters.received.Inc()
+	t.counters.bytesReceived.Add(len(data))
+	if t.allowedNetworks != nil && !t.allowedNetworks.Contains(from.Addr()) {
+		t.drop(from, ErrNetwork)
+		return
+	}
+	message, counter, err := t.sealer.Open(data)
+	if err == nil && !t.replays.Accept(message.From, message.BootID, counter) {
+		err = ErrReplay
+	}
+	if err != nil {
+		t.drop(from, err)
+		return
+	}
+	t.events = append(t.events, membership.Received{From: from, Message: message})
+}
+
+// Step steps the view if a message arrived or a step is due, and carries out the actions that come back. It is called
+// once in each round of the event loop.
+func (t *Transport) Step() {
+	now := t.loop.Clock.Now()
+	if len(t.events) == 0 && t.wakeTimer != nil && now < t.view.Wake() {
+		return
+	}
+	t.counters.steps.Inc()
+	for _, action := range t.view.Step(now, t.events) {
+		switch action := action.(type) {
+		case membership.Send:
+			t.send(&action)
+		case membership.MemberChanged:
+			t.memberChanged(&action)
+		case membership.StatusChanged:
+			t.statusChanged(&action)
+		}
+	}
+	t.events = t.events[:0]
+	t.checkPartial()
+	t.wakeTimer.Stop()
+	t.wakeTimer = t.loop.At(t.view.Wake(), func() {})
+}
+
+// send sends a message, or drops it: the membership protocol expects loss.
+func (t *Transport) send(action *membership.Send) {
+	data, err := t.sealer.Seal(&action.Message)
+	if err != nil {
+		t.log.Error("fleet: cannot seal message", zap.Error(err))
+		return
+	}
+	if !t.socket.SendTo(action.To, data) {
+		t.counters.unsent.Inc()
+		return
+	}
+	t.counters.sent.Inc()
+	t.counters.bytesSent.Add(len(data))
+}
+
+// memberChanged counts and logs that a member's state changed, or that the view forgot it.
+func (t *Transport) memberChanged(action *membership.MemberChanged) {
+	t.changeCount++
+	member := &action.Member
+	if action.New == 0 {
+		t.replays.Forget(membership.IDOf(member.Name), member.BootID)
+	} else {
+		t.counters.memberChanges[action.New].Inc()
+	}
+	t.log.Info("fleet: member",
+		zap.String("member", member.Name),
+		zap.String("state", stateName(action.New)),
+		zap.String("was", stateName(action.Old)),
+		zap.String("cause", action.Cause),
+		zap.Stringer("address", member.Addr),
+		zap.String("zone", member.Zone),
+		zap.Uint64("incarnation", member.Incarnation))
+}
+
+// stateName is the name of a member's state; 0 stands for a member that the view doesn't know.
+func stateName(state membership.State) string {
+	if state == 0 {
+		return "unknown"
+	}
+	return state.String()
+}
+
+// statusChanged logs that this gateway's own status in the fleet changed.
+func (t *Transport) statusChanged(action *membership.StatusChanged) {
+	t.log.Info("fleet: standing", zap.Stringer("standing", action.Status), zap.String("cause", action.Cause))
+}
+
+// checkPartial logs when the view begins or ceases to see only a part of the fleet.
+func (t *Transport) checkPartial() {
+	summary := t.view.Summary()
+	if summary.Partial == t.partial {
+		return
+	}
+	t.partial = summary.Partial
+	t.log.Warn("fleet: only a part is seen",
+		zap.Bool("part", summary.Partial),
+		zap.Int("alive", summary.Alive),
+		zap.Int("dead", summary.Dead),
+		zap.Int("unreachable", summary.Unreachable))
+}
