--- /dev/null
+++ b/internal/eventloop/conn_read.go
@@ -0,0 +1,94 @@
+package eventloop
+
+import (
+	"errors"
+	"io"
+
+	"golang.org/x/sys/unix"
+)
+
+// maxReadsPerRound bounds the reads of one connection in a round, so that none starves the others.
+const maxReadsPerRound = 4
+
+// In returns what was read and not consumed. It is valid until the next round.
+func (c *Conn) In() []byte { return c.input }
+
+// Consume drops the first bytes of In.
+func (c *Conn) Consume(size int) {
+	c.input = c.input[size:]
+	c.loop.bufferedBytes -= size
+	if len(c.input) == 0 {
+		c.input = nil
+	}
+	c.updateInterest()
+}
+
+// SetLimit sets the input limit: nothing is read while In holds so many bytes.
+func (c *Conn) SetLimit(inputLimit int) {
+	c.inputLimit = inputLimit
+	c.updateInterest()
+}
+
+// ReadNow reads what has arrived by now, without waiting for the next round.
+func (c *Conn) ReadNow() {
+	if c.IsOpen() && !c.connecting {
+		c.read(false)
+	}
+}
+
+// read reads what has arrived and calls the handler. hungUp says that epoll reported an error or the end of both
+// directions.
+func (c *Conn) read(hungUp bool) {
+	received, end := c.fillInput()
+	c.updateInterest()
+	if received {
+		c.handler.Data()
+	}
+	if end == nil && hungUp && !received && !c.closed { // reset while reading pauses, or both directions have ended
+		end = unix.ECONNRESET
+	}
+	if end != nil && !c.closed {
+		c.endInput(end)
+	}
+}
+
+// fillInput reads into the input buffer. It returns whether anything was received, and why no more will be: io.EOF, a
+// system error or ErrBuffersFull; nil where more may come.
+func (c *Conn) fillInput() (received bool, end error) {
+	for range maxReadsPerRound {
+		if len(c.input) >= c.inputLimit || c.inputEnded {
+			return received, nil
+		}
+		space := c.loop.scratch[:min(len(c.loop.scratch), c.inputLimit-len(c.input))]
+		size, err := unix.Read(c.fd, space)
+		switch {
+		case err == unix.EINTR:
+			continue
+		case err == unix.EAGAIN:
+			return received, nil
+		case err != nil:
+			return received, err
+		case size == 0:
+			c.inputEnded = true
+			return received, io.EOF
+		case !c.loop.hasBufferSpace(size):
+			return received, ErrBuffersFull
+		}
+		c.loop.bufferedBytes += size
+		c.input = append(c.input, space[:size]...)
+		received = true
+		if size < len(space) {
+			return received, nil
+		}
+	}
+	return received, nil
+}
+
+// endInput calls the handler with the end of the input. After io.EOF the connection can still be written to.
+func (c *Conn) endInput(end error) {
+	c.failed = c.failed || !errors.Is(end, io.EOF)
+	if c.failed {
+		c.loop.setInterest(c.fd, 0)
+	}
+	c.handler.Ended(end)
+}
--- /dev/null
+++ b/internal/eventloop/listener_test.go
@@ -0,0 +1,76 @@
+package eventloop
+
+import (
+	"testing"
+
+	"golang.org/x/sys/unix"
+)
+
+// setMaxDescriptors sets how many descriptors this process may have, and returns the limits before.
+func setMaxDescriptors(t *testing.T, count uint64) unix.Rlimit {
+	t.Helper()
+	var before unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &before); err != nil {
+		t.Fatal(err)
+	}
+	limits := before
+	limits.Cur = count
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &limits); err != nil {
+		t.Fatal(err)
+	}
+	return before
+}
+
+// A connection can't be accepted for want of descriptors: the listener pauses, then accepts it.
+func TestAcceptGoesOnAfterEMFILE(t *testing.T) {
+	loop := newLoop(t)
+	accepted, failed := 0, 0
+	listener, err := loop.Listen("127.0.0.1:0", func(fd int) {
+		accepted++
+		closeFD(fd)
+		loop.Stop()
+	}, func(error) { failed++ })
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(listener.Close)
+	dialTCP(t, listener.Addr())
+	before := setMaxDescriptors(t, 3)
+	listener.AcceptPending()
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &before); err != nil {
+		t.Fatal(err)
+	}
+	if failed != 1 || accepted != 0 {
+		t.Fatalf("%d failures, %d accepted", failed, accepted)
+	}
+	loop.After(20_000, loop.Stop)
+	if err := loop.Run(func() {}); err != nil || accepted != 1 {
+		t.Errorf("%v, %d accepted", err, accepted)
+	}
+}
+
+// More clients wait in the backlog than are accepted in a round when the listener is to close. Those that are not
+// accepted before would be reset, with whatever they have sent.
+func TestAcceptAllLeavesNobodyInTheBacklog(t *testing.T) {
+	loop := newLoop(t)
+	accepted := 0
+	listener, err := loop.Listen("127.0.0.1:0", func(fd int) {
+		accepted++
+		closeFD(fd)
+	}, func(err error) { t.Error(err) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	const clients = 100
+	for range clients {
+		dialTCP(t, listener.Addr())
+	}
+	if listener.AcceptPending(); accepted != maxAcceptsPerRound {
+		t.Errorf("%d accepted in one round", accepted)
+	}
+	if listener.AcceptAll(); accepted != clients {
+		t.Errorf("%d of %d accepted before the end", accepted, clients)
+	}
+	listener.Close()
+	listener.AcceptAll() // of a listener that is closed: nothing
+}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -9,149 +9,169 @@
 )
 
 const (
-	eventsAtOnce  = 256
-	readSize      = 64 << 10
-	readsAtOnce   = 4      // of one connection in a round, so that none starves the others
-	longestWaitMs = 1000.0 // of a round without events
+	maxEventsPerRound = 256
+	scratchBytes      = 64 << 10 // read from a descriptor at once, at most
+	maxWaitMs         = 1000.0   // of a round for an event
+	delayThresholdMs  = 25.0     // of a round without the wait, above which OnDelay is called
 )
 
-// A watcher is told of the events of its descriptor.
+// watcher handles the epoll events of its descriptor.
 type watcher interface{ ready(events uint32) }
 
+// registration is a descriptor's watcher. The generation tells it from an earlier descriptor of the same number, whose
+// events may still be among those of the round.
 type registration struct {
-	w     watcher
-	stamp int32 // tells a descriptor from an earlier one of the same number
+	watcher    watcher
+	generation int32
 }
 
-// heldUpMs is how long a round may take before HeldUp hears of it.
-const heldUpMs = 25.0
-
-// Loop gathers what is ready, round by round. All but Notify must be called from the loop's own goroutine.
+// Loop waits for events and handles them round by round.
 type Loop struct {
 	*Timers
-	epoll            int
-	wake             int // eventfd
-	fds              map[int32]registration
-	stamp            int32
-	soon             []func() // for the next round
-	scratch          []byte
-	stopped          bool
-	held             int              // bytes in the buffers of all connections
-	MaxBufferedBytes int              // and how many they may be; 0: any number
-	OnDelay          func(ms float64) // a round took long; may be nil
-
-	mu     sync.Mutex
-	posted []func() // from other goroutines
+	// MaxBufferedBytes bounds the buffers of all connections together; 0: no bound.
+	MaxBufferedBytes int
+	// OnDelay, where set, is called after a round that took long, with its time without the wait.
+	OnDelay func(ms float64)
+
+	epollFD       int
+	wakeFD        int // an eventfd that Notify writes to
+	registrations map[int32]registration
+	generation    int32    // of the last registration
+	nextRound     []func() // to be called in the next round
+	scratch       []byte   // for reading, within one call
+	stopped       bool
+	bufferedBytes int // in the buffers of all connections
+
+	postedMutex sync.Mutex
+	posted      []func() // by other goroutines
 }
 
-// New returns a Loop on a clock.
+// New returns a Loop on a clock. It fails where the system has no descriptors for it.
 func New(clock *Clock) (*Loop, error) {
-	ep, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	ev, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
+	wakeFD, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
-		unix.Close(ep)
+		closeFD(epollFD)
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
 	l := &Loop{
-		Timers: &Timers{Clock: clock}, epoll: ep, wake: ev, fds: map[int32]registration{},
-		scratch: make([]byte, readSize),
+		Timers:        &Timers{Clock: clock},
+		epollFD:       epollFD,
+		wakeFD:        wakeFD,
+		registrations: map[int32]registration{},
+		scratch:       make([]byte, scratchBytes),
 	}
-	return l, l.add(ev, l, unix.EPOLLIN)
+	return l, l.register(wakeFD, l, unix.EPOLLIN)
 }
 
-// Notify runs fn in the loop's next round; any goroutine may call it.
+// Notify runs a function in the loop's next round. Any goroutine may call it.
 func (l *Loop) Notify(fn func()) {
-	l.mu.Lock()
+	l.postedMutex.Lock()
 	l.posted = append(l.posted, fn)
-	l.mu.Unlock()
-	_, _ = unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0}) // fails only when it is set already
+	l.postedMutex.Unlock()
+	one := []byte{1, 0, 0, 0, 0, 0, 0, 0}
+	_, _ = unix.Write(l.wakeFD, one) // fails only where a wake-up is pending already
 }
 
-// ready takes in what other goroutines had to say.
+// ready runs the functions that other goroutines have posted.
 func (l *Loop) ready(uint32) {
 	var count [8]byte
-	_, _ = unix.Read(l.wake, count[:])
-	l.mu.Lock()
+	_, _ = unix.Read(l.wakeFD, count[:]) // resets the eventfd
+	l.postedMutex.Lock()
 	posted := l.posted
 	l.posted = nil
-	l.mu.Unlock()
+	l.postedMutex.Unlock()
 	for _, fn := range posted {
 		fn()
 	}
 }
 
-// NextRound runs fn in the next round, which starts without waiting.
-func (l *Loop) NextRound(fn func()) { l.soon = append(l.soon, fn) }
+// NextRound runs a function in the next round, which starts without waiting.
+func (l *Loop) NextRound(fn func()) { l.nextRound = append(l.nextRound, fn) }
 
 // Stop ends Run after the present round.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run gathers all that is ready, calls step once, and starts again until Stop.
+// Run handles events until Stop, and calls step at the end of each round. It fails where epoll does.
 func (l *Loop) Run(step func()) error {
-	events := make([]unix.EpollEvent, eventsAtOnce)
+	events := make([]unix.EpollEvent, maxEventsPerRound)
 	for !l.stopped {
-		n, err := unix.EpollWait(l.epoll, events, l.waitFor())
+		count, err := unix.EpollWait(l.epollFD, events, l.waitMs())
 		if err != nil && err != unix.EINTR {
 			return fmt.Errorf("epoll: %w", err)
 		}
-		start := l.Clock.Now()
-		soon := l.soon
-		l.soon = nil
-		for _, fn := range soon {
-			fn()
-		}
-		for _, e := range events[:max(n, 0)] {
-			if r, ok := l.fds[e.Fd]; ok && r.stamp == e.Pad {
-				r.w.ready(e.Events)
-			}
-		}
+		startMs := l.Clock.Now()
+		l.runNextRound()
+		l.dispatch(events[:max(count, 0)])
 		l.Fire()
 		step()
-		if took := l.Clock.Now() - start; took > heldUpMs && l.OnDelay != nil {
-			l.OnDelay(took)
+		if elapsedMs := l.Clock.Now() - startMs; elapsedMs > delayThresholdMs && l.OnDelay != nil {
+			l.OnDelay(elapsedMs)
 		}
 	}
 	return nil
 }
 
-// Close gives the loop's own descriptors back.
-func (l *Loop) Close() {
-	unix.Close(l.wake)
-	unix.Close(l.epoll)
+// runNextRound runs the functions that were meant for this round.
+func (l *Loop) runNextRound() {
+	functions := l.nextRound
+	l.nextRound = nil
+	for _, fn := range functions {
+		fn()
+	}
 }
 
-func (l *Loop) waitFor() int {
-	if len(l.soon) > 0 {
+// dispatch passes events to the watchers of their descriptors, except where a descriptor was closed meanwhile.
+func (l *Loop) dispatch(events []unix.EpollEvent) {
+	for _, event := range events {
+		r, ok := l.registrations[event.Fd]
+		if ok && r.generation == event.Pad {
+			r.watcher.ready(event.Events)
+		}
+	}
+}
+
+// waitMs is how long the next round may wait for an event, in whole milliseconds.
+func (l *Loop) waitMs() int {
+	if len(l.nextRound) > 0 {
 		return 0
 	}
-	at, ok := l.Next()
+	dueMs, ok := l.Next()
 	if !ok {
-		return longestWaitMs
+		return maxWaitMs
 	}
-	return int(math.Ceil(min(max(0, at-l.Clock.Now()), longestWaitMs)))
+	return int(math.Ceil(min(max(0, dueMs-l.Clock.Now()), maxWaitMs)))
+}
+
+// Close closes the loop's own descriptors.
+func (l *Loop) Close() {
+	closeFD(l.wakeFD)
+	closeFD(l.epollFD)
 }
 
-func (l *Loop) add(fd int, w watcher, events uint32) error {
-	l.stamp++
-	l.fds[int32(fd)] = registration{w, l.stamp}
-	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.stamp}
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &e); err != nil {
-		delete(l.fds, int32(fd))
+// register starts to watch a descriptor for events. On an error the caller still owns the descriptor.
+func (l *Loop) register(fd int, w watcher, events uint32) error {
+	l.generation++
+	l.registrations[int32(fd)] = registration{w, l.generation}
+	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.generation}
+	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
+		delete(l.registrations, int32(fd))
 		return fmt.Errorf("epoll: %w", err)
 	}
 	return nil
 }
 
-func (l *Loop) change(fd int, events uint32) {
-	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.fds[int32(fd)].stamp}
-	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &e) // fails only for a descriptor that is not there
+// setInterest changes the events that a descriptor is watched for.
+func (l *Loop) setInterest(fd int, events uint32) {
+	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrations[int32(fd)].generation}
+	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, &event) // fails only for a descriptor that is not registered
 }
 
-// drop forgets a descriptor and closes it.
-func (l *Loop) drop(fd int) {
-	delete(l.fds, int32(fd))
-	unix.Close(fd)
+// unregisterAndClose closes a descriptor; events of it that are still to come are ignored.
+func (l *Loop) unregisterAndClose(fd int) {
+	delete(l.registrations, int32(fd))
+	closeFD(fd)
 }
--- /dev/null
+++ b/internal/eventloop/socket.go
@@ -0,0 +1,61 @@
+package eventloop
+
+import (
+	"fmt"
+	"net/netip"
+
+	"golang.org/x/sys/unix"
+)
+
+// newSocket creates a non-blocking socket of a kind (unix.SOCK_STREAM, unix.SOCK_DGRAM), of the address's family, and
+// returns it with the address. The address is an IP address and a port.
+func newSocket(addr string, kind int) (fd int, sockaddr unix.Sockaddr, err error) {
+	addrPort, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		return 0, nil, fmt.Errorf("address %q: %w", addr, err)
+	}
+	family := unix.AF_INET
+	if !addrPort.Addr().Is4() {
+		family = unix.AF_INET6
+	}
+	fd, err = unix.Socket(family, kind|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return 0, nil, fmt.Errorf("socket: %w", err)
+	}
+	return fd, toSockaddr(addrPort), nil
+}
+
+// closeFD closes a descriptor. The error is dropped: Linux closes the descriptor in any case, and nothing was written
+// that a failed close could lose.
+func closeFD(fd int) { _ = unix.Close(fd) }
+
+// setNoDelay makes the system send at once what is written. A failure costs time only.
+func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
+
+// localAddr returns the address that a socket is bound to; "" where the system doesn't tell.
+func localAddr(fd int) string {
+	sockaddr, err := unix.Getsockname(fd)
+	if err != nil {
+		return ""
+	}
+	addr, _ := fromSockaddr(sockaddr)
+	return addr.String()
+}
+
+// fromSockaddr returns the IP address and port of a socket address; false where it is of another family.
+func fromSockaddr(sockaddr unix.Sockaddr) (netip.AddrPort, bool) {
+	switch sockaddr := sockaddr.(type) {
+	case *unix.SockaddrInet4:
+		return netip.AddrPortFrom(netip.AddrFrom4(sockaddr.Addr), uint16(sockaddr.Port)), true
+	case *unix.SockaddrInet6:
+		return netip.AddrPortFrom(netip.AddrFrom16(sockaddr.Addr), uint16(sockaddr.Port)), true
+	}
+	return netip.AddrPort{}, false
+}
+
+func toSockaddr(addr netip.AddrPort) unix.Sockaddr {
+	if addr.Addr().Is4() {
+		return &unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}
+	}
+	return &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
+}
--- /dev/null
+++ b/internal/eventloop/timers.go
@@ -0,0 +1,89 @@
+package eventloop
+
+import "container/heap"
+
+// notQueued is the index of a timer that has fired or was stopped.
+const notQueued = -1
+
+// Timer calls a function once.
+type Timer struct {
+	dueMs    float64
+	order    uint64 // among the timers of one time
+	index    int    // in the queue
+	callback func()
+	timers   *Timers
+}
+
+// Stop cancels a timer. It does nothing on nil and on a timer that has fired or was stopped.
+func (t *Timer) Stop() {
+	if t != nil && t.index != notQueued {
+		heap.Remove(&t.timers.queue, t.index)
+	}
+}
+
+// Timers holds the timers of one clock. Timers that are due at one time fire in the order of their creation.
+type Timers struct {
+	Clock   *Clock
+	queue   timerQueue
+	created uint64
+}
+
+// At calls a function in the first round at or after a time.
+func (t *Timers) At(ms float64, callback func()) *Timer {
+	t.created++
+	timer := &Timer{dueMs: ms, order: t.created, callback: callback, timers: t}
+	heap.Push(&t.queue, timer)
+	return timer
+}
+
+// After calls a function in the first round after some milliseconds.
+func (t *Timers) After(ms float64, callback func()) *Timer { return t.At(t.Clock.Now()+ms, callback) }
+
+// Fire calls the functions of the timers that are due, also of those that are created meanwhile, and returns how many
+// they were.
+func (t *Timers) Fire() int {
+	now, fired := t.Clock.Now(), 0
+	for len(t.queue) > 0 && t.queue[0].dueMs <= now {
+		timer := heap.Pop(&t.queue).(*Timer)
+		timer.callback()
+		fired++
+	}
+	return fired
+}
+
+// Next returns the time of the next timer, and whether there is one.
+func (t *Timers) Next() (ms float64, ok bool) {
+	if len(t.queue) == 0 {
+		return 0, false
+	}
+	return t.queue[0].dueMs, true
+}
+
+// timerQueue is a heap.Interface with the next timer first.
+type timerQueue []*Timer
+
+func (q timerQueue) Len() int { return len(q) }
+
+func (q timerQueue) Less(i, j int) bool {
+	return q[i].dueMs < q[j].dueMs || q[i].dueMs == q[j].dueMs && q[i].order < q[j].order
+}
+
+func (q timerQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].index, q[j].index = i, j
+}
+
+func (q *timerQueue) Push(x any) {
+	timer := x.(*Timer)
+	timer.index = len(*q)
+	*q = append(*q, timer)
+}
+
+func (q *timerQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	old[len(old)-1] = nil
+	*q = old[:len(old)-1]
+	last.index = notQueued
+	return last
+}
--- a/internal/transport/seal.go
+++ b/internal/transport/seal.go
@@ -32,8 +32,8 @@
 
 	// SealSize is what sealing adds to a body, in bytes.
 	SealSize = headerSize + macSize
-	// MinKey is the least length of a key, in bytes.
-	MinKey = 16
+	// MinKeyBytes is the least length of a key.
+	MinKeyBytes = 16
 )
 
 // Sealer seals datagrams under the first of its keys and opens those under any of them.
@@ -61,16 +61,16 @@
 	return [tagSize]byte(sum[:tagSize])
 }
 
-// SetKeys replaces the keys. It fails where there is none or one is shorter than MinKey, which the error names by its
-// place; the old keys stay then.
+// SetKeys replaces the keys. It fails where there is none or one is shorter than MinKeyBytes, which the error names by
+// its place; the old keys stay then.
 func (s *Sealer) SetKeys(keys [][]byte) error {
 	if len(keys) == 0 {
 		return errors.New("no key is given")
 	}
 	var list []sealKey
 	for i, key := range keys {
-		if len(key) < MinKey {
-			return fmt.Errorf("key %d has %d bytes, %d are needed", i+1, len(key), MinKey)
+		if len(key) < MinKeyBytes {
+			return fmt.Errorf("key %d has %d bytes, %d are needed", i+1, len(key), MinKeyBytes)
 		}
 		list = append(list, sealKey{tag: tagOf("key:", key), mac: hmac.New(sha256.New, key)})
 	}
