--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -30,7 +30,7 @@
 	inputLimit int    // nothing is read while input holds so much
 	connecting bool
 	inputEnded bool   // the other side sends no more
-	failed     bool   // the handler is told so, or will be in the next round
+	failed     bool   // Ended was called with an error, or will be in the next round
 	closed     bool   // by Close
 	interest   uint32 // the epoll events that it is watched for
 }
@@ -86,10 +86,10 @@
 	c.input, c.output = nil, nil
 }
 
-// CloseWrite tells the other side that nothing more is sent; it may still send. What is buffered is not sent any more.
+// CloseWrite ends the sending direction; the other side may still send. What is buffered is not sent any more.
 func (c *Conn) CloseWrite() {
 	if c.IsOpen() {
-		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails where the connection has ended, which Ended tells
+		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only where the connection has ended
 	}
 }
 
--- a/internal/eventloop/conn_write.go
+++ b/internal/eventloop/conn_write.go
@@ -2,8 +2,8 @@
 
 import "golang.org/x/sys/unix"
 
-// Write sends data, at once as far as the system takes it; the rest is buffered. The handler is told of an error in the
-// next round.
+// Write sends data, at once as far as the system takes it; the rest is buffered. An error
+// reaches the handler's Ended in the next round.
 func (c *Conn) Write(data []byte) {
 	if !c.IsOpen() || len(data) == 0 {
 		return
@@ -25,7 +25,7 @@
 // Pending returns how many bytes the system has not taken yet.
 func (c *Conn) Pending() int { return len(c.output) }
 
-// Unacknowledged returns how many bytes the other side's system has not taken yet, as far as this system tells.
+// Unacknowledged returns how many bytes the other side's system has not taken yet, as far as this system knows.
 func (c *Conn) Unacknowledged() int {
 	queued, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return !c.closed
 }
 
-// failNextRound tells the handler of an error in the next round, as it may not expect a callback inside its own call.
+// failNextRound passes an error to the handler in the next round, as it may not expect a callback inside its own call.
 func (c *Conn) failNextRound(err error) {
 	c.failed = true
 	c.loop.NextRound(func() {
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -32,7 +32,7 @@
 // setNoDelay makes the system send at once what is written. A failure costs time only.
 func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
 
-// localAddr returns the address that a socket is bound to; "" where the system doesn't tell.
+// localAddr returns the address that a socket is bound to; "" where that is unknown.
 func localAddr(fd int) string {
 	sockaddr, err := unix.Getsockname(fd)
 	if err != nil {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// abortAttempt ends an attempt from this side and closes its connection, which tells the host. The outcome of an
-// attempt whose last byte was not written is NotSent: it can't run.
+// abortAttempt ends an attempt from this side and closes its connection, which cancels the command at the host. The
+// outcome of an attempt whose last byte was not written is NotSent: it can't run.
 func (c *Core) abortAttempt(attempt *hostAttempt, outcome routing.Outcome) {
 	if attempt.ended {
 		return
@@ -118,7 +118,7 @@
 	req.Responder.Fail(response.Body)
 }
 
-// attemptResult is the event that tells the router how an attempt ended.
+// attemptResult returns the router's event of an attempt that ended.
 func (c *Core) attemptResult(attempt *hostAttempt, outcome routing.Outcome, response Response) routing.AttemptResult {
 	req := attempt.request
 	result := routing.AttemptResult{
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -14,7 +14,7 @@
 	BeginStream(resume func()) bool
 	// StreamPart passes on a part and returns how many of its bytes were taken.
 	StreamPart(part []byte) int
-	// AbortStream ends an answer that stays incomplete; the client must be able to tell.
+	// AbortStream ends an answer that stays incomplete, in a way that the client can't take for its regular end.
 	AbortStream()
 }
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -6,7 +6,7 @@
 type Response struct {
 	Outcome        routing.Outcome
 	StatementError bool         // the host executed the statement and it failed; Body is for the client
-	Role           routing.Role // of the host, where the answer tells it
+	Role           routing.Role // of the host; unknown where the answer doesn't carry it
 	PositionMs     float64      // position of the host's data, milliseconds since 1970; 0: unknown
 	Body           []byte       // for the sender of the command
 	ConnectionEnds bool         // the connection accepts no further command
--- a/internal/transport/drop.go
+++ b/internal/transport/drop.go
@@ -18,7 +18,7 @@
 	ErrUnknownKey = errors.New("under an unknown key")
 	// ErrBadMAC is returned for a datagram whose message authentication code is wrong.
 	ErrBadMAC = errors.New("its MAC is wrong")
-	// ErrReplay is the reason for a datagram that has arrived before, or is too old to tell.
+	// ErrReplay is the reason for a datagram that has arrived before, or whose counter is too old to know.
 	ErrReplay = errors.New("a replay")
 	// ErrNetwork is the reason for a datagram from outside Config.Networks.
 	ErrNetwork = errors.New("from outside the allowed networks")
--- a/internal/transport/replay.go
+++ b/internal/transport/replay.go
@@ -10,7 +10,7 @@
 	maxWindows = 1 << 14
 )
 
-// ReplayFilter tells datagrams that arrive for the first time from replays. Its zero value is ready for use.
+// ReplayFilter recognizes replayed datagrams. Its zero value is ready for use.
 type ReplayFilter struct{ windows map[sender]*window }
 
 // sender is one process of a member.
@@ -50,12 +50,12 @@
 	case w.highest-counter >= windowBits:
 		return false
 	}
-	word := counter % windowBits / wordBits
+	index := counter % windowBits / wordBits
 	bit := uint64(1) << (counter % wordBits)
-	if w.bits[word]&bit != 0 {
+	if w.bits[index]&bit != 0 {
 		return false
 	}
-	w.bits[word] |= bit
+	w.bits[index] |= bit
 	return true
 }
 
--- a/internal/transport/roster.go
+++ b/internal/transport/roster.go
@@ -5,8 +5,8 @@
 	"merlinjunction/membership"
 )
 
-// NewRoster returns the gateways that share the hosts with this one: itself and the members that serve, as far as its
-// view of the fleet tells.
+// NewRoster returns the gateways that share the hosts: this one and the members that serve according to its view of
+// the fleet.
 func NewRoster(self fleet.Gateway, members []membership.Member) *fleet.Roster {
 	var peers []fleet.Gateway
 	for _, m := range members {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -138,7 +138,7 @@
 	t.events = append(t.events, membership.SetPayload{Payload: payload.Bytes()})
 }
 
-// Leave tells the other members that this one leaves the fleet.
+// Leave announces to the other members that this one leaves the fleet.
 func (t *Transport) Leave() {
 	t.events = append(t.events, membership.Leave{})
 	t.Step()
