--- a/fleet/aperture.go
+++ b/fleet/aperture.go
@@ -5,50 +5,56 @@
 	"slices"
 )
 
-// Aperture decides which hosts of a group this gateway uses now: those it prefers, as many as its subset has sound ones.
-// It widens at once where they fail, are cold or have no room. What it needed beyond its subset it goes on using for a
-// while, and lets go a host at a time.
-type Aperture struct {
-	hosts []Host
-	order []int
-	size  int
-	until map[string]float64 // by host beyond the subset: it is used until then
-}
-
 const (
-	holdMs   = 10_000.0 // that a host stays in use once it was needed: longer than most hosts take to come back
-	narrowMs = 1_000.0  // more for each further host, so that not all are let go at a time
+	// extraHostUseMs is how long a host beyond the subset stays in use after it was last needed: longer than most hosts
+	// take to recover.
+	extraHostUseMs = 10_000.0
+	// extraHostStaggerMs is added for each further host, so that they are released one after another.
+	extraHostStaggerMs = 1_000.0
 )
 
-// Update takes in a new dealing. Hosts that were needed stay in use for their time.
-func (a *Aperture) Update(d *SubsetAssignment) {
-	a.hosts, a.order, a.size = d.hosts, d.PreferenceOrder(), d.SubsetSize()
-	if a.until == nil {
-		a.until = map[string]float64{}
+// Aperture decides which hosts of a group this gateway uses now: the first ones in its order of preference, as many as
+// its subset has healthy hosts. It widens at once if those fail, warm up or have no capacity. Hosts beyond the subset
+// stay in use for a while and are released one at a time.
+type Aperture struct {
+	hosts           []Host
+	preferenceOrder []int
+	subsetSize      int
+	inUseUntil      map[string]float64 // by ID, of hosts beyond the subset
+}
+
+// Update replaces the subset assignment. Hosts that were needed stay in use for their time.
+func (a *Aperture) Update(assignment *SubsetAssignment) {
+	a.hosts = assignment.hosts
+	a.preferenceOrder = assignment.PreferenceOrder()
+	a.subsetSize = assignment.SubsetSize()
+	if a.inUseUntil == nil {
+		a.inUseUntil = map[string]float64{}
 	}
-	maps.DeleteFunc(a.until, func(id string, _ float64) bool {
+	maps.DeleteFunc(a.inUseUntil, func(id string, _ float64) bool {
 		return !slices.ContainsFunc(a.hosts, func(h Host) bool { return h.ID == id })
 	})
 }
 
-// InUse tells which hosts, by index, are in use at a time. capacity is what each can do here and now: 0 for one that
-// fails or has no room, its warmth for one that is cold, 1 for a sound one. Hosts are taken in order until they have the
-// capacity of a subset of sound ones, so a group in which any host can do anything is never left without one.
+// InUse reports for each host, by index, whether it is in use. capacity is what a host can serve now: 0 for one that
+// fails or is full, its warmth for one that warms up, 1 for a healthy one. Hosts are taken in order of preference until
+// they have the capacity of a subset of healthy hosts, so a group with any capacity never has no host in use.
 func (a *Aperture) InUse(now float64, capacity func(host int) float64) []bool {
-	use, have := make([]bool, len(a.order)), 0.0
-	for i, h := range a.order {
-		id := a.hosts[h].ID
-		needed := i < a.size || have < float64(a.size)
+	inUse, total := make([]bool, len(a.preferenceOrder)), 0.0
+	for rank, host := range a.preferenceOrder {
+		id := a.hosts[host].ID
+		needed := rank < a.subsetSize || total < float64(a.subsetSize)
 		if needed {
-			have += capacity(h)
+			total += capacity(host)
 		}
-		if needed && i >= a.size {
-			a.until[id] = now + holdMs + narrowMs*float64(i-a.size)
+		if needed && rank >= a.subsetSize {
+			a.inUseUntil[id] = now + extraHostUseMs + extraHostStaggerMs*float64(rank-a.subsetSize)
 		}
-		until, held := a.until[id]
-		if use[h] = needed || held && now < until; held && !use[h] {
-			delete(a.until, id)
+		until, retained := a.inUseUntil[id]
+		inUse[host] = needed || retained && now < until
+		if retained && !inUse[host] {
+			delete(a.inUseUntil, id)
 		}
 	}
-	return use
+	return inUse
 }
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -2,55 +2,64 @@
 
 import "slices"
 
-// Group is what a gateway keeps about the hosts of one group: how they are dealt, which of them it uses, and what part
-// of the traffic comes to each. The zero value knows no hosts.
+// sharesCacheMs is how long computed traffic shares are reused: hosts warm up little in that time.
+const sharesCacheMs = 100.0
+
+// Group is a gateway's view of the hosts of one group: their subset assignment, the hosts in use and their shares of
+// traffic. The zero value has no hosts.
 type Group struct {
-	dealing  *SubsetAssignment
-	aperture Aperture
-	all, own []float64
-	sharesAt float64
+	assignment         *SubsetAssignment
+	aperture           Aperture
+	fleetShares        []float64 // of the group's traffic, by host; nil: not computed
+	ownShares          []float64 // of this gateway's traffic to the group, by host
+	sharesComputedAtMs float64
 }
 
-// sharesKept is for how long shares are used again: hosts warm up little meanwhile, ms.
-const sharesKept = 100.0
-
-// Update takes in who shares the hosts, which they are and how many a subset has. It deals anew if any of that changed.
-func (g *Group) Update(r *Roster, hosts []Host, size int) {
-	d := g.dealing
-	same := d != nil && d.want == size && slices.Equal(d.hosts, hosts) && d.roster.names == r.names && d.roster.self == r.self
+// Update sets the gateways that share the hosts, the hosts and the size of a subset. It assigns subsets anew if
+// anything but the gateways' loads has changed.
+func (g *Group) Update(roster *Roster, hosts []Host, subsetSize int) {
+	current := g.assignment
+	unchanged := current != nil && current.matches(roster, hosts, subsetSize)
 	switch {
-	case same && d.roster == r:
+	case unchanged && current.roster == roster:
 		return
-	case same: // only loads have changed
-		again := *d
-		again.roster = r
-		g.dealing = &again
+	case unchanged: // only loads have changed
+		reloaded := *current
+		reloaded.roster = roster
+		g.assignment = &reloaded
 	default:
-		g.dealing = AssignSubsets(r, hosts, size)
+		g.assignment = AssignSubsets(roster, hosts, subsetSize)
 	}
-	g.all = nil
-	g.aperture.Update(g.dealing)
+	g.fleetShares = nil
+	g.aperture.Update(g.assignment)
+}
+
+// matches reports whether an assignment for these gateways, hosts and size would be the same.
+func (s *SubsetAssignment) matches(roster *Roster, hosts []Host, subsetSize int) bool {
+	return s.requestedSize == subsetSize && slices.Equal(s.hosts, hosts) &&
+		s.roster.namesHash == roster.namesHash && s.roster.selfIndex == roster.selfIndex
 }
 
-// InUse tells which hosts, by index, are in use at a time; see Aperture.
+// InUse reports for each host, by index, whether it is in use; see Aperture.
 func (g *Group) InUse(now float64, capacity func(host int) float64) []bool {
 	return g.aperture.InUse(now, capacity)
 }
 
-// FleetShare is the part of the group's traffic that comes to a host from the whole fleet, when share of this gateway's own
-// does: where that is more than all can expect of it, the others are taken to have come to do the same, for the same
-// cause. warmth is of each host, zone as for Shares.
-func (g *Group) FleetShare(now float64, host int, share, zone float64, warmth func(host int) float64) float64 {
-	if g.all == nil || now >= g.sharesAt+sharesKept {
-		list := make([]float64, len(g.dealing.hosts))
-		for i := range list {
-			list[i] = warmth(i)
+// FleetShare is the share of the group's traffic that a host gets from the whole fleet while it gets ownShare of this
+// gateway's traffic. If ownShare is more than the assignment explains, the other gateways are assumed to exceed their
+// shares by the same factor, for the same cause. warmth is the warmth of each host (0 to 1), zoneWeight as in
+// TrafficShares.
+func (g *Group) FleetShare(now float64, host int, ownShare, zoneWeight float64, warmth func(host int) float64) float64 {
+	if g.fleetShares == nil || now >= g.sharesComputedAtMs+sharesCacheMs {
+		warmths := make([]float64, len(g.assignment.hosts))
+		for i := range warmths {
+			warmths[i] = warmth(i)
 		}
-		g.all, g.own = g.dealing.TrafficShares(list, zone)
-		g.sharesAt = now
+		g.fleetShares, g.ownShares = g.assignment.TrafficShares(warmths, zoneWeight)
+		g.sharesComputedAtMs = now
 	}
-	if g.own[host] <= 0 {
-		return max(g.all[host], share)
+	if g.ownShares[host] <= 0 {
+		return max(g.fleetShares[host], ownShare)
 	}
-	return g.all[host] * max(1, share/g.own[host])
+	return g.fleetShares[host] * max(1, ownShare/g.ownShares[host])
 }
--- /dev/null
+++ b/fleet/slow_start_limit_test.go
@@ -0,0 +1,59 @@
+package fleet
+
+import "testing"
+
+// Forty gateways limit what they send to warming hosts, each by its own estimate of the others. The sum stays within
+// the limit, also while half of them don't know a third of the fleet, and while their count of gateways is wrong by
+// half.
+func TestSlowStartLimitHoldsInSum(t *testing.T) {
+	const gatewayCount, hostCount, groupRate = 40, 6, 1200.0
+	limit := SlowStartLimit{
+		HostCount: hostCount, OverloadMultiple: 2.5, UsableShare: 0.8, OverloadWindowMs: 1000, AttemptsPerRequest: 1,
+	}
+	gateways := newGateways(gatewayCount, 0, nil)
+	for name, rosterOf := range map[string]func(gateway int) *Roster{
+		"exact": func(i int) *Roster { return NewNamedRoster(gateways[i], gateways) },
+		"different views": func(i int) *Roster {
+			if i%2 == 0 {
+				return NewNamedRoster(gateways[i], gateways[:27])
+			}
+			return NewNamedRoster(gateways[i], gateways)
+		},
+		"half the count":           func(i int) *Roster { return NewNumberedRoster(i, gatewayCount/2, "") },
+		"one and a half the count": func(i int) *Roster { return NewNumberedRoster(i, gatewayCount*3/2, "") },
+		"alone":                    func(i int) *Roster { return NewNamedRoster(gateways[i], nil) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			warmths := []float64{0.2, 1, 1, 0.2, 1, 0.2}
+			warmthOf := func(host int) float64 { return warmths[host] }
+			rates := make([]float64, hostCount)
+			for i := range gatewayCount {
+				var group Group
+				group.Update(rosterOf(i), newHosts(hostCount, 0), 2)
+				inUse := group.InUse(0, warmthOf)
+				weights := 0.0
+				for host, used := range inUse {
+					if used {
+						weights += warmths[host]
+					}
+				}
+				for host, used := range inUse {
+					if !used {
+						continue
+					}
+					share := warmths[host] / weights
+					probability := 1.0
+					if warmths[host] < 1 {
+						probability = limit.AdmitProbability(warmths[host], group.FleetShare(0, host, share, 4, warmthOf), 0)
+					}
+					rates[host] += groupRate / gatewayCount * share * probability
+				}
+			}
+			for host, rate := range rates {
+				if most := 2.5 * warmths[host] * groupRate / hostCount; warmths[host] < 1 && rate > most {
+					t.Errorf("host %d gets %.0f requests a second and is overloaded at %.0f", host, rate, most)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/fleet/token_bucket_test.go
@@ -0,0 +1,16 @@
+package fleet
+
+import "testing"
+
+func TestTokenBucket(t *testing.T) {
+	var bucket TokenBucket
+	taken := 0
+	for now := 1000.0; now < 11_000; now++ {
+		if bucket.Take(now, 20, 0.3) {
+			taken++
+		}
+	}
+	if taken < 200 || taken > 208 {
+		t.Errorf("%d tokens in ten seconds at 20 a second", taken)
+	}
+}
