--- /dev/null
+++ b/internal/protocol/discovery/outage_test.go
@@ -0,0 +1,257 @@
+package discovery
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	"go.uber.org/zap"
+
+	"merlinjunction/internal/eventloop"
+	"merlinjunction/internal/proxy"
+	"merlinjunction/routing"
+)
+
+// behavior is how the stub of discovery handles one poll.
+type behavior string
+
+const (
+	healthy       behavior = "healthy" // a watch waits for an update as long as its query asks
+	noResponse    behavior = "mute"    // nothing is sent, and the connection stays open
+	lateReset     behavior = "quiet"   // nothing is sent, and the connection is reset after a while
+	headOnly      behavior = "head"    // the response stops behind its head
+	partialBody   behavior = "body"    // the response stops in its body
+	reset         behavior = "reset"   // the connection is reset
+	overloaded    behavior = "busy"    // 503
+	immediateSame behavior = "same"    // the unchanged list, at once
+	lateResetMs            = 900.0     // delay of lateReset
+)
+
+// stubDiscovery is a stub of discovery on the test's own event loop.
+type stubDiscovery struct {
+	loop         *eventloop.Loop
+	behaviors    []behavior // of the next polls; the last one stays
+	polls        []string   // request lines in order of arrival
+	pollTimesMs  []float64
+	drainStartMs float64 // from then on host "a" is draining, in revision 5
+	conns        map[*stubConn]bool
+}
+
+// stubConn is one connection to the stub.
+type stubConn struct {
+	stub         *stubDiscovery
+	conn         *eventloop.Conn
+	watching     bool // a watch waits for an update
+	watchUntilMs float64
+	resetAtMs    float64 // 0: never
+}
+
+func (c *stubConn) Connected()  {}
+func (c *stubConn) Flushed()    {}
+func (c *stubConn) Ended(error) { c.close() }
+
+func (c *stubConn) close() {
+	c.conn.Close()
+	delete(c.stub.conns, c)
+}
+
+func (c *stubConn) Data() {
+	stub, now := c.stub, c.stub.loop.Clock.Now()
+	if !bytes.Contains(c.conn.In(), []byte("\r\n\r\n")) {
+		return
+	}
+	line, _, _ := strings.Cut(string(c.conn.In()), " HTTP/1.1")
+	c.conn.Consume(len(c.conn.In()))
+	stub.polls = append(stub.polls, strings.TrimPrefix(line, "GET /v1/servers"))
+	stub.pollTimesMs = append(stub.pollTimesMs, now)
+	next := stub.behaviors[0]
+	if len(stub.behaviors) > 1 {
+		stub.behaviors = stub.behaviors[1:]
+	}
+	if c.fail(next) {
+		return
+	}
+	var revision, watchMs int
+	_, _ = fmt.Sscanf(line, "GET /v1/servers?since=%d&timeout_ms=%d", &revision, &watchMs)
+	c.watching, c.watchUntilMs = true, now+float64(watchMs)
+	c.tick()
+}
+
+// fail handles a poll as a faulty behavior says; false where the behavior is healthy.
+func (c *stubConn) fail(how behavior) bool {
+	c.watching = false
+	now := c.stub.loop.Clock.Now()
+	text := c.stub.response(now)
+	headEnd := strings.Index(text, "\r\n\r\n") + 4
+	switch how {
+	case noResponse:
+	case lateReset:
+		c.resetAtMs = now + lateResetMs
+	case headOnly:
+		c.conn.Write([]byte(text[:headEnd]))
+	case partialBody:
+		c.conn.Write([]byte(text[:headEnd+9]))
+	case reset:
+		c.close()
+	case overloaded:
+		c.conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
+	case immediateSame:
+		c.conn.Write([]byte(text))
+	default:
+		return false
+	}
+	return true
+}
+
+// tick responds to a watch once there is an update or its time is over.
+func (c *stubConn) tick() {
+	now := c.stub.loop.Clock.Now()
+	if c.resetAtMs > 0 && now >= c.resetAtMs {
+		c.close()
+		return
+	}
+	if c.watching && (now >= c.watchUntilMs || now >= c.stub.drainStartMs) {
+		c.watching = false
+		c.conn.Write([]byte(c.stub.response(now)))
+	}
+}
+
+func (d *stubDiscovery) response(now float64) string {
+	if now >= d.drainStartMs {
+		return listResponse(5, "leaving")
+	}
+	return listResponse(4, "active")
+}
+
+func listResponse(revision int, phase string) string {
+	body := fmt.Sprintf("{\n  \"revision\": %d,\n  \"complete\": true,\n  \"members\": [\n    {\"id\": \"a\", \"host_port\": \"127.0.0.1:1\", \"phase\": %q}\n  ]\n}\n", revision, phase)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+// listen opens the stub's listener.
+func (d *stubDiscovery) listen(t *testing.T) *eventloop.Listener {
+	t.Helper()
+	accept := func(fd int) {
+		conn, err := d.loop.Adopt(fd, 1<<16)
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		c := &stubConn{stub: d, conn: conn}
+		conn.SetHandler(c)
+		d.conns[c] = true
+	}
+	listener, err := d.loop.Listen("127.0.0.1:0", accept, func(err error) { t.Error(err) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return listener
+}
+
+// outage is one case: which poll fails, how, and how often in a row.
+type outage struct {
+	pushed bool
+	poll   string // "first", "watch" or "moved", the first one at a new address
+	how    behavior
+	times  int
+}
+
+func (o outage) String() string {
+	return fmt.Sprintf("pushed %v, %s call, %s, %d times", o.pushed, o.poll, o.how, o.times)
+}
+
+// Discovery fails at the poll that should report a drain: in each way, once and twice in a row, in a first poll, a watch,
+// or the first poll at a new address. The gateway must know of the drain, and must count it as known since a time, within
+// the drain grace period as the platform counts it: from 6 s after the poll timed out; of a pushed list, from when it
+// responds again.
+func TestDrainIsKnownInTimeDespiteOutages(t *testing.T) {
+	for _, pushed := range []bool{true, false} {
+		for _, poll := range []string{"first", "watch", "moved"} {
+			for _, how := range []behavior{noResponse, headOnly, partialBody, lateReset, reset, overloaded, immediateSame} {
+				for times := 1; times <= 2; times++ {
+					o := outage{pushed, poll, how, times}
+					t.Run(o.String(), o.play)
+				}
+			}
+		}
+	}
+}
+
+func (o outage) play(t *testing.T) {
+	const graceMs = 2000.0
+	now := 1e6
+	loop, err := eventloop.New(eventloop.ManualClock(&now))
+	if err != nil {
+		t.Fatal(err)
+	}
+	stub := &stubDiscovery{loop: loop, conns: map[*stubConn]bool{}, drainStartMs: 1e12, behaviors: []behavior{healthy}}
+	listener := stub.listen(t)
+	faulty := []behavior{o.how}
+	if o.times == 2 {
+		faulty = append(faulty, o.how)
+	}
+	faulty = append(faulty, healthy)
+	failedAtMs, receivedAtMs, notifiedAtMs := 0.0, 0.0, 0.0
+	fail := func() { stub.behaviors, stub.drainStartMs, failedAtMs = faulty, now+1, now }
+	if o.poll == "first" {
+		fail()
+	}
+	config := Config{GatewayCount: 300, DrainGraceMs: graceMs, Seed: 7, Pushed: o.pushed, Revision: 4}
+	w := Watch(loop, zap.NewNop(), listener.Addr(), config, func(_ bool, hosts []proxy.Host, notified float64) {
+		if hosts[0].State == routing.StateDraining && receivedAtMs == 0 {
+			receivedAtMs, notifiedAtMs = now, notified
+		}
+	})
+	rounds := 0
+	err = loop.Run(func() {
+		rounds++
+		if rounds%4 == 0 { // what is sent arrives while the clock stands still
+			now += 10
+		}
+		for c := range stub.conns {
+			c.tick()
+		}
+		switch {
+		case failedAtMs == 0 && len(stub.polls) >= 2:
+			if o.poll == "moved" {
+				w.SetAddress(listener.Addr())
+			}
+			fail()
+			if o.poll == "watch" { // the watch in flight fails
+				for c := range stub.conns {
+					c.fail(o.how)
+				}
+				stub.behaviors = stub.behaviors[1:]
+			}
+		case receivedAtMs > 0 && now > receivedAtMs+1000 || rounds > 20_000:
+			loop.Stop()
+		}
+		loop.NextRound(func() {})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	loop.Close()
+	// A watch times out only after the time that it may wait; a move counts from 4 s after SIGHUP.
+	maxDelayMs := 6000 + graceMs - 500
+	if fails := o.how == reset || o.how == overloaded || o.how == immediateSame; fails && o.pushed {
+		maxDelayMs = graceMs
+	} else if fails { // of a list that is polled, four times AskWithinMs
+		maxDelayMs = 20_000
+	}
+	switch {
+	case receivedAtMs == 0:
+		t.Errorf("the drain is never known; polls %q", stub.polls)
+	case receivedAtMs > failedAtMs+maxDelayMs:
+		t.Errorf("known %.0f ms after it began, %.0f at the most", receivedAtMs-failedAtMs, maxDelayMs)
+	case o.pushed && o.how != immediateSame && notifiedAtMs > failedAtMs+50:
+		t.Errorf("counts as known %.0f ms after discovery had it", notifiedAtMs-failedAtMs)
+	}
+	for i := 10; i < len(stub.pollTimesMs); i++ {
+		if stub.pollTimesMs[i] < stub.pollTimesMs[i-10]+400 {
+			t.Errorf("ten polls in %.0f ms", stub.pollTimesMs[i]-stub.pollTimesMs[i-10])
+			break
+		}
+	}
+}
--- /dev/null
+++ b/internal/protocol/discovery/watcher_test.go
@@ -0,0 +1,231 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
+
+	"merlinjunction/internal/eventloop"
+	"merlinjunction/internal/proxy"
+)
+
+func TestBadEntriesAreRefused(t *testing.T) {
+	for _, entry := range []string{`{"id":"","phase":"active"}`, `{"id":"a","phase":"asleep"}`, `{"id":"a","phase":"left","up_since_ms":-1}`} {
+		w := &Watcher{log: zap.NewNop()}
+		err := w.handleResponse(&response{status: 200, body: []byte(`{"members":[` + entry + `]}`)})
+		var entryError *EntryError
+		if !errors.As(err, &entryError) {
+			t.Errorf("%s: error %v", entry, err)
+		}
+	}
+}
+
+// Discovery responds in pieces, then not at all, then closes the connection: the watch continues from the revision that
+// is known, and the complete list is requested again where discovery does not know that revision any more.
+func TestTheWatchGoesOn(t *testing.T) {
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	var requests []string
+	served := make(chan struct{})
+	go func() {
+		defer close(served)
+		for _, responses := range [][]string{
+			{documentResponse(4, true, "a"), documentResponse(5, false, "b")},
+			{},
+			{"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"},
+			{documentResponse(9, true, "c")},
+		} {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			buffer := make([]byte, 4096)
+			for _, text := range append(responses, "") {
+				n, _ := conn.Read(buffer)
+				line, _, _ := strings.Cut(string(buffer[:n]), " HTTP/1.1")
+				requests = append(requests, line)
+				for piece := range slices.Chunk([]byte(text), 40) {
+					_, _ = conn.Write(piece)
+					time.Sleep(time.Millisecond)
+				}
+				if strings.Contains(text, "410") {
+					break
+				}
+			}
+			_ = conn.Close()
+		}
+	}()
+	loop, err := eventloop.New(eventloop.SystemClock())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(loop.Close)
+	var updates []string
+	Watch(loop, zap.NewNop(), ln.Addr().String(), Config{GatewayCount: 4, Revision: NoRevision}, func(complete bool, hosts []proxy.Host, _ float64) {
+		updates = append(updates, fmt.Sprint(complete, " ", hosts[0].ID))
+		if hosts[0].ID == "c" {
+			loop.Stop()
+		}
+	})
+	loop.After(20_000, loop.Stop)
+	if err := loop.Run(func() {}); err != nil {
+		t.Fatal(err)
+	}
+	if want := []string{"true a", "false b", "true c"}; !slices.Equal(updates, want) {
+		t.Errorf("updates %q", updates)
+	}
+	<-served
+	want := []string{
+		"GET /v1/servers",
+		"GET /v1/servers?since=4&timeout_ms=2000",
+		"GET /v1/servers?since=5&timeout_ms=2000",
+		"GET /v1/servers?since=5&timeout_ms=2000",
+		"GET /v1/servers?since=5&timeout_ms=2000",
+		"GET /v1/servers",
+	}
+	if !slices.Equal(requests[:min(len(want), len(requests))], want) {
+		t.Errorf("requests %q", requests)
+	}
+}
+
+// A discovery service that rejects polls with 503 is polled with exponential backoff and jitter, and the watch keeps the
+// revision that is known: a request for the complete list would cost an overloaded service more.
+func TestOverloadedDiscoveryIsPolledWithBackoff(t *testing.T) {
+	now := 1000.0
+	loop, err := eventloop.New(eventloop.ManualClock(&now))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(loop.Close)
+	overloaded := errors.New("overloaded")
+	backoffs := func(seed uint64) (all []float64) {
+		w := Watch(loop, zap.NewNop(), "nowhere", Config{GatewayCount: 1, Seed: seed, Revision: 41}, nil)
+		for range 12 {
+			if err := w.handleResponse(&response{status: 503}); err == nil || w.revision != 41 {
+				t.Fatalf("%v, revision %d", err, w.revision)
+			}
+			w.retry(overloaded)
+			at, _ := loop.Next()
+			all = append(all, at-now)
+		}
+		w.pollTimer.Stop()
+		return all
+	}
+	first, second := backoffs(1), backoffs(2)
+	if first[0] > 400 || first[11] < 6000 || first[11] > 18_000 || slices.Equal(first, second) {
+		t.Errorf("backoffs %.0f and %.0f", first, second)
+	}
+	w := &Watcher{revision: 41}
+	if _ = w.handleResponse(&response{status: 410}); w.revision != NoRevision {
+		t.Errorf("after 410 the watch still names revision %d", w.revision)
+	}
+}
+
+// Polls that time out are repeated within half of the drain grace period, however many time out in a row: a change counts
+// as known to the gateway although its poll got no response.
+func TestTimedOutPollIsRepeatedWithinTheGrace(t *testing.T) {
+	now := 1000.0
+	loop, err := eventloop.New(eventloop.ManualClock(&now))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(loop.Close)
+	for seed := range uint64(40) {
+		w := Watch(loop, zap.NewNop(), "127.0.0.1:1", Config{GatewayCount: 300, DrainGraceMs: 2000, Seed: seed, Revision: 41}, func(bool, []proxy.Host, float64) {})
+		body := `{"revision":42,"complete":true,"members":[]}`
+		if err := w.handleResponse(&response{status: 200, body: []byte(body)}); err != nil {
+			t.Fatal(err)
+		}
+		for range 8 {
+			w.retry(errTimeout)
+			if at, _ := loop.Next(); at > now+1000 {
+				t.Fatalf("seed %d: polls again after %.0f ms", seed, at-now)
+			}
+		}
+		w.pollTimer.Stop()
+	}
+}
+
+// Gateways of a fleet that start at one moment spread their first polls, but within the drain grace period.
+func TestFleetSpreadsItsFirstPolls(t *testing.T) {
+	now := 1000.0
+	loop, err := eventloop.New(eventloop.ManualClock(&now))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(loop.Close)
+	pollsPerTenth := map[int]int{}
+	for seed := range uint64(80) {
+		w := Watch(loop, zap.NewNop(), "127.0.0.1:1", Config{GatewayCount: 80, DrainGraceMs: 2000, Seed: seed, Revision: 0}, nil)
+		if w.conn != nil || w.FirstPollLaterThan(0) != (w.firstPollAtMs > now) {
+			t.Fatal("the first poll was made at the start")
+		}
+		pollsPerTenth[int(w.firstPollAtMs-now)/100]++
+		w.pollTimer.Stop()
+	}
+	for tenth, polls := range pollsPerTenth {
+		if polls > 15 || tenth >= 12 { // a later poll would learn of a drain after its grace period
+			t.Errorf("%d of 80 in tenth of a second %d", polls, tenth)
+		}
+	}
+	w := Watch(loop, zap.NewNop(), "127.0.0.1:1", Config{GatewayCount: 80, DrainGraceMs: 2000, Revision: NoRevision}, func(bool, []proxy.Host, float64) {})
+	if w.conn == nil {
+		t.Error("a gateway without a list delays its first poll")
+	}
+	// A shorter timeout would put the poll at the end of discovery's queue again.
+	if at, _ := loop.Next(); at != now+4000 {
+		t.Errorf("the first poll times out after %.0f ms", at-now)
+	}
+	w.SetAddress("127.0.0.1:2")
+	if at, _ := loop.Next(); w.Address() != "127.0.0.1:1" || at > now+1000 {
+		t.Errorf("address %s, or it is left only after %.0f ms", w.Address(), at-now)
+	}
+}
+
+func documentResponse(revision int, complete bool, id string) string {
+	body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[{"id":%q,"host_port":"127.0.0.1:1","cell":0,"phase":"active","up_since_ms":0}]}`,
+		revision, complete, id)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+// An invalid entry is logged once; the other entries are applied, and no host counts as gone because its entry is invalid.
+func TestInvalidEntryLeavesTheOthersInUse(t *testing.T) {
+	for _, c := range []struct{ entry, want string }{
+		{`{"id":"b","cell":0,"phase":"active"}`, `entry "b": host_port "" is no address and port`},
+		{`{"id":"b","host_port":"nowhere","cell":0,"phase":"active"}`, `entry "b": host_port "nowhere" is no address and port`},
+		{`{"id":"","host_port":"127.0.0.1:1","phase":"active"}`, `host_port "127.0.0.1:1" has no id`},
+		{`{"id":"b","host_port":"127.0.0.1:1","phase":"asleep"}`, `entry "b": unknown phase "asleep"`},
+	} {
+		core, logs := observer.New(zap.WarnLevel)
+		var updates []string
+		w := &Watcher{
+			log:  zap.New(core),
+			loop: &eventloop.Loop{Timers: &eventloop.Timers{Clock: eventloop.SystemClock()}},
+			onUpdate: func(complete bool, hosts []proxy.Host, _ float64) {
+				updates = append(updates, fmt.Sprint(complete, " ", len(hosts), " ", hosts[0].ID))
+			},
+		}
+		body := `{"revision":7,"complete":true,"members":[` + c.entry + `,{"id":"a","cell":0,"phase":"leaving"}]}`
+		for range 2 {
+			if err := w.handleResponse(&response{status: 200, body: []byte(body)}); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if want := []string{"false 1 a", "false 1 a"}; !slices.Equal(updates, want) || w.revision != 7 {
+			t.Errorf("%s: updates %q, revision %d", c.entry, updates, w.revision)
+		}
+		if n := logs.Len(); n != 1 || !strings.Contains(fmt.Sprint(logs.All()[0].ContextMap()["error"]), c.want) {
+			t.Errorf("%s: %d log lines, %v", c.entry, n, logs.All())
+		}
+	}
+}
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -189,7 +189,7 @@
 	p.newsByMs = p.loop.Clock.Now() + firstNewsMs
 	if p.cfg.Discovery != "" {
 		p.follow()
-		if p.watch.FirstCallLaterThan(firstNewsMs) { // its clients need not wait for a word that will not have come by then
+		if p.watch.FirstPollLaterThan(firstNewsMs) { // its clients need not wait for a word that will not have come by then
 			p.newsByMs = 0
 		}
 	}
