--- a/cmd/merlinjunction/main_test.go
+++ b/cmd/merlinjunction/main_test.go
@@ -48,7 +48,7 @@
 		text := <-p.log
 		p.err = p.cmd.Wait()
 		timer.Stop()
-		if p.err == nil && !strings.Contains(text, `"requests left":0`) {
+		if p.err == nil && !strings.Contains(text, `"open_requests":0`) {
 			p.err = fmt.Errorf("requests were left: %s", text)
 		}
 	}
--- a/internal/frontend/management/management.go
+++ b/internal/frontend/management/management.go
@@ -17,7 +17,7 @@
 // Gateway is what the calls act on.
 type Gateway interface {
 	// TakesClients tells whether clients are taken now.
-	TakesClients() bool
+	AcceptsClients() bool
 	// Telemetry is what has been counted since this process started.
 	Telemetry() Telemetry
 	// Exclude takes a database host out of use, Include uses it again; false where no such host is known.
@@ -84,7 +84,7 @@
 	}
 	switch r.Path {
 	case "/api/ready":
-		if !g.TakesClients() {
+		if !g.AcceptsClients() {
 			return httpd.Response{Status: http.StatusServiceUnavailable, Body: "no clients are taken\n"}
 		}
 	case "/api/telemetry":
--- /dev/null
+++ b/internal/server/exclusion_file.go
@@ -0,0 +1,137 @@
+package server
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"maps"
+	"os"
+
+	"go.uber.org/zap"
+)
+
+const (
+	// exclusionFileVersion is the format that this program reads and writes. A file of another one is ignored, and
+	// replaced at the next exclusion.
+	exclusionFileVersion = 1
+	exclusionFileMode    = 0o600
+)
+
+// exclusion is an operator's last order about a host.
+type exclusion struct {
+	Excluded bool    `json:"out"`
+	AtMs     float64 `json:"at"` // Unix time in milliseconds
+}
+
+// exclusionDocument is the content of the file.
+type exclusionDocument struct {
+	Version int                  `json:"version"`
+	Hosts   map[string]exclusion `json:"hosts"`
+}
+
+// exclusionFile is the file through which sibling processes share exclusions. Each process reads it at an interval, and
+// replaces it as a whole. The newest order on a host counts.
+type exclusionFile struct {
+	log       *zap.Logger
+	path      string
+	newest    map[string]exclusion // on each host
+	lastSeen  fs.FileInfo          // of the file as it was read or written last; nil before
+	lastError string               // logged last; the same error is logged once
+}
+
+func newExclusionFile(log *zap.Logger, path string) *exclusionFile {
+	return &exclusionFile{log: log, path: path, newest: map[string]exclusion{}}
+}
+
+// readNewer reads the file if it has changed, and returns the hosts with a newer order than this process knows. Where
+// the file lacks an order that this process knows, as two processes wrote at a time, the file is written again.
+func (f *exclusionFile) readNewer() map[string]exclusion {
+	info, err := os.Stat(f.path)
+	if err != nil {
+		if errors.Is(err, fs.ErrNotExist) && len(f.newest) > 0 {
+			f.write()
+		}
+		return nil
+	}
+	if f.isLastSeen(info) {
+		return nil
+	}
+	f.lastSeen = info
+	hosts, err := f.read()
+	if err != nil {
+		f.logReadError(err)
+		return nil
+	}
+	newer := map[string]exclusion{}
+	for id, order := range hosts {
+		if id != "" && order.AtMs > f.newest[id].AtMs {
+			newer[id], f.newest[id] = order, order
+		}
+	}
+	if !maps.Equal(f.newest, hosts) {
+		f.write()
+	}
+	return newer
+}
+
+// isLastSeen reports whether the file is the one that was read or written last.
+func (f *exclusionFile) isLastSeen(info fs.FileInfo) bool {
+	return f.lastSeen != nil && os.SameFile(info, f.lastSeen) && info.ModTime().Equal(f.lastSeen.ModTime())
+}
+
+func (f *exclusionFile) read() (map[string]exclusion, error) {
+	text, err := os.ReadFile(f.path)
+	if err != nil {
+		return nil, err
+	}
+	var document exclusionDocument
+	if err := json.Unmarshal(text, &document); err != nil {
+		return nil, err
+	}
+	if document.Version != exclusionFileVersion {
+		return nil, fmt.Errorf("version %d is not known here", document.Version)
+	}
+	return document.Hosts, nil
+}
+
+// logReadError logs an error once; the file is read again and again.
+func (f *exclusionFile) logReadError(err error) {
+	if f.lastError == err.Error() {
+		return
+	}
+	f.lastError = err.Error()
+	f.log.Error("ignoring unreadable exclusion file", zap.String("path", f.path), zap.Error(err))
+}
+
+// record writes an order of this process to the file, if it changes anything.
+func (f *exclusionFile) record(id string, order exclusion) {
+	if previous, ok := f.newest[id]; ok && previous.Excluded == order.Excluded {
+		return
+	}
+	f.newest[id] = order
+	f.write()
+}
+
+// write replaces the file as a whole, so that no sibling reads a part of it.
+func (f *exclusionFile) write() {
+	if err := f.replace(); err != nil {
+		f.log.Error("writing the exclusion file failed", zap.String("path", f.path), zap.Error(err))
+		return
+	}
+	if info, err := os.Stat(f.path); err == nil {
+		f.lastSeen = info
+	}
+}
+
+func (f *exclusionFile) replace() error {
+	text, err := json.Marshal(exclusionDocument{Version: exclusionFileVersion, Hosts: f.newest})
+	if err != nil {
+		return err
+	}
+	temporary := fmt.Sprintf("%s.%d", f.path, os.Getpid())
+	if err := os.WriteFile(temporary, text, exclusionFileMode); err != nil {
+		return err
+	}
+	return os.Rename(temporary, f.path)
+}
--- /dev/null
+++ b/internal/server/exclusion_file_test.go
@@ -0,0 +1,94 @@
+package server
+
+import (
+	"errors"
+	"maps"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// exclusionFileOfVersion1 is the file as version 1 of the format has it, byte for byte. During an upgrade the processes
+// of two releases read each other's files.
+const exclusionFileOfVersion1 = `{"version":1,"hosts":{"a":{"out":true,"at":1700000000000.5},"b":{"out":false,"at":1700000000001}}}`
+
+func TestExclusionFileFormat(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "merlinjunction-n.bans.json")
+	want := map[string]exclusion{"a": {Excluded: true, AtMs: 1700000000000.5}, "b": {Excluded: false, AtMs: 1700000000001}}
+	t.Run("write", func(t *testing.T) {
+		state := openTestState(t, dir, "n")
+		state.exclusions.record("a", want["a"])
+		state.exclusions.record("b", want["b"])
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if string(text) != exclusionFileOfVersion1 {
+			t.Errorf("wrote %s", text)
+		}
+	})
+	t.Run("read", func(t *testing.T) {
+		if err := os.WriteFile(path, []byte(exclusionFileOfVersion1), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if newer := openTestState(t, dir, "n").exclusions.readNewer(); !maps.Equal(newer, want) {
+			t.Errorf("read %v", newer)
+		}
+	})
+}
+
+// A file that can't be read changes nothing, and is replaced as a whole at the next exclusion.
+func TestForeignStateIsSafe(t *testing.T) {
+	for _, text := range []string{"", "{", `{"version":1,"hosts":{"a":`, `{"version":2,"hosts":{"a":{"out":true,"at":9}}}`, `[1]`} {
+		state, err := openSharedState(zap.NewNop(), t.TempDir(), "n/1")
+		if err != nil {
+			t.Fatal(err)
+		}
+		exclusions := state.exclusions
+		if err := os.WriteFile(exclusions.path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if newer := exclusions.readNewer(); len(newer) > 0 {
+			t.Errorf("%q: %v", text, newer)
+		}
+		exclusions.record("b", exclusion{Excluded: true, AtMs: 5})
+		sibling := newExclusionFile(zap.NewNop(), exclusions.path)
+		if newer := sibling.readNewer(); len(newer) != 1 || !newer["b"].Excluded {
+			t.Errorf("%q: replaced by %v", text, newer)
+		}
+		state.close()
+	}
+	_, err := openSharedState(zap.NewNop(), filepath.Join(t.TempDir(), "nowhere"), "n")
+	var configError *ConfigError
+	if !errors.As(err, &configError) || configError.Key != "TMPDIR" {
+		t.Errorf("no directory: error %v", err)
+	}
+}
+
+// Two processes write at a time: the newest order on each host counts, and an order that the other has written over is
+// written again.
+func TestTheNewestWordOnAHostCounts(t *testing.T) {
+	first := openTestState(t, t.TempDir(), "n").exclusions
+	second := newExclusionFile(zap.NewNop(), first.path)
+	first.record("x", exclusion{Excluded: true, AtMs: 10})
+	second.newest["y"] = exclusion{Excluded: true, AtMs: 11} // second has not read first's order and writes over it
+	second.write()
+	future := time.Now().Add(time.Second)
+	if err := os.Chtimes(first.path, future, future); err != nil {
+		t.Fatal(err)
+	}
+	if newer := first.readNewer(); len(newer) != 1 || !newer["y"].Excluded {
+		t.Errorf("first reads %v", newer)
+	}
+	if newer := second.readNewer(); len(newer) != 1 || newer["x"].AtMs != 10 {
+		t.Errorf("second reads %v", newer)
+	}
+	second.record("x", exclusion{Excluded: false, AtMs: 12})
+	if newer := first.readNewer(); newer["x"].Excluded || newer["x"].AtMs != 12 {
+		t.Errorf("first reads %v of a host that is in use again", newer)
+	}
+}
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -2,215 +2,118 @@
 
 import (
 	"bytes"
-	"errors"
-	"fmt"
-	"net/netip"
-	"strings"
+	"slices"
 
 	"go.uber.org/zap"
-	"go4.org/netipx"
 
 	"merlinjunction/fleet"
-	"merlinjunction/internal/frontend/management"
 	"merlinjunction/internal/transport"
-	"merlinjunction/membership"
 )
 
-// fleetTable is the operator's [fleet]; docs/fleet-operators.md explains each key. Without it nothing of a fleet starts.
-type fleetTable struct {
-	Name      string   `toml:"name"`
-	Listen    string   `toml:"listen"`
-	Advertise string   `toml:"advertise"`
-	Zone      string   `toml:"zone"`
-	Seeds     []string `toml:"seeds"`
-	Keys      []string `toml:"keys"`
-	Networks  []string `toml:"networks"`
-	Version   int      `toml:"message_version"`
-}
+const (
+	// loadSampleMs is the interval at which the load of this gateway is sampled and announced.
+	loadSampleMs = 1000.0
+	// rosterUpdateDelayMs is the least time between a load sample and a roster update: members change many at a time.
+	rosterUpdateDelayMs = 200.0
+)
 
-// config checks a [fleet]; the error names the key.
-func (f *fleetTable) config(gateway string, seed uint64) (*transport.Config, error) {
-	if f == nil {
-		return nil, nil
-	}
-	c := &transport.Config{Name: gateway, Fleet: f.Name, Listen: f.Listen, Zone: f.Zone, Seed: seed}
-	if gateway == "" || len(gateway) > membership.MaxName {
-		return nil, fmt.Errorf("name: a gateway of a fleet needs one of 1 to %d bytes", membership.MaxName)
-	}
-	if f.Name == "" {
-		return nil, errors.New("fleet.name: is missing")
-	}
-	if len(f.Zone) > membership.MaxZone {
-		return nil, fmt.Errorf("fleet.zone: %q is longer than %d bytes", f.Zone, membership.MaxZone)
-	}
-	if f.Version < 0 || f.Version > membership.Version {
-		return nil, fmt.Errorf("fleet.message_version: %d is not spoken, 1 to %d are", f.Version, membership.Version)
-	}
-	c.Version = uint8(f.Version)
-	if err := checkAddr("fleet.listen", f.Listen); err != nil {
-		return nil, err
-	}
-	if f.Advertise != "" {
-		var err error
-		if c.Advertise, err = parseAddr("fleet.advertise", f.Advertise); err != nil {
-			return nil, err
-		}
-	}
-	for _, s := range f.Seeds {
-		seed, err := parseAddr("fleet.seeds", s)
-		if err != nil {
-			return nil, err
-		}
-		c.Seeds = append(c.Seeds, seed)
-	}
-	for _, k := range f.Keys {
-		c.Keys = append(c.Keys, []byte(k))
-	}
-	if _, err := transport.NewSealer(f.Name, c.Keys); err != nil {
-		return nil, fmt.Errorf("fleet.keys: %w", err)
-	}
-	if len(f.Networks) == 0 {
-		return c, nil
-	}
-	var set netipx.IPSetBuilder
-	for _, n := range f.Networks {
-		prefix, err := netip.ParsePrefix(n)
-		if err != nil {
-			return nil, fmt.Errorf("fleet.networks: %q is no network such as 10.0.0.0/8", n)
-		}
-		set.AddPrefix(prefix)
-	}
-	var err error
-	if c.Networks, err = set.IPSet(); err != nil {
-		return nil, fmt.Errorf("fleet.networks: %w", err)
-	}
-	return c, nil
+// fleetSync is what the gateway has last announced to its fleet, and taken in from it.
+type fleetSync struct {
+	roster           *fleet.Roster // that the proxy core uses; nil before the first one
+	changeCount      int           // of the membership view that the roster is from
+	sampledAtMs      float64       // when the load was sampled
+	acceptedRequests int           // until then
+	announcer        fleet.LoadAnnouncer
+	load             float64 // that was announced, in requests a second
 }
 
-// joinFleet opens the fleet's socket where an operator has set one up.
-func (p *Server) joinFleet() (err error) {
-	if p.cfg.Operator == nil || p.cfg.Operator.Fleet == nil {
+// joinFleet opens the membership's socket where an operator has set up a fleet.
+func (s *Server) joinFleet() (err error) {
+	if s.config.Operator == nil || s.config.Operator.Fleet == nil {
 		return nil
 	}
-	if p.peer, err = transport.New(p.loop, p.log, *p.cfg.Operator.Fleet); err == nil {
-		p.loop.NextRound(func() {}) // it has something to do in the first round
+	if s.transport, err = transport.New(s.loop, s.log, *s.config.Operator.Fleet); err != nil {
+		return err
 	}
-	return err
+	s.loop.NextRound(func() {}) // the membership's first step needs a round
+	return nil
 }
 
-// fleetAddr is the address that the fleet's datagrams come to; "" without a fleet.
-func (p *Server) fleetAddr() string {
-	if p.peer == nil {
+// fleetAddress is the address of the membership's socket; "" without a fleet.
+func (s *Server) fleetAddress() string {
+	if s.transport == nil {
 		return ""
 	}
-	return p.peer.Addr().String()
+	return s.transport.Addr().String()
 }
 
-// step is what each round of the loop does when all has been gathered.
-func (p *Server) step() {
-	p.core.Step()
-	if p.peer != nil {
-		p.peer.Step()
-		p.share()
+// syncFleet announces this gateway's load to the fleet, and passes a changed roster on to the proxy core and the watcher.
+// It runs in each round, and does something once per loadSampleMs, or rosterUpdateDelayMs after members have changed.
+func (s *Server) syncFleet() {
+	state, now := &s.fleetSync, s.loop.Clock.Now()
+	if state.roster == nil {
+		state.sampledAtMs = now - loadSampleMs
+		s.loop.After(loadSampleMs, s.wakeForFleetSync)
+	}
+	membersChanged := s.transport.ChangeCount() != state.changeCount
+	updateDue := membersChanged && now >= state.sampledAtMs+rosterUpdateDelayMs
+	if state.roster != nil && now < state.sampledAtMs+loadSampleMs && !updateDue {
+		return
+	}
+	if elapsedMs := now - state.sampledAtMs; elapsedMs >= loadSampleMs {
+		s.announceLoad(now, elapsedMs)
 	}
+	s.updateRoster()
 }
 
-// sharing is what is kept to tell the core who shares the hosts with it.
-type sharing struct {
-	edition int     // of the view that the core knows
-	at      float64 // it was told then
-	taken   int     // requests by then
-	teller  fleet.LoadAnnouncer
-	load    float64 // that the others are told, requests a second
-	roster  *fleet.Roster
+// announceLoad samples how many requests have come since the last sample, and announces the load that follows.
+func (s *Server) announceLoad(now, elapsedMs float64) {
+	state := &s.fleetSync
+	accepted := s.core.AcceptedRequests()
+	requestsPerSecond := float64(accepted-state.acceptedRequests) * 1000 / elapsedMs
+	state.load = state.announcer.Observe(now, requestsPerSecond)
+	state.acceptedRequests, state.sampledAtMs = accepted, now
+	s.transport.Announce(transport.Payload{Load: state.load})
 }
 
-const (
-	lookMs   = 1000.0 // between two looks at the load
-	changeMs = 200.0  // a view that changes is taken in so long after the last one: many change at a time
-)
-
-// share tells the others how much traffic comes here, and the core who shares the hosts, when that has changed.
-func (p *Server) share() {
-	s, now := &p.sharing, p.loop.Clock.Now()
-	if s.roster == nil {
-		s.at = now - lookMs
-		p.loop.After(lookMs, p.shareLater)
-	}
-	changed := p.peer.ChangeCount() != s.edition
-	if s.roster != nil && now < s.at+lookMs && !(changed && now >= s.at+changeMs) {
+// updateRoster takes in the members of the fleet, where they differ from those that the proxy core knows.
+func (s *Server) updateRoster() {
+	state := &s.fleetSync
+	state.changeCount = s.transport.ChangeCount()
+	members, _ := s.transport.Members()
+	self := fleet.Gateway{Name: s.config.Name, Zone: s.config.Operator.Fleet.Zone, Load: state.load}
+	roster := transport.NewRoster(self, members)
+	if state.roster != nil && state.roster.Equivalent(roster) {
 		return
 	}
-	if passed := now - s.at; passed >= lookMs {
-		taken := p.core.AcceptedRequests()
-		s.load = s.teller.Observe(now, float64(taken-s.taken)*1000/passed)
-		s.taken, s.at = taken, now
-		p.peer.Announce(transport.Payload{Load: s.load})
+	state.roster = roster
+	s.core.SetRoster(roster)
+	if s.watcher != nil {
+		s.watcher.SetSchedule(roster.Schedule())
 	}
-	s.edition = p.peer.ChangeCount()
-	members, _ := p.peer.Members()
-	r := transport.NewRoster(fleet.Gateway{Name: p.cfg.Name, Zone: p.cfg.Operator.Fleet.Zone, Load: s.load}, members)
-	if s.roster != nil && s.roster.Equivalent(r) {
-		return
-	}
-	s.roster = r
-	p.core.SetRoster(r)
-	if p.watch != nil {
-		p.watch.SetSchedule(r.Schedule())
-	}
-	p.loop.NextRound(func() {})
+	s.loop.NextRound(func() {})
 }
 
-// shareLater sees to it that there is a round each second.
-func (p *Server) shareLater() {
-	if !p.stopping {
-		p.loop.After(lookMs, p.shareLater)
+// wakeForFleetSync ensures a round of the event loop per loadSampleMs.
+func (s *Server) wakeForFleetSync() {
+	if !s.shuttingDown {
+		s.loop.After(loadSampleMs, s.wakeForFleetSync)
 	}
 }
 
-// reloadFleet takes in the keys of a configuration that was read again.
-func (p *Server) reloadFleet(cfg *Config) {
-	if p.peer == nil || cfg.Operator == nil || cfg.Operator.Fleet == nil {
+// reloadFleetKeys applies the fleet's keys of a configuration that was read again.
+func (s *Server) reloadFleetKeys(config *Config) {
+	if s.transport == nil || config.Operator == nil || config.Operator.Fleet == nil {
 		return
 	}
-	keys := cfg.Operator.Fleet.Keys
-	if same(keys, p.cfg.Operator.Fleet.Keys) {
+	keys := config.Operator.Fleet.Keys
+	if slices.EqualFunc(keys, s.config.Operator.Fleet.Keys, bytes.Equal) {
 		return
 	}
-	if err := p.peer.SetKeys(keys); err != nil {
-		p.log.Error("reload: the old keys stay", zap.Error(err))
+	if err := s.transport.SetKeys(keys); err != nil {
+		s.log.Error("fleet keys rejected, keeping the previous ones", zap.Error(err))
 		return
 	}
-	p.cfg.Operator.Fleet.Keys = keys
-	p.log.Info("reload: the fleet's keys are changed", zap.Int("keys", len(keys)))
-}
-
-func same(a, b [][]byte) bool { return bytes.Equal(bytes.Join(a, []byte{0}), bytes.Join(b, []byte{0})) }
-
-// Fleet is what is known of the other gateways; nil where no fleet is set up.
-func (p *Server) Fleet() *management.Fleet {
-	if p.peer == nil {
-		return nil
-	}
-	members, s := p.peer.Members()
-	now := p.loop.Clock.Now()
-	f := &management.Fleet{
-		Name: p.cfg.Operator.Fleet.Fleet, Self: p.cfg.Name, Status: s.Status.String(), Partial: s.Partial, Alive: s.Alive, Suspect: s.Suspect,
-		Unreachable: s.Unreachable, Dead: s.Dead, Left: s.Left, Health: s.Health, Loss: s.Loss, RoundTripMs: s.RoundTripMs,
-	}
-	for _, m := range members {
-		f.Members = append(f.Members, management.Member{Name: m.Name, Address: m.Addr.String(), Zone: m.Zone, State: m.State.String(),
-			Incarnation: m.Incarnation, Version: int(m.Version), ForMs: max(0, now-m.Since)})
-	}
-	return f
-}
-
-// FleetMetrics are the fleet's figures in the text form of Prometheus; "" where no fleet is set up.
-func (p *Server) FleetMetrics() string {
-	if p.peer == nil {
-		return ""
-	}
-	var text strings.Builder
-	p.peer.Metrics().WritePrometheus(&text)
-	return text.String()
+	s.config.Operator.Fleet.Keys = keys
+	s.log.Info("fleet keys reloaded", zap.Int("keys", len(keys)))
 }
--- /dev/null
+++ b/internal/server/fleet_config.go
@@ -0,0 +1,97 @@
+package server
+
+import (
+	"errors"
+	"net/netip"
+
+	"go4.org/netipx"
+
+	"merlinjunction/internal/transport"
+	"merlinjunction/membership"
+)
+
+// fleetTable is [fleet] of an operator's file; docs/fleet-operators.md explains each key. Without it the gateway has no
+// fleet.
+type fleetTable struct {
+	Name           string   `toml:"name"`
+	Listen         string   `toml:"listen"`
+	Advertise      string   `toml:"advertise"`
+	Zone           string   `toml:"zone"`
+	Seeds          []string `toml:"seeds"`
+	Keys           []string `toml:"keys"`
+	Networks       []string `toml:"networks"`
+	MessageVersion int      `toml:"message_version"`
+}
+
+// config converts the table for a gateway of some name. The error is a *ConfigError.
+func (f *fleetTable) config(gateway string, seed uint64) (*transport.Config, error) {
+	if err := f.validate(gateway); err != nil {
+		return nil, err
+	}
+	c := &transport.Config{
+		Name:    gateway,
+		Fleet:   f.Name,
+		Listen:  f.Listen,
+		Zone:    f.Zone,
+		Version: uint8(f.MessageVersion),
+		Seed:    seed,
+	}
+	var err error
+	if f.Advertise != "" {
+		if c.Advertise, err = parseAddress("fleet.advertise", f.Advertise); err != nil {
+			return nil, err
+		}
+	}
+	for _, text := range f.Seeds {
+		address, err := parseAddress("fleet.seeds", text)
+		if err != nil {
+			return nil, err
+		}
+		c.Seeds = append(c.Seeds, address)
+	}
+	for _, key := range f.Keys {
+		c.Keys = append(c.Keys, []byte(key))
+	}
+	if _, err := transport.NewSealer(f.Name, c.Keys); err != nil {
+		return nil, &ConfigError{Key: "fleet.keys", Err: err}
+	}
+	if c.Networks, err = parseNetworks(f.Networks); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// validate checks the keys that are single values.
+func (f *fleetTable) validate(gateway string) error {
+	switch {
+	case gateway == "" || len(gateway) > membership.MaxName:
+		return invalidKey("name", "a gateway of a fleet needs one of 1 to %d bytes", membership.MaxName)
+	case f.Name == "":
+		return &ConfigError{Key: "fleet.name", Err: errors.New("is missing")}
+	case len(f.Zone) > membership.MaxZone:
+		return invalidKey("fleet.zone", "%q is longer than %d bytes", f.Zone, membership.MaxZone)
+	case f.MessageVersion < 0 || f.MessageVersion > membership.Version:
+		return invalidKey("fleet.message_version", "%d is not spoken, 1 to %d are", f.MessageVersion, membership.Version)
+	}
+	return checkAddress("fleet.listen", f.Listen)
+}
+
+// parseNetworks reads the networks that datagrams may come from; nil, which allows all, for an empty list.
+func parseNetworks(networks []string) (*netipx.IPSet, error) {
+	if len(networks) == 0 {
+		return nil, nil
+	}
+	var builder netipx.IPSetBuilder
+	for _, network := range networks {
+		prefix, err := netip.ParsePrefix(network)
+		if err != nil {
+			return nil, invalidKey("fleet.networks", "%q is no network such as 10.0.0.0/8", network)
+		}
+		builder.AddPrefix(prefix)
+	}
+	set, err := builder.IPSet()
+	if err != nil {
+		return nil, &ConfigError{Key: "fleet.networks", Err: err}
+	}
+	return set, nil
+}
--- /dev/null
+++ b/internal/server/listeners.go
@@ -0,0 +1,127 @@
+package server
+
+import (
+	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
+
+	"merlinjunction/internal/frontend/extended"
+	"merlinjunction/internal/frontend/management"
+	"merlinjunction/internal/frontend/platform"
+	"merlinjunction/internal/protocol/health"
+	"merlinjunction/internal/protocol/pg"
+	"merlinjunction/internal/proxy"
+)
+
+const (
+	// reservedDescriptors are for files, epoll, discovery and health checks.
+	reservedDescriptors = 48
+	// platformClientIdleMs is the idle timeout of the platform's clients: they open a new connection when they need one.
+	platformClientIdleMs = 2000.0
+)
+
+// open sets up the proxy core, the frontend and all listeners.
+func (s *Server) open() error {
+	s.connectionBudget = descriptorLimit(s.config.Sockets) - reservedDescriptors
+	s.hostConnectionLimit = s.connectionBudget * 2 / 5
+	if err := s.openCore(); err != nil {
+		return err
+	}
+	s.openFrontend()
+	if err := s.openManagement(); err != nil {
+		return err
+	}
+	if err := s.joinFleet(); err != nil {
+		return err
+	}
+	if err := s.openClientListener(); err != nil {
+		return err
+	}
+	return s.openHealthChecks()
+}
+
+// descriptorLimit is the configured number of descriptors, or the process's limit where that is lower.
+func descriptorLimit(configured int) int {
+	var limit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(configured) {
+		return int(limit.Cur)
+	}
+	return configured
+}
+
+// openCore sets up the proxy core with the protocol that the hosts speak.
+func (s *Server) openCore() (err error) {
+	limits := proxy.Limits{
+		ConnectTimeoutMs:  s.config.ConnectTimeoutMs,
+		HostIdleTimeoutMs: s.config.HostIdleTimeoutMs,
+		MaxConns:          s.hostConnectionLimit,
+		MaxRequests:       s.connectionBudget,
+	}
+	dialer, healthCheck := pg.NewHostDialer(s.loop), pg.Command(pg.LoadReportQuery{})
+	if operator := s.config.Operator; operator != nil {
+		dialer, healthCheck = operator.Login.dialer(s.loop), operator.HealthCheck
+		limits.HealthCheckIntervalMs = operator.HealthCheckIntervalMs
+	}
+	s.core, err = proxy.New(s.loop.Timers, s.log, s.config.Settings, s.config.Seed, limits, dialer, healthCheck, pg.ParseLoadReport)
+	return err
+}
+
+// openFrontend sets up the clients' sessions.
+func (s *Server) openFrontend() {
+	s.clients = &pg.ClientPool{Loop: s.loop, MaxClients: s.connectionBudget - s.hostConnectionLimit}
+	if operator := s.config.Operator; operator != nil {
+		frontend := &extended.Frontend{Core: s.core, Rules: &operator.Rules, Ready: s.ready}
+		s.clients.NewSession = frontend.NewSession
+		return
+	}
+	s.clients.IdleTimeoutMs = platformClientIdleMs
+	s.clients.NewSession = platform.New(s.core, s.config.Settings, s.ready).NewSession
+}
+
+// openManagement opens the listener of the management calls where the configuration has an address for it.
+func (s *Server) openManagement() (err error) {
+	if s.config.Management == "" {
+		return nil
+	}
+	if s.managementListener, err = management.Serve(s.loop, s.config.Management, s, s.onAcceptError); err != nil {
+		return &ConfigError{Key: "management", Err: err}
+	}
+	return nil
+}
+
+// openClientListener opens the clients' listener, or takes over the inherited one, which accepts nobody before
+// acceptWhenReady.
+func (s *Server) openClientListener() (err error) {
+	if s.config.ListenFD == 0 {
+		s.clientListener, err = s.loop.Listen(s.config.Listen, s.clients.Accept, s.onAcceptError)
+		return err
+	}
+	if s.clientListener, err = s.loop.ListenOn(s.config.ListenFD, s.clients.Accept, s.onAcceptError); err != nil {
+		return &ConfigError{Key: listenFDVariable, Err: err}
+	}
+	s.awaitingTakeover = true
+	s.shared, err = openSharedState(s.log, s.config.StateDir, s.config.Name)
+	return err
+}
+
+// openHealthChecks opens the listeners of load balancers' checks, which only an operator's file sets up.
+func (s *Server) openHealthChecks() (err error) {
+	operator := s.config.Operator
+	if operator == nil {
+		return nil
+	}
+	if operator.AgentCheck != "" {
+		if s.agentCheckListener, err = health.ServeAgent(s.loop, operator.AgentCheck, s.health, s.onAcceptError); err != nil {
+			return err
+		}
+	}
+	if operator.HTTP != "" {
+		s.httpCheckListener, err = health.ServeHTTP(s.loop, operator.HTTP, s.health, s.onAcceptError)
+	}
+	return err
+}
+
+// onAcceptError disconnects idle clients when no descriptor is free for a new connection.
+func (s *Server) onAcceptError(err error) {
+	s.log.Warn("accepting a connection failed, closing idle clients", zap.Error(err))
+	s.clients.CloseIdle()
+}
--- /dev/null
+++ b/internal/server/operator_config.go
@@ -0,0 +1,312 @@
+package server
+
+import (
+	"errors"
+	"fmt"
+	"regexp"
+	"slices"
+	"time"
+
+	"github.com/BurntSushi/toml"
+
+	"merlinjunction/internal/frontend/extended"
+	"merlinjunction/internal/protocol/discovery"
+	"merlinjunction/internal/protocol/pg"
+	"merlinjunction/internal/proxy"
+	"merlinjunction/internal/transport"
+	"merlinjunction/routing"
+)
+
+const (
+	// roleCheckIntervalMs is the interval of health checks of hosts that make no load reports.
+	roleCheckIntervalMs = 1000.0
+	// maxFileNumber bounds times in milliseconds, shares and multiples of an operator's file: an hour.
+	maxFileNumber = 3.6e6
+	// noClass is the index of a class that the file does not name.
+	noClass = -1
+)
+
+// OperatorConfig is the part of a configuration that sets up the extended frontend.
+type OperatorConfig struct {
+	AgentCheck            string // address of load balancers' agent checks; "": none
+	HTTP                  string // address of load balancers' HTTP checks; "": none
+	Rules                 extended.Rules
+	Login                 hostLogin
+	HealthCheck           pg.Command // nil: none
+	HealthCheckIntervalMs float64    // 0: the proxy core's
+	Fleet                 *transport.Config
+}
+
+// LoadOperator reads an operator's file. The error is one line that names the file and the key; it wraps a *ConfigError
+// where a key is unknown or its value can't be used.
+func LoadOperator(path string) (*Config, error) {
+	file := newOperatorFile()
+	metadata, err := toml.DecodeFile(path, file)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	if keys := metadata.Undecoded(); len(keys) > 0 {
+		return nil, fmt.Errorf("%s: %w", path, &ConfigError{Key: keys[0].String(), Err: errUnknownKey})
+	}
+	config, err := file.config()
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	config.ConfigPath = path
+	return config, nil
+}
+
+// config checks and converts the file.
+func (f *operatorFile) config() (*Config, error) {
+	operator := &OperatorConfig{AgentCheck: f.Health.AgentCheck, HTTP: f.Health.HTTP, Login: f.HostLogin}
+	c := &Config{
+		Name:              f.Name,
+		Listen:            f.Listen,
+		Discovery:         f.Discovery,
+		FileDiscovery:     f.Discovery,
+		Management:        f.Management,
+		Seed:              uint64(time.Now().UnixNano()),
+		KnownRevision:     discovery.NoRevision,
+		MemoryMB:          f.MemoryMB,
+		Sockets:           f.Sockets,
+		ConnectTimeoutMs:  f.Rules.ConnectTimeoutMs,
+		HostIdleTimeoutMs: f.Rules.HostIdleTimeoutMs,
+		Operator:          operator,
+	}
+	for _, apply := range []func(*Config) error{
+		f.applyFleet, f.applyRules, f.applyClasses, f.applyStatements, f.applyHosts, f.applyDescribeClass, f.checkAddresses,
+	} {
+		if err := apply(c); err != nil {
+			return nil, err
+		}
+	}
+	c.applyDefaults()
+	return c, c.validate()
+}
+
+// applyFleet converts [fleet].
+func (f *operatorFile) applyFleet(c *Config) (err error) {
+	if f.Fleet == nil {
+		return nil
+	}
+	c.Operator.Fleet, err = f.Fleet.config(f.Name, c.Seed)
+	return err
+}
+
+// applyRules converts [rules].
+func (f *operatorFile) applyRules(c *Config) error {
+	rules := &f.Rules
+	stalenessCheck, ok := stalenessChecks[rules.StalenessCheck]
+	if !ok {
+		return invalidKey("rules.checks", "unknown word %q", rules.StalenessCheck)
+	}
+	if err := rules.checkRanges(f.Fleet != nil); err != nil {
+		return err
+	}
+	healthCheck, ok := healthChecks[rules.HealthCheck]
+	if !ok {
+		return invalidKey("rules.probes", "unknown word %q", rules.HealthCheck)
+	}
+	c.Operator.HealthCheck = healthCheck
+	if rules.HealthCheck == "" || rules.HealthCheck == "greeting" {
+		c.Operator.HealthCheckIntervalMs = roleCheckIntervalMs
+	}
+	c.Settings = routing.Settings{
+		GatewayCount:        rules.Gateways,
+		GatewayNumber:       rules.GatewayNumber,
+		SubsetSize:          rules.SubsetSize,
+		TickInterval:        time.Millisecond,
+		StalenessCheck:      stalenessCheck,
+		CancelAllowed:       true,
+		HealthChecksAllowed: rules.HealthCheck == "load",
+		RetryAfterAllowed:   rules.MaxRetryAfterMs > 0,
+		MaxRetryAfter:       milliseconds(rules.MaxRetryAfterMs),
+		MaxAttempts:         rules.MaxAttempts,
+		DrainGrace:          milliseconds(rules.DrainGraceMs),
+		SlowStartMinShare:   rules.SlowStartMinShare,
+		SlowStartWindow:     milliseconds(rules.SlowStartWindowMs),
+		OverloadMultiple:    rules.OverloadMultiple,
+		OverloadWindow:      milliseconds(rules.OverloadWindowMs),
+	}
+	if f.Fleet != nil {
+		c.Settings.Zone = f.Fleet.Zone
+	}
+	return nil
+}
+
+// checkRanges checks the numbers of [rules].
+func (r *rulesTable) checkRanges(hasFleet bool) error {
+	err := checkNumbers("rules.", []number{
+		{"retry_hint_ms", r.MaxRetryAfterMs},
+		{"drain_grace_ms", r.DrainGraceMs},
+		{"cold_share", r.SlowStartMinShare},
+		{"cold_ms", r.SlowStartWindowMs},
+		{"tip_multiple", r.OverloadMultiple},
+		{"tip_ms", r.OverloadWindowMs},
+		{"connect_timeout_ms", r.ConnectTimeoutMs},
+		{"idle_ms", r.HostIdleTimeoutMs},
+	})
+	switch {
+	case err != nil:
+		return err
+	case r.GatewayNumber < 0 || r.GatewayNumber > max(1, r.Gateways):
+		return invalidKey("rules.index", "1 to rules.gateways (%d) are there", r.Gateways)
+	case r.SubsetSize < 0:
+		return invalidKey("rules.subset", "is below 0")
+	case r.SubsetSize > 0 && r.GatewayNumber == 0 && !hasFleet:
+		return invalidKey("rules.subset", "needs rules.index, or a [fleet]")
+	}
+	return nil
+}
+
+// number is the value of a key.
+type number struct {
+	key   string
+	value float64
+}
+
+// checkNumbers checks that all numbers are from 0 to maxFileNumber, and so not NaN. The error names the prefix and the
+// key.
+func checkNumbers(prefix string, numbers []number) error {
+	for _, n := range numbers {
+		if !(n.value >= 0 && n.value <= maxFileNumber) {
+			return &ConfigError{Key: prefix + n.key, Err: errOutOfRange}
+		}
+	}
+	return nil
+}
+
+// milliseconds converts a time of the file.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+// applyClasses converts the [[class]] tables.
+func (f *operatorFile) applyClasses(c *Config) error {
+	for i, table := range f.Classes {
+		class, err := table.class(fmt.Sprintf("class %d (%q)", i+1, table.Name))
+		if err != nil {
+			return err
+		}
+		c.Settings.Classes = append(c.Settings.Classes, class)
+	}
+	c.Operator.Rules.Classes = c.Settings.Classes
+	return nil
+}
+
+// class converts the table; the error names it by its key.
+func (t *classTable) class(key string) (routing.Class, error) {
+	err := checkNumbers(key+": ", []number{
+		{"max_age_ms", t.MaxStalenessMs},
+		{"repeat_window_ms", t.DedupWindowMs},
+		{"aim_ms", t.LatencyObjectiveMs},
+		{"deadline_ms", t.DeadlineMs},
+		{"worth", t.PriorityWeight},
+		{"late_worth", t.LateWeightShare},
+	})
+	if err != nil {
+		return routing.Class{}, err
+	}
+	consistency, consistencyKnown := consistencies[t.Consistency]
+	idempotency, idempotencyKnown := idempotencies[t.Idempotency]
+	if t.Name == "" || !consistencyKnown || !idempotencyKnown || t.LatencyObjectiveMs <= 0 || t.DeadlineMs <= 0 {
+		return routing.Class{}, invalidKey(key, "name, need, effect, aim_ms or deadline_ms is missing or wrong")
+	}
+	weight := t.PriorityWeight
+	if weight == 0 {
+		weight = 1
+	}
+	return routing.Class{
+		Name:                t.Name,
+		Consistency:         consistency,
+		MaxStaleness:        milliseconds(t.MaxStalenessMs),
+		Idempotency:         idempotency,
+		KeySharedByAllHosts: t.DedupOnAnyHost,
+		DedupWindow:         milliseconds(t.DedupWindowMs),
+		LatencyObjective:    milliseconds(t.LatencyObjectiveMs),
+		Deadline:            milliseconds(t.DeadlineMs),
+		PriorityWeight:      weight,
+		LateWeightShare:     t.LateWeightShare,
+	}, nil
+}
+
+// applyStatements converts the [[statement]] tables.
+func (f *operatorFile) applyStatements(c *Config) error {
+	rules := &c.Operator.Rules
+	for i, table := range f.Statements {
+		key := fmt.Sprintf("statement %d", i+1)
+		pattern, err := regexp.Compile(table.Pattern)
+		if err != nil || table.Pattern == "" {
+			return invalidKey(key+": pattern", "%q is no regular expression", table.Pattern)
+		}
+		class := classIndex(rules.Classes, table.Class)
+		if class == noClass {
+			return invalidKey(key+": class", "no class %q", table.Class)
+		}
+		rules.Rules = append(rules.Rules, extended.Rule{
+			Pattern: pattern, Class: class, SessionParam: table.SessionParam, KeyParam: table.KeyParam,
+		})
+	}
+	return nil
+}
+
+// classIndex finds a class by its name; noClass where there is none.
+func classIndex(classes []routing.Class, name string) int {
+	return slices.IndexFunc(classes, func(class routing.Class) bool { return class.Name == name })
+}
+
+// applyHosts converts the [[database]], [[tenant]] and [[host]] tables.
+func (f *operatorFile) applyHosts(c *Config) error {
+	rules := &c.Operator.Rules
+	rules.Databases, rules.Tenants = map[string]int{}, map[string]int{}
+	for _, database := range f.Databases {
+		rules.Databases[database.Name] = database.Group
+	}
+	for i, tenant := range f.Tenants {
+		c.Settings.Tenants = append(c.Settings.Tenants, routing.Tenant{Name: tenant.User})
+		rules.Tenants[tenant.User] = i
+	}
+	seen := map[string]bool{}
+	for i, table := range f.Hosts {
+		state, known := hostStates[table.State]
+		if table.ID == "" || seen[table.ID] || !known {
+			key := fmt.Sprintf("host %d (%q)", i+1, table.ID)
+			return invalidKey(key, "id is missing or not the only one, or state is unknown")
+		}
+		seen[table.ID] = true
+		if err := checkAddress(fmt.Sprintf("host %d: address", i+1), table.Address); err != nil {
+			return err
+		}
+		endpoint := routing.Endpoint{ID: table.ID, Group: table.Group, Primary: table.Primary, State: state}
+		c.KnownHosts = append(c.KnownHosts, proxy.Host{Address: table.Address, Endpoint: endpoint})
+	}
+	if len(c.KnownHosts) == 0 && c.Discovery == "" {
+		return &ConfigError{Key: "host", Err: errors.New("none is listed, and discovery is not set")}
+	}
+	return nil
+}
+
+// applyDescribeClass finds the class of statements that are only described, and checks all rules of the frontend.
+func (f *operatorFile) applyDescribeClass(c *Config) error {
+	rules := &c.Operator.Rules
+	rules.DescribeClass = classIndex(rules.Classes, f.DescribeClass)
+	if rules.DescribeClass == noClass {
+		return invalidKey("describe_class", "no class %q", f.DescribeClass)
+	}
+	return rules.Validate()
+}
+
+// checkAddresses checks addresses that may be left out.
+func (f *operatorFile) checkAddresses(*Config) error {
+	for _, entry := range []struct{ key, address string }{
+		{"health.agent_check", f.Health.AgentCheck},
+		{"health.http", f.Health.HTTP},
+		{"discovery", f.Discovery},
+	} {
+		if entry.address == "" {
+			continue
+		}
+		if err := checkAddress(entry.key, entry.address); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/server/pipeline_test.go
+++ b/internal/server/pipeline_test.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -14,129 +15,167 @@
 )
 
 const (
-	pipelines = 400
-	executes  = 5 // in each
+	pipelineCount      = 400
+	executesInPipeline = 5
+	pipelinesAtATime   = 8
 )
 
-// Hundreds of pipelines, most of them interrupted: by a failing statement, by a host that resets, by a client
-// that leaves at some byte, and in the middle by a primary that drains. For each execute there is one final
-// answer at the most, none is left out before a later one, no value runs twice, and one that was skipped or
-// was answered as not done never ran.
+// Hundreds of pipelines, most of them interrupted: by a failing statement, by a host that resets, by a client that
+// disconnects at some byte, and in the middle by a primary that drains. For each execute there is one final response at
+// the most, none is left out before a later one, no value runs twice, and one that was skipped or rejected never ran.
 func TestInterruptedPipelines(t *testing.T) {
-	p := testkit.NewPlayer(t, startExtended, "a", "b", "c")
-	addr, _, _ := p.Gateway.Addrs()
-	var wait sync.WaitGroup
-	slots := make(chan struct{}, 8)
-	for n := range pipelines {
-		if n == pipelines/2 {
-			for _, step := range []string{"host b primary", "host a drain"} {
-				if err := p.Step(step); err != nil {
-					t.Fatal(err)
-				}
-			}
+	player := testkit.NewPlayer(t, startExtended, "a", "b", "c")
+	address, _, _ := player.Gateway.Addrs()
+	var running sync.WaitGroup
+	slots := make(chan struct{}, pipelinesAtATime)
+	for n := range pipelineCount {
+		if n == pipelineCount/2 {
+			playSteps(t, player, "host b primary", "host a drain")
 		}
 		slots <- struct{}{}
-		wait.Add(1)
+		running.Add(1)
 		go func() {
-			defer wait.Done()
+			defer running.Done()
 			defer func() { <-slots }()
-			if err := interrupt(p.Cluster, addr, n); err != nil {
+			if err := runPipeline(player.Cluster, address, n); err != nil {
 				t.Errorf("pipeline %d: %v", n, err)
 			}
 		}()
 	}
-	wait.Wait()
-	if err := p.Step("send z startup | query SELECT v FROM s WHERE greenhouse = 'g'"); err != nil {
-		t.Fatal(err)
-	}
-	if err := p.Step("expect z R K Z T D C Z"); err != nil {
+	running.Wait()
+	playSteps(t, player, "send z startup | query SELECT v FROM s WHERE greenhouse = 'g'")
+	if err := player.Step("expect z R K Z T D C Z"); err != nil {
 		t.Error(err)
 	}
-	p.Gateway.Stop()
-	if err := p.Gateway.Wait(); err != nil {
+	player.Gateway.Stop()
+	if err := player.Gateway.Wait(); err != nil {
 		t.Error(err)
 	}
-	if g := p.Gateway.(*running); g.core.OpenRequests() != 0 {
+	if g := player.Gateway.(*runningGateway); g.core.OpenRequests() != 0 {
 		t.Errorf("%d requests were left", g.core.OpenRequests())
 	}
 }
 
-func interrupt(c *testkit.Cluster, addr string, n int) error {
-	rng := rand.New(rand.NewPCG(7, uint64(n)))
-	conn, err := net.Dial("tcp4", addr)
+// runPipeline sends the pipeline of a number and checks its outcome.
+func runPipeline(cluster *testkit.Cluster, address string, number int) error {
+	rng := rand.New(rand.NewPCG(7, uint64(number)))
+	conn, err := net.Dial("tcp4", address)
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
+	defer closeConn(conn)
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
-	out, _ := testkit.Encode(nil, "startup")
-	out, _ = testkit.Encode(out, "parse w INSERT INTO audit VALUES ($1)")
-	bad := rng.IntN(2 * executes) // no such one in half of the pipelines
+	values := pipelineValues(number, rng)
+	out, err := encodePipeline(values)
+	if err != nil {
+		return err
+	}
+	if number%4 == 3 {
+		return disconnectInPipeline(cluster, conn, out[:rng.IntN(len(out))], values)
+	}
+	if _, err := conn.Write(out); err != nil {
+		return err
+	}
+	outcome, err := readPipeline(conn)
+	if err != nil {
+		return err
+	}
+	return outcome.check(cluster, values)
+}
+
+// pipelineValues are the values that the pipeline inserts; in half of the pipelines one of them makes its host fail.
+func pipelineValues(number int, rng *rand.Rand) []string {
+	failing := rng.IntN(2 * executesInPipeline)
 	var values []string
-	for i := range executes {
-		v := fmt.Sprintf("v%d.%d", n, i)
-		if i == bad {
-			v += []string{"fail", "reset", "error"}[rng.IntN(3)]
-		}
-		values = append(values, v)
-		for _, m := range []string{"bind - w " + v, "execute -"} {
-			if out, err = testkit.Encode(out, m); err != nil {
-				return err
-			}
+	for i := range executesInPipeline {
+		value := fmt.Sprintf("v%d.%d", number, i)
+		if i == failing {
+			value += []string{"fail", "reset", "error"}[rng.IntN(3)]
 		}
+		values = append(values, value)
 	}
-	out, _ = testkit.Encode(out, "sync")
-	leaves := n%4 == 3
-	if leaves { // it goes away in the middle
-		out = out[:rng.IntN(len(out))]
+	return values
+}
+
+func encodePipeline(values []string) ([]byte, error) {
+	messages := []string{"startup", "parse w INSERT INTO audit VALUES ($1)"}
+	for _, value := range values {
+		messages = append(messages, "bind - w "+value, "execute -")
 	}
-	if _, err := conn.Write(out); err != nil {
+	messages = append(messages, "sync")
+	var out []byte
+	for _, message := range messages {
+		var err error
+		if out, err = testkit.Encode(out, message); err != nil {
+			return nil, err
+		}
+	}
+	return out, nil
+}
+
+// disconnectInPipeline sends a part of a pipeline and resets the connection.
+func disconnectInPipeline(cluster *testkit.Cluster, conn net.Conn, part []byte, values []string) error {
+	if _, err := conn.Write(part); err != nil {
 		return err
 	}
-	if leaves {
-		_ = conn.(*net.TCPConn).SetLinger(0)
-		conn.Close()
-		for _, v := range values {
-			if ran := c.Runs(v); len(ran) > 1 {
-				return fmt.Errorf("%s ran at %v", v, ran)
-			}
+	_ = conn.(*net.TCPConn).SetLinger(0)
+	closeConn(conn)
+	for _, value := range values {
+		if hosts := cluster.Runs(value); len(hosts) > 1 {
+			return fmt.Errorf("%s ran at %v", value, hosts)
 		}
-		return nil
 	}
-	done, failed, ready := 0, "", 0
-	for ready < 2 {
-		a, err := testkit.Answer(conn)
-		if err == io.EOF {
-			return fmt.Errorf("the connection ended after %d answers", done)
+	return nil
+}
+
+// pipelineOutcome is how a pipeline ended.
+type pipelineOutcome struct {
+	completed int    // executes that were answered
+	failure   string // error response; "": none
+}
+
+// readPipeline reads the responses of a pipeline and of the startup before it.
+func readPipeline(conn net.Conn) (pipelineOutcome, error) {
+	var outcome pipelineOutcome
+	for ready := 0; ready < 2; {
+		message, err := testkit.Answer(conn)
+		if errors.Is(err, io.EOF) {
+			return outcome, fmt.Errorf("the connection ended after %d answers", outcome.completed)
 		}
 		if err != nil {
-			return err
+			return outcome, err
 		}
 		switch {
-		case strings.HasPrefix(a, "C:"):
-			if failed != "" {
-				return fmt.Errorf("%s after %s", a, failed)
+		case strings.HasPrefix(message, "C:"):
+			if outcome.failure != "" {
+				return outcome, fmt.Errorf("%s after %s", message, outcome.failure)
 			}
-			done++
-		case strings.HasPrefix(a, "E:"):
-			if failed != "" {
-				return fmt.Errorf("%s after %s: two final answers", a, failed)
+			outcome.completed++
+		case strings.HasPrefix(message, "E:"):
+			if outcome.failure != "" {
+				return outcome, fmt.Errorf("%s after %s: two final answers", message, outcome.failure)
 			}
-			failed = a
-		case a == "Z":
+			outcome.failure = message
+		case message == "Z":
 			ready++
 		}
 	}
-	if failed == "" && done != executes || failed != "" && done >= executes {
-		return fmt.Errorf("%d answers and %q for %d executes", done, failed, executes)
+	return outcome, nil
+}
+
+// check compares the outcome with what ran at the hosts.
+func (o pipelineOutcome) check(cluster *testkit.Cluster, values []string) error {
+	if o.failure == "" && o.completed != executesInPipeline || o.failure != "" && o.completed >= executesInPipeline {
+		return fmt.Errorf("%d answers and %q for %d executes", o.completed, o.failure, executesInPipeline)
 	}
-	for i, v := range values {
-		ran, refused := c.Runs(v), strings.HasPrefix(failed, "E:53300")
+	rejected := strings.HasPrefix(o.failure, "E:53300")
+	for i, value := range values {
+		hosts := cluster.Runs(value)
 		switch {
-		case i < done && len(ran) != 1,
-			i == done && (len(ran) > 1 || refused && len(ran) > 0),
-			i > done && len(ran) > 0:
-			return fmt.Errorf("%s, number %d of %d done, failed %q, ran at %v", v, i, done, failed, ran)
+		case i < o.completed && len(hosts) != 1,
+			i == o.completed && (len(hosts) > 1 || rejected && len(hosts) > 0),
+			i > o.completed && len(hosts) > 0:
+			return fmt.Errorf("%s, number %d of %d done, failed %q, ran at %v", value, i, o.completed, o.failure, hosts)
 		}
 	}
 	return nil
--- /dev/null
+++ b/internal/server/platform_config.go
@@ -0,0 +1,147 @@
+package server
+
+import (
+	"encoding/json"
+	"hash/fnv"
+	"os"
+	"strconv"
+
+	"merlinjunction/internal/protocol/discovery"
+	"merlinjunction/internal/protocol/simulator"
+)
+
+// Environment variables of the platform. All but configVariable override a key of the file.
+const (
+	configVariable     = "LB_CONFIG"
+	nameVariable       = "LB_NAME"
+	listenVariable     = "LB_LISTEN"
+	discoveryVariable  = "LB_DISCOVERY"
+	managementVariable = "LB_MANAGEMENT"
+)
+
+// platformFile is the platform's JSON configuration.
+type platformFile struct {
+	Name       string `json:"name"`
+	Listen     string `json:"listen"`
+	Discovery  string `json:"discovery"`
+	Management string `json:"management"`
+	Seed       string `json:"seed"`
+	Limits     struct {
+		MemoryMB int `json:"memory_mb"`
+		Sockets  int `json:"sockets"`
+	} `json:"limits"`
+	KnownList *discovery.Document `json:"known"`
+	Settings  json.RawMessage     `json:"settings"`
+}
+
+// connectionSettings are those of the platform's settings that concern connections to hosts; package simulator reads
+// the others.
+type connectionSettings struct {
+	Permissions struct {
+		HostIdleTimeoutMs float64 `json:"ConnIdleMs"`
+		ConnectTimeoutMs  float64 `json:"ConnectTimeoutMs"`
+	} `json:"Permissions"`
+}
+
+// LoadPlatform reads the platform's configuration; variables of the environment override keys of the file. The error is
+// a *ConfigError.
+func LoadPlatform(path string, env func(string) string) (*Config, error) {
+	file, err := readPlatformFile(path)
+	if err != nil {
+		return nil, &ConfigError{Key: configVariable, Err: err}
+	}
+	fileDiscovery := file.Discovery
+	file.applyEnvironment(env)
+	c := &Config{
+		Name:          file.Name,
+		Listen:        file.Listen,
+		Discovery:     file.Discovery,
+		FileDiscovery: fileDiscovery,
+		Management:    file.Management,
+		Seed:          parseSeed(file.Seed),
+		MemoryMB:      file.Limits.MemoryMB,
+		Sockets:       file.Limits.Sockets,
+		ConfigPath:    path,
+		KnownRevision: discovery.NoRevision,
+	}
+	if err := file.applySettings(c); err != nil {
+		return nil, &ConfigError{Key: "settings", Err: err}
+	}
+	if err := file.applyKnownList(c); err != nil {
+		return nil, &ConfigError{Key: "known", Err: err}
+	}
+	for _, address := range []string{c.Discovery, c.FileDiscovery} {
+		if address == "" && c.Discovery != "" { // the environment alone names a discovery
+			continue
+		}
+		if err := checkAddress("discovery", address); err != nil {
+			return nil, err
+		}
+	}
+	c.applyDefaults()
+	return c, c.validate()
+}
+
+func readPlatformFile(path string) (*platformFile, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	file := &platformFile{}
+	return file, json.Unmarshal(text, file)
+}
+
+// applyEnvironment replaces keys of the file that the environment has a value for.
+func (f *platformFile) applyEnvironment(env func(string) string) {
+	for _, override := range []struct {
+		variable string
+		value    *string
+	}{
+		{nameVariable, &f.Name},
+		{listenVariable, &f.Listen},
+		{discoveryVariable, &f.Discovery},
+		{managementVariable, &f.Management},
+	} {
+		if value := env(override.variable); value != "" {
+			*override.value = value
+		}
+	}
+}
+
+// applySettings reads the platform's settings.
+func (f *platformFile) applySettings(c *Config) (err error) {
+	if c.Settings, err = simulator.DecodeSettings(string(f.Settings)); err != nil {
+		return err
+	}
+	var connections connectionSettings
+	if err := json.Unmarshal(f.Settings, &connections); err != nil {
+		return err
+	}
+	c.ConnectTimeoutMs = connections.Permissions.ConnectTimeoutMs
+	c.HostIdleTimeoutMs = connections.Permissions.HostIdleTimeoutMs
+	return nil
+}
+
+// applyKnownList reads the endpoint list that the platform knew when it wrote the file.
+func (f *platformFile) applyKnownList(c *Config) (err error) {
+	if f.KnownList == nil {
+		return nil
+	}
+	if c.KnownHosts, err = f.KnownList.Hosts(); err != nil {
+		return err
+	}
+	if f.KnownList.Complete {
+		c.KnownRevision = f.KnownList.Revision
+	}
+	return nil
+}
+
+// parseSeed reads a seed of hexadecimal digits, and hashes any other text.
+func parseSeed(text string) uint64 {
+	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
+		return seed
+	}
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(text)) // never fails
+	return hash.Sum64()
+}
--- /dev/null
+++ b/internal/server/reload_test.go
@@ -0,0 +1,94 @@
+package server
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"merlinjunction/internal/testkit"
+)
+
+// SIGHUP applies the host list of the file; a file with a mistake leaves the old one in use.
+func TestReload(t *testing.T) {
+	var path string
+	fileText := func(cluster *testkit.Cluster, state string) string {
+		_, text, _ := strings.Cut(operatorText(t, "127.0.0.1:1"), "\n") // hosts take the place of discovery
+		for _, id := range []string{"a", "b"} {
+			text += fmt.Sprintf("[[host]]\nid = %q\naddress = %q\nstate = %q\n", id, cluster.Addr(id), state)
+			state = "ready"
+		}
+		return text
+	}
+	player := testkit.NewPlayer(t, func(t *testing.T, cluster *testkit.Cluster) testkit.Gateway {
+		t.Helper()
+		path = writeFile(t, "operator.toml", fileText(cluster, "ready"))
+		config, err := LoadOperator(path)
+		return runGateway(t, config, err)
+	}, "a", "b")
+	g := player.Gateway.(*runningGateway)
+	reloadWith := func(stateOfA string) {
+		t.Helper()
+		overwriteFile(t, path, fileText(player.Cluster, stateOfA))
+		g.loop.Notify(func() { g.reload(1) })
+	}
+	insert := func(key, host string) {
+		t.Helper()
+		playSteps(t, player,
+			"send c query INSERT INTO setpoints VALUES ('g', '"+key+"', 'v')", "expect c C:INSERT_0_1 Z", "ran "+key+" "+host)
+	}
+	playSteps(t, player, "send c startup", "expect c R K Z")
+	insert("k1", "a")
+	reloadWith("asleep")
+	insert("k2", "a")
+	reloadWith("draining")
+	_ = player.Step("host b primary")
+	insert("k3", "b")
+}
+
+// At SIGHUP the platform's gateway follows the endpoint list at the address that the file names then. Until that address
+// has sent the list, and while the file is incomplete, it serves with the list that it has.
+func TestReloadMovesDiscovery(t *testing.T) {
+	var path, text string
+	oldDiscovery := httptest.NewServer(nil)
+	player := testkit.NewPlayer(t, func(t *testing.T, cluster *testkit.Cluster) testkit.Gateway {
+		t.Helper()
+		oldDiscovery.Config.Handler = cluster
+		text = platformText(t, oldDiscovery.Listener.Addr().String())
+		path = writeFile(t, "config.json", text)
+		config, err := LoadPlatform(path, noEnvironment)
+		return runGateway(t, config, err)
+	}, "a", "b")
+	g := player.Gateway.(*runningGateway)
+	serves := func(id string) {
+		t.Helper()
+		playSteps(t, player,
+			"send "+id+" startup | query SELECT v FROM records WHERE k = 's' /* id="+id+",c=read,t=x,d=900,cluster=0 */",
+			"expect "+id+" R K Z T D C Z")
+	}
+	reload := func() { g.loop.Notify(func() { g.reload(maxReloadAttempts) }) }
+	polled := make(chan bool, 1)
+	newDiscovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		player.Cluster.ServeHTTP(w, r)
+		select {
+		case polled <- true:
+		default:
+		}
+	}))
+	t.Cleanup(newDiscovery.Close)
+	overwriteFile(t, path, text[:len(text)/2])
+	reload()
+	reload()
+	oldDiscovery.CloseClientConnections()
+	oldDiscovery.Close()
+	serves("01")
+	overwriteFile(t, path, platformText(t, newDiscovery.Listener.Addr().String()))
+	select {
+	case <-polled:
+	case <-time.After(10 * time.Second):
+		t.Fatal("nobody polls the new address")
+	}
+	serves("02")
+}
--- /dev/null
+++ b/internal/server/server.go
@@ -0,0 +1,142 @@
+// Package server runs the gateway: it reads the configuration, opens the listeners, reloads at SIGHUP, shuts down
+// gracefully at SIGTERM, and takes over from an older process of the same gateway during an upgrade.
+//
+// All methods of a Server run on its event loop, except for those that say otherwise.
+package server
+
+import (
+	"runtime/debug"
+
+	"go.uber.org/zap"
+
+	"merlinjunction/internal/eventloop"
+	"merlinjunction/internal/protocol/discovery"
+	"merlinjunction/internal/protocol/pg"
+	"merlinjunction/internal/proxy"
+	"merlinjunction/internal/transport"
+)
+
+const (
+	// heapLimitShare is the share of the memory limit above which Go's heap is collected hard.
+	heapLimitShare = 0.6
+	// bufferMemoryShare is the share of the memory limit that connections' buffers may hold. Appending to a buffer can
+	// double it for a moment.
+	bufferMemoryShare = 0.25
+)
+
+// Server is a running gateway: the event loop with its listeners, the proxy core, the endpoint list's watcher and the
+// fleet membership.
+type Server struct {
+	config  *Config
+	log     *zap.Logger
+	loop    *eventloop.Loop
+	core    *proxy.Core
+	clients *pg.ClientPool
+
+	// Listeners; those that the configuration does not set up are nil.
+	clientListener     *eventloop.Listener
+	agentCheckListener *eventloop.Listener
+	httpCheckListener  *eventloop.Listener
+	managementListener *eventloop.Listener
+
+	connectionBudget    int // descriptors for connections to clients and hosts
+	hostConnectionLimit int // of them for hosts
+
+	watcher              *discovery.Watcher // nil without discovery
+	discoveryWaitEndMs   float64            // clients are accepted then, endpoint list or not
+	endpointListReceived bool
+
+	transport *transport.Transport // nil without a fleet
+	fleetSync fleetSync
+
+	reloadTimer     *eventloop.Timer // next attempt to read the configuration
+	reloadFailures  int
+	reloadSuccesses int
+
+	evacuated       bool             // new clients are rejected, by an operator's order
+	evacuationTimer *eventloop.Timer // until idle clients are disconnected
+
+	shuttingDown         bool
+	shutdownStartedMs    float64
+	abandonedConnections int // client connections that were open at the end of the graceful shutdown
+
+	shared           *sharedState // with sibling processes; nil without an inherited listener
+	hasSibling       bool         // another process of this gateway is alive
+	awaitingTakeover bool         // the inherited listener accepts nobody yet
+}
+
+// New opens a gateway's listeners and sockets; Run starts it. The error is a *ConfigError where a key of the
+// configuration is at fault.
+func New(config *Config, log *zap.Logger, clock *eventloop.Clock) (*Server, error) {
+	debug.SetMemoryLimit(heapLimitBytes(config.memoryBytes()))
+	loop, err := eventloop.New(clock)
+	if err != nil {
+		return nil, err
+	}
+	loop.MaxBufferedBytes = bufferLimitBytes(config.memoryBytes())
+	loop.OnDelay = func(ms float64) { log.Warn("event loop iteration was slow", zap.Float64("duration_ms", ms)) }
+	s := &Server{config: config, loop: loop, log: log}
+	if err := s.open(); err != nil {
+		s.Close()
+		return nil, err
+	}
+	return s, nil
+}
+
+// heapLimitBytes is Go's soft memory limit for a process that may use so much memory.
+func heapLimitBytes(memoryBytes int) int64 { return int64(heapLimitShare * float64(memoryBytes)) }
+
+// bufferLimitBytes is the limit of connections' buffers for a process that may use so much memory.
+func bufferLimitBytes(memoryBytes int) int { return int(bufferMemoryShare * float64(memoryBytes)) }
+
+// Close releases the sockets and files of a gateway that does not run.
+func (s *Server) Close() {
+	if s.shared != nil {
+		s.shared.close()
+	}
+	if s.transport != nil {
+		s.transport.Close()
+	}
+	s.loop.Close()
+}
+
+// Run serves until a graceful shutdown has ended.
+func (s *Server) Run() error {
+	if len(s.config.KnownHosts) > 0 {
+		s.core.UpdateHosts(true, s.config.KnownHosts)
+	}
+	s.startDiscovery()
+	if s.shared != nil {
+		s.pollSiblings()
+		s.acceptWhenReady()
+	}
+	s.log.Info("serving", zap.String("name", s.config.Name), zap.String("listen", s.clientListener.Addr()),
+		zap.String("management", s.Management()), zap.String("fleet", s.fleetAddress()))
+	err := s.loop.Run(s.onLoopRound)
+	s.log.Info("stopped", zap.Int("open_connections", s.abandonedConnections), zap.Int("open_requests", s.core.OpenRequests()))
+	return err
+}
+
+// onLoopRound runs at the end of each round of the event loop, when all events of the round have been gathered.
+func (s *Server) onLoopRound() {
+	s.core.Step()
+	if s.transport != nil {
+		s.transport.Step()
+		s.syncFleet()
+	}
+}
+
+// Addrs are the addresses of the listeners of clients, agent checks and HTTP checks; "" where there is none.
+func (s *Server) Addrs() (clients, agentCheck, httpCheck string) {
+	return listenerAddress(s.clientListener), listenerAddress(s.agentCheckListener), listenerAddress(s.httpCheckListener)
+}
+
+// Management is the address of the management calls; "" without one.
+func (s *Server) Management() string { return listenerAddress(s.managementListener) }
+
+func listenerAddress(listener *eventloop.Listener) string {
+	if listener == nil {
+		return ""
+	}
+	return listener.Addr()
+}
--- /dev/null
+++ b/internal/server/shutdown.go
@@ -0,0 +1,80 @@
+package server
+
+const (
+	// drainNoticeMs is how long clients are accepted after SIGTERM: load balancers go on sending them for a while.
+	drainNoticeMs = 500.0
+	// Clients have until the longest deadline of a request to finish, minDrainMs at least, and drainMarginMs more.
+	minDrainMs    = 3000.0
+	drainMarginMs = 300.0
+	// The platform sends SIGKILL after SIGTERM by the longest deadline, maxKillDeadlineMs at most, and killMarginMs.
+	maxKillDeadlineMs = 3000.0
+	killMarginMs      = 700.0
+	// finalResponseMarginMs is how long before the end the last responses are written.
+	finalResponseMarginMs = 50.0
+	// idlePollMs is the interval at which a draining gateway checks whether all clients have gone.
+	idlePollMs = 5.0
+)
+
+// Stop starts a graceful shutdown; any goroutine may call it.
+func (s *Server) Stop() { s.loop.Notify(s.shutDown) }
+
+// shutDown starts a graceful shutdown: new clients are accepted for drainNoticeMs, then the gateway drains. Where a
+// sibling process may have taken over the listener the gateway drains at once.
+func (s *Server) shutDown() {
+	if s.shuttingDown {
+		return
+	}
+	s.shuttingDown, s.shutdownStartedMs = true, s.loop.Clock.Now()
+	s.log.Info("graceful shutdown started")
+	if s.transport != nil {
+		s.transport.Leave()
+	}
+	if s.shared != nil {
+		s.drain()
+		return
+	}
+	s.loop.After(drainNoticeMs, func() {
+		s.clientListener.AcceptAll()
+		s.drain()
+	})
+}
+
+// drain accepts no more clients, and ends the event loop when those that are connected have gone or their time is over.
+func (s *Server) drain() {
+	longestDeadlineMs := s.longestDeadlineMs()
+	// The minimum is for large responses, which have no deadline once they have begun.
+	drainEndMs := s.loop.Clock.Now() + max(longestDeadlineMs, minDrainMs) + drainMarginMs
+	s.loop.At(drainEndMs, s.finish)
+	finalDeadlineMs := drainEndMs
+	if s.config.Operator == nil {
+		finalDeadlineMs = min(finalDeadlineMs, s.shutdownStartedMs+min(longestDeadlineMs, maxKillDeadlineMs)+killMarginMs)
+	}
+	s.core.SetFinalDeadline(finalDeadlineMs - finalResponseMarginMs)
+	s.clientListener.Close()
+	s.clients.Drain()
+	s.finishWhenIdle()
+}
+
+// longestDeadlineMs is the longest deadline of all classes of requests.
+func (s *Server) longestDeadlineMs() float64 {
+	longest := 0.0
+	for _, class := range s.config.Settings.Classes {
+		longest = max(longest, class.Deadline.Seconds()*1000)
+	}
+	return longest
+}
+
+// finishWhenIdle ends the event loop once no client is connected.
+func (s *Server) finishWhenIdle() {
+	if s.clients.Count() == 0 {
+		s.finish()
+		return
+	}
+	s.loop.After(idlePollMs, s.finishWhenIdle)
+}
+
+// finish ends the event loop.
+func (s *Server) finish() {
+	s.abandonedConnections = s.clients.Count()
+	s.loop.Stop()
+}
--- /dev/null
+++ b/internal/server/shutdown_test.go
@@ -0,0 +1,166 @@
+package server
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"merlinjunction/internal/testkit"
+)
+
+// Clients go on for 0.3 s after SIGTERM, on old connections and on new ones: each request gets a response, and the
+// gateway ends without open requests or connections.
+func TestDrainUnderLoad(t *testing.T) {
+	player := testkit.NewPlayer(t, startPlatform, "a", "b", "c")
+	address, _, _ := player.Gateway.Addrs()
+	var clients sync.WaitGroup
+	stop := make(chan struct{})
+	for n := range 12 {
+		clients.Add(1)
+		go func() {
+			defer clients.Done()
+			if err := requestUntil(stop, address, n); err != nil {
+				t.Error(err)
+			}
+		}()
+	}
+	time.Sleep(300 * time.Millisecond)
+	player.Gateway.Stop()
+	time.Sleep(300 * time.Millisecond)
+	close(stop)
+	clients.Wait()
+	if err := player.Gateway.Wait(); err != nil {
+		t.Fatal(err)
+	}
+	if g := player.Gateway.(*runningGateway); g.core.OpenRequests() != 0 || g.abandonedConnections != 0 {
+		t.Errorf("%d requests and %d connections were left", g.core.OpenRequests(), g.abandonedConnections)
+	}
+}
+
+// requestUntil sends one request after another until stop is closed, every tenth one on a new connection.
+func requestUntil(stop <-chan struct{}, address string, client int) error {
+	var conn net.Conn
+	for i := 0; ; i++ {
+		select {
+		case <-stop:
+			return nil
+		default:
+		}
+		if conn != nil && i%10 == 0 {
+			closeConn(conn)
+			conn = nil
+		}
+		var err error
+		if conn, err = request(conn, address, fmt.Sprintf("%d-%d", client, i), i%3 == 0); err != nil {
+			return fmt.Errorf("client %d, request %d: %w", client, i, err)
+		}
+	}
+}
+
+// request sends one request, on a new connection where there is none, and waits for its response.
+func request(conn net.Conn, address, key string, slow bool) (net.Conn, error) {
+	var out []byte
+	if conn == nil {
+		var err error
+		if conn, err = net.Dial("tcp4", address); err != nil {
+			return nil, err
+		}
+		out, _ = testkit.Encode(nil, "startup")
+	}
+	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
+	if slow {
+		key += "slow"
+	}
+	startingUp := len(out) > 0
+	out, _ = testkit.Encode(out, "query SELECT v FROM records WHERE k = '"+key+"' /* id="+key+",c=read,t=x,d=900,cluster=0 */")
+	if _, err := conn.Write(out); err != nil {
+		return conn, err
+	}
+	for completed := false; ; {
+		message, err := testkit.Answer(conn)
+		switch {
+		case err != nil:
+			return conn, err
+		case message[0] == 'C':
+			completed = true
+		case message == "Z" && startingUp:
+			startingUp = false
+		case message == "Z" && completed:
+			return conn, nil
+		case message == "Z":
+			return conn, fmt.Errorf("no answer before ReadyForQuery")
+		}
+	}
+}
+
+// A client keeps its connection busy beyond SIGTERM, with more time than the platform leaves before SIGKILL. A request
+// that arrives more than 0.7 s after SIGTERM and has no response by SIGKILL is lost.
+func TestNothingIsOpenWhenSIGKILLComes(t *testing.T) {
+	for _, d := range deployments {
+		t.Run(d.name, d.testKill)
+	}
+}
+
+func (d deployment) testKill(t *testing.T) {
+	cluster, err := testkit.NewCluster("a", "b", "c")
+	if err != nil {
+		t.Fatal(err)
+	}
+	g := newVirtualGateway(t, d.file, cluster)
+	g.start()
+	player := &testkit.Player{Cluster: cluster, Gateway: g}
+	play := func(step string) {
+		t.Helper()
+		for name, word := range d.words {
+			step = strings.ReplaceAll(step, "$"+name, word)
+		}
+		playSteps(t, player, step)
+	}
+	g.advance(2000) // discovery has had its time
+	player.Init()
+	play("send c startup | query SELECT v FROM records WHERE k = 'hang1' /* id=01,c=$slow,$td=2000,cluster=0 */")
+	play("expect c R K Z")
+	waitUntil(t, "the first request", func() bool { return g.InHand() == 1 && len(cluster.Runs("hang1")) > 0 })
+	g.Stop()
+	g.advance(800)
+	play("send c query SELECT v FROM records WHERE k = 'hang2' /* id=02,c=$slow,$td=60000,cluster=0 */")
+	waitUntil(t, "the second request", func() bool { return g.InHand() == 2 })
+	g.advance(3000 + 700 - 800 - 10) // the longest deadline, taken as 3 s, and 0.7 s after SIGTERM
+	if n := g.InHand(); n != 0 {
+		t.Errorf("%d requests have no response when SIGKILL comes", n)
+	}
+	play("expect c E Z E Z eof")
+	g.advance(1000)
+	if err := g.Wait(); err != nil || g.abandonedConnections != 0 {
+		t.Errorf("%v, %d connections were left", err, g.abandonedConnections)
+	}
+}
+
+// SIGTERM before the event loop runs, and right behind a SIGHUP.
+func TestStopComesBeforeTheStartOrBehindAReload(t *testing.T) {
+	for _, beforeStart := range []bool{true, false} {
+		t.Run(fmt.Sprintf("before the start %v", beforeStart), func(t *testing.T) {
+			cluster, err := testkit.NewCluster("a", "b", "c")
+			if err != nil {
+				t.Fatal(err)
+			}
+			g := newVirtualGateway(t, deployments[0].file, cluster)
+			if beforeStart {
+				g.Stop()
+				g.start()
+			} else {
+				g.start()
+				g.advance(1000)
+				g.loop.Notify(func() { g.reload(maxReloadAttempts) })
+				g.Stop()
+			}
+			g.advance(1000)
+			if err := g.Wait(); err != nil || g.abandonedConnections != 0 {
+				t.Errorf("%v, %d connections were left", err, g.abandonedConnections)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/server/signals.go
@@ -0,0 +1,39 @@
+package server
+
+import (
+	"os"
+	"os/signal"
+	"syscall"
+
+	"go.uber.org/zap"
+
+	"merlinjunction/internal/eventloop"
+)
+
+// signalQueueLength is how many signals wait at most while the event loop is set up.
+const signalQueueLength = 4
+
+// Serve runs a gateway until SIGTERM or SIGINT, and until the graceful shutdown that follows has ended. SIGHUP reloads
+// the configuration. The error is a *ConfigError where a key of the configuration is at fault.
+func Serve(config *Config, log *zap.Logger) error {
+	signals := make(chan os.Signal, signalQueueLength)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // first: without it they end the process
+	s, err := New(config, log, eventloop.SystemClock())
+	if err != nil {
+		return err
+	}
+	defer s.Close()
+	go s.handleSignals(signals)
+	return s.Run()
+}
+
+// handleSignals passes signals on to the event loop; it runs in a goroutine of its own.
+func (s *Server) handleSignals(signals <-chan os.Signal) {
+	for received := range signals {
+		if received == syscall.SIGHUP {
+			s.loop.Notify(func() { s.reload(maxReloadAttempts) })
+		} else {
+			s.loop.Notify(s.shutDown)
+		}
+	}
+}
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -7,28 +7,36 @@
 	"strconv"
 
 	"go.uber.org/zap"
-
-	"merlinjunction/internal/eventloop"
 )
 
-// A new version takes over from an old one while both serve: they hold the same listening socket and share bans and each
-// other's life and end through files. Together they are one gateway for every rule.
+// During an upgrade the new and the old process of one gateway serve side by side: they hold the same listening socket,
+// and share exclusions and their liveness through files. The limits of the gateway hold for both together.
 
 const (
-	shareMs    = 100.0  // between looks at what other processes of this gateway have said
-	releaseMs  = 200.0  // until the first client is accepted beside another process, which has noticed this one by then
-	waitMostMs = 3000.0 // and so long at most, if no database host can be reached: refusals are better than silence
+	// siblingPollMs is the interval at which the shared state is read.
+	siblingPollMs = 100.0
+	// takeoverDelayMs is the time from the start until clients are accepted beside a sibling, which has noticed this
+	// process by then.
+	takeoverDelayMs = 200.0
+	// maxTakeoverWaitMs is when clients are accepted although no host can be reached: a rejection is better than none.
+	maxTakeoverWaitMs = 3000.0
+
+	// listenFDVariable is the environment variable with the descriptor of the inherited listener.
+	listenFDVariable = "LB_LISTEN_FD"
+	// firstInheritedFD is the lowest descriptor that may be inherited, above standard input, output and error.
+	firstInheritedFD = 3
 )
 
-// ApplyInheritedListener takes in what the environment says of a handed-down listener.
+// ApplyInheritedListener reads from the environment which listener the process has inherited, and where the state that
+// it shares with sibling processes lies. The error is a *ConfigError.
 func (c *Config) ApplyInheritedListener(env func(string) string) error {
-	text := env("LB_LISTEN_FD")
+	text := env(listenFDVariable)
 	if text == "" {
 		return nil
 	}
 	fd, err := strconv.Atoi(text)
-	if err != nil || fd <= 2 {
-		return fmt.Errorf("LB_LISTEN_FD: %q is no descriptor of a listener", text)
+	if err != nil || fd < firstInheritedFD {
+		return &ConfigError{Key: listenFDVariable, Err: fmt.Errorf("%q is no descriptor of a listener", text)}
 	}
 	c.ListenFD = fd
 	if c.StateDir = env("TMPDIR"); c.StateDir == "" {
@@ -37,88 +45,66 @@
 	return nil
 }
 
-// listen opens the clients' listener, or takes over the one that was handed down.
-func (p *Server) listen() (err error) {
-	if p.cfg.ListenFD == 0 {
-		p.listener, err = p.loop.Listen(p.cfg.Listen, p.clients.Accept, p.crowded)
-		return err
-	}
-	if p.listener, err = p.loop.ListenOn(p.cfg.ListenFD, p.clients.Accept, p.crowded); err != nil {
-		return fmt.Errorf("LB_LISTEN_FD: %w", err)
-	}
-	p.held = true
-	p.shared, err = openShared(p.log, p.cfg.StateDir, p.cfg.Name)
-	return err
-}
-
-// takeOver accepts clients as soon as they can be served. Where nobody else serves them it does not wait.
-func (p *Server) takeOver() {
-	p.hear()
-	start := p.loop.Clock.Now()
-	var look func()
-	look = func() {
-		now := p.loop.Clock.Now()
-		if !p.beside || p.ready() && now >= start+releaseMs || now >= start+waitMostMs {
-			p.held = false
-			p.listener.StartAccepting()
-			p.log.Info("accepting", zap.Bool("beside another process", p.beside))
+// acceptWhenReady starts to accept clients on the inherited listener: at once without a sibling, else as soon as they
+// can be served.
+func (s *Server) acceptWhenReady() {
+	startMs := s.loop.Clock.Now()
+	var check func()
+	check = func() {
+		now := s.loop.Clock.Now()
+		if !s.hasSibling || s.ready() && now >= startMs+takeoverDelayMs || now >= startMs+maxTakeoverWaitMs {
+			s.awaitingTakeover = false
+			s.clientListener.StartAccepting()
+			s.log.Info("accepting clients", zap.Bool("has_sibling", s.hasSibling))
 			return
 		}
-		p.loop.After(doneMs, look)
+		s.loop.After(idlePollMs, check)
 	}
-	look()
+	check()
 }
 
-// hear takes in what other processes of this gateway have said, and whether there are any, and does so again and again.
-func (p *Server) hear() {
-	p.learn()
-	if live := p.shared.others(); live != p.beside {
-		p.beside = live
-		p.log.Info("another process of this gateway", zap.Bool("live", live))
-		p.divide()
+// pollSiblings reads the shared state, now and every siblingPollMs.
+func (s *Server) pollSiblings() {
+	s.applySiblingExclusions()
+	if alive := s.shared.siblingAlive(); alive != s.hasSibling {
+		s.hasSibling = alive
+		s.log.Info("sibling process changed", zap.Bool("alive", alive))
+		s.divideLimits()
 	}
-	p.loop.After(shareMs, p.hear)
+	s.loop.After(siblingPollMs, s.pollSiblings)
 }
 
-// learn applies the bans that others have spoken or taken back.
-func (p *Server) learn() {
-	if p.shared == nil {
+// applySiblingExclusions applies what sibling processes have excluded or included since the last call.
+func (s *Server) applySiblingExclusions() {
+	if s.shared == nil {
 		return
 	}
-	for id, w := range p.shared.news() {
-		p.log.Info("heard", zap.String("host", id), zap.Bool("out", w.Out))
-		if w.Out {
-			p.core.RestoreExclusion(id, w.At)
+	for id, exclusion := range s.shared.exclusions.readNewer() {
+		s.log.Info("exclusion received from sibling process", zap.String("host", id), zap.Bool("excluded", exclusion.Excluded))
+		if exclusion.Excluded {
+			s.core.RestoreExclusion(id, exclusion.AtMs)
 		} else {
-			p.core.Include(id)
+			s.core.Include(id)
 		}
 	}
 }
 
-// divide gives this process the gateway's limits, or half of them while another process lives: they hold for both
-// together.
-func (p *Server) divide() {
-	part := 1
-	if p.beside {
-		part = 2
-	}
-	memory := p.cfg.MemoryMB << 20 / part
-	debug.SetMemoryLimit(int64(heapShare * float64(memory)))
-	p.loop.MaxBufferedBytes = int(bufferShare * float64(memory))
-	p.clients.MaxClients = (p.free - p.conns) / part
-	p.core.SetSiblingProcess(p.beside, p.conns/part)
-}
-
-// pass on a word on a host to the other processes.
-func (p *Server) tell(id string, out bool) {
-	if p.shared != nil {
-		p.shared.say(id, word{Out: out, At: p.loop.Clock.Now()})
+// publishExclusion passes an exclusion or inclusion on to sibling processes.
+func (s *Server) publishExclusion(id string, excluded bool) {
+	if s.shared != nil {
+		s.shared.exclusions.record(id, exclusion{Excluded: excluded, AtMs: s.loop.Clock.Now()})
 	}
 }
 
-func addrOf(l *eventloop.Listener) string {
-	if l == nil {
-		return ""
+// divideLimits gives this process the gateway's limits, or half of them while it has a sibling.
+func (s *Server) divideLimits() {
+	processes := 1
+	if s.hasSibling {
+		processes = 2
 	}
-	return l.Addr()
+	memoryBytes := s.config.memoryBytes() / processes
+	debug.SetMemoryLimit(heapLimitBytes(memoryBytes))
+	s.loop.MaxBufferedBytes = bufferLimitBytes(memoryBytes)
+	s.clients.MaxClients = (s.connectionBudget - s.hostConnectionLimit) / processes
+	s.core.SetSiblingProcess(s.hasSibling, s.hostConnectionLimit/processes)
 }
