--- a/internal/frontend/management/management.go
+++ b/internal/frontend/management/management.go
@@ -1,10 +1,11 @@
-// Package management is the operators' address: they ask how the gateway does, take database hosts out and back in,
-// and send its clients away. It decides nothing: each call becomes one call of the gateway's.
+// Package management serves the operators' calls over HTTP: they read readiness, telemetry and the fleet's members, take
+// database hosts out of use, and evacuate the gateway. It decides nothing: each call becomes one method call of Gateway.
 package management
 
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,21 +15,26 @@
 	"merlinjunction/internal/proxy"
 )
 
+// prometheusTextType is the content type of Prometheus's text format.
+const prometheusTextType = "text/plain; version=0.0.4"
+
 // Gateway is what the calls act on.
 type Gateway interface {
-	// TakesClients tells whether clients are taken now.
+	// AcceptsClients reports whether clients are accepted now and can be served.
 	AcceptsClients() bool
-	// Telemetry is what has been counted since this process started.
+	// Telemetry is what has been counted since the process started.
 	Telemetry() Telemetry
-	// Exclude takes a database host out of use, Include uses it again; false where no such host is known.
+	// Exclude takes a database host out of use; false where no such host is known.
 	Exclude(id string) bool
+	// Include uses a database host again; false where no such host is known.
 	Include(id string) bool
-	// Evacuate sends the clients away, Rejoin takes them again.
+	// Evacuate disconnects the clients and accepts no new ones.
 	Evacuate()
+	// Rejoin accepts clients again.
 	Rejoin()
-	// Fleet is what is known of the other gateways; nil where no fleet is set up.
+	// Fleet is the gateway's view of its fleet; nil without one.
 	Fleet() *Fleet
-	// FleetMetrics are the fleet's figures in the text form of Prometheus.
+	// FleetMetrics are the fleet's metrics in the text format of Prometheus; "" without a fleet.
 	FleetMetrics() string
 }
 
@@ -36,106 +42,150 @@
 type Fleet struct {
 	Name        string   `json:"fleet"`
 	Self        string   `json:"self"`
-	Status      string   `json:"standing"` // what it thinks of itself
-	Partial     bool     `json:"part"`     // it sees only a part of the fleet
-	Alive       int      `json:"alive"`    // itself included
+	Status      string   `json:"standing"` // of the gateway itself
+	Partial     bool     `json:"part"`     // the gateway reaches only a part of the fleet
+	Alive       int      `json:"alive"`    // members, itself included
 	Suspect     int      `json:"suspect"`
 	Unreachable int      `json:"unreachable"`
 	Dead        int      `json:"dead"`
 	Left        int      `json:"left"`
-	Health      int      `json:"health"` // 0 is well, 8 the worst
-	Loss        float64  `json:"loss"`   // share of answered probes that needed another try
+	Health      int      `json:"health"` // 0 is healthy, 8 the worst
+	Loss        float64  `json:"loss"`   // share of answered pings that needed a retry
 	RoundTripMs float64  `json:"round_trip_ms"`
 	Members     []Member `json:"members,omitempty"` // by name
 }
 
-// Member is one gateway.
+// Member is one gateway of a fleet.
 type Member struct {
 	Name        string  `json:"name"`
 	Address     string  `json:"address"`
 	Zone        string  `json:"zone"`
 	State       string  `json:"state"`
 	Incarnation uint64  `json:"incarnation"`
-	Version     int     `json:"version"` // of messages
+	Version     int     `json:"version"` // of the message format
 	ForMs       float64 `json:"for_ms"`  // since the last change of state
 }
 
-// Telemetry are the figures.
+// Telemetry is what a gateway has counted.
 type Telemetry struct {
 	Replies map[string]proxy.ReplyCounts `json:"replies"` // by class
 	proxy.Stats
 	ReloadSuccess int    `json:"reload_success"`
 	ReloadFailure int    `json:"reload_failure"`
-	Fleet         *Fleet `json:"fleet,omitempty"` // without members
+	Fleet         *Fleet `json:"fleet,omitempty"` // without its members
+}
+
+// Serve serves the calls that come to an address. onAcceptError is called when no connection can be accepted.
+func Serve(
+	loop *eventloop.Loop, address string, gateway Gateway, onAcceptError func(error),
+) (*eventloop.Listener, error) {
+	handler := func(r httpd.Request) httpd.Response { return respond(gateway, r) }
+	return httpd.Serve(loop, address, handler, onAcceptError)
+}
+
+// call is one of the operators' calls.
+type call struct {
+	method  string
+	respond func(Gateway, httpd.Request) httpd.Response
 }
 
-// Serve answers the calls that come to an address.
-func Serve(l *eventloop.Loop, addr string, g Gateway, full func(error)) (*eventloop.Listener, error) {
-	return httpd.Serve(l, addr, func(r httpd.Request) httpd.Response { return respond(g, r) }, full)
+var calls = map[string]call{
+	"/api/ready":     {http.MethodGet, ready},
+	"/api/telemetry": {http.MethodGet, telemetry},
+	"/api/members":   {http.MethodGet, members},
+	"/metrics":       {http.MethodGet, metrics},
+	"/api/exclude":   {http.MethodPut, exclude},
+	"/api/include":   {http.MethodPut, include},
+	"/api/evacuate":  {http.MethodPut, evacuate},
+	"/api/rejoin":    {http.MethodPut, rejoin},
 }
 
-func respond(g Gateway, r httpd.Request) httpd.Response {
-	method, known := methods[r.Path]
-	switch {
-	case !known:
+// done is the response to a call that was carried out.
+var done = httpd.Response{Status: http.StatusOK, Body: "yes\n"}
+
+func respond(gateway Gateway, r httpd.Request) httpd.Response {
+	called, known := calls[r.Path]
+	if !known {
 		return httpd.Response{Status: http.StatusNotFound, Body: "no such call\n"}
-	case r.Method != method:
-		return httpd.Response{Status: http.StatusMethodNotAllowed, Body: "this call is a " + method + "\n", Allow: method}
 	}
-	switch r.Path {
-	case "/api/ready":
-		if !g.AcceptsClients() {
-			return httpd.Response{Status: http.StatusServiceUnavailable, Body: "no clients are taken\n"}
+	if r.Method != called.method {
+		return httpd.Response{
+			Status: http.StatusMethodNotAllowed, Body: "this call is a " + called.method + "\n", Allow: called.method,
 		}
-	case "/api/telemetry":
-		return figures(g.Telemetry())
-	case "/api/members":
-		f := g.Fleet()
-		if f == nil {
-			return httpd.Response{Status: http.StatusNotFound, Body: "no fleet is set up: the operator's file has no [fleet]\n"}
-		}
-		return figures(f)
-	case "/metrics":
-		return httpd.Response{Status: http.StatusOK, Type: "text/plain; version=0.0.4", Body: g.FleetMetrics()}
-	case "/api/exclude":
-		return host(r.Body, g.Exclude)
-	case "/api/include":
-		return host(r.Body, g.Include)
-	case "/api/evacuate":
-		g.Evacuate()
-	case "/api/rejoin":
-		g.Rejoin()
 	}
-	return yes
+	return called.respond(gateway, r)
+}
+
+func ready(gateway Gateway, _ httpd.Request) httpd.Response {
+	if !gateway.AcceptsClients() {
+		return httpd.Response{Status: http.StatusServiceUnavailable, Body: "no clients are taken\n"}
+	}
+	return done
+}
+
+func telemetry(gateway Gateway, _ httpd.Request) httpd.Response {
+	return jsonResponse(gateway.Telemetry())
+}
+
+func members(gateway Gateway, _ httpd.Request) httpd.Response {
+	fleet := gateway.Fleet()
+	if fleet == nil {
+		return httpd.Response{Status: http.StatusNotFound, Body: "no fleet is set up: the operator's file has no [fleet]\n"}
+	}
+	return jsonResponse(fleet)
 }
 
-func figures(v any) httpd.Response {
-	text, err := json.Marshal(v)
+func metrics(gateway Gateway, _ httpd.Request) httpd.Response {
+	return httpd.Response{Status: http.StatusOK, ContentType: prometheusTextType, Body: gateway.FleetMetrics()}
+}
+
+func exclude(gateway Gateway, r httpd.Request) httpd.Response {
+	return callWithHost(r.Body, gateway.Exclude)
+}
+
+func include(gateway Gateway, r httpd.Request) httpd.Response {
+	return callWithHost(r.Body, gateway.Include)
+}
+
+func evacuate(gateway Gateway, _ httpd.Request) httpd.Response {
+	gateway.Evacuate()
+	return done
+}
+
+func rejoin(gateway Gateway, _ httpd.Request) httpd.Response {
+	gateway.Rejoin()
+	return done
+}
+
+func jsonResponse(value any) httpd.Response {
+	text, err := json.Marshal(value)
 	if err != nil {
 		return httpd.Response{Status: http.StatusInternalServerError, Body: err.Error() + "\n"}
 	}
-	return httpd.Response{Status: http.StatusOK, Type: "application/json", Body: string(text) + "\n"}
+	return httpd.Response{Status: http.StatusOK, ContentType: "application/json", Body: string(text) + "\n"}
 }
 
-var (
-	yes     = httpd.Response{Status: http.StatusOK, Body: "yes\n"}
-	methods = map[string]string{
-		"/api/ready": "GET", "/api/telemetry": "GET", "/api/members": "GET", "/metrics": "GET",
-		"/api/exclude": "PUT", "/api/include": "PUT", "/api/evacuate": "PUT", "/api/rejoin": "PUT",
+// callWithHost carries out a call whose body names a database host.
+func callWithHost(body []byte, carryOut func(id string) bool) httpd.Response {
+	id, ok := parseHostID(body)
+	if !ok {
+		return httpd.Response{Status: http.StatusBadRequest, Body: `the body has to be {"id":"ID"}` + "\n"}
 	}
-)
+	if !carryOut(id) {
+		return httpd.Response{Status: http.StatusNotFound, Body: fmt.Sprintf("no database host %q is known\n", id)}
+	}
+	return done
+}
 
-// host reads which database host a call names, and carries it out.
-func host(body []byte, call func(id string) bool) httpd.Response {
-	var named struct {
+// parseHostID reads a body that is one JSON object with an id and nothing behind it.
+func parseHostID(body []byte) (id string, ok bool) {
+	var request struct {
 		ID string `json:"id"`
 	}
-	d := json.NewDecoder(bytes.NewReader(body))
-	if err := d.Decode(&named); err != nil || named.ID == "" || d.Decode(&struct{}{}) != io.EOF {
-		return httpd.Response{Status: http.StatusBadRequest, Body: `the body has to be {"id":"ID"}` + "\n"}
-	}
-	if !call(named.ID) {
-		return httpd.Response{Status: http.StatusNotFound, Body: fmt.Sprintf("no database host %q is known\n", named.ID)}
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	if err := decoder.Decode(&request); err != nil || request.ID == "" {
+		return "", false
 	}
-	return yes
+	trailing := decoder.Decode(&struct{}{})
+	return request.ID, errors.Is(trailing, io.EOF)
 }
--- a/internal/protocol/health/health.go
+++ b/internal/protocol/health/health.go
@@ -1,4 +1,5 @@
-// Package health answers balancers: the agent-check protocol of HAProxy, and checks over HTTP/1.1.
+// Package health responds to the health checks of load balancers: the agent-check protocol of HAProxy, and checks over
+// HTTP/1.1.
 package health
 
 import (
@@ -8,10 +9,10 @@
 	"merlinjunction/internal/protocol/httpd"
 )
 
-// State is what a balancer is told.
+// State is what a load balancer learns of the gateway.
 type State int
 
-// The states.
+// States of a gateway.
 const (
 	Starting State = iota // no host can be reached, or none is known yet
 	Ready
@@ -19,88 +20,112 @@
 )
 
 const (
-	patienceMs = 2000.0 // with one check, from its start to its end
-	mostChecks = 16     // at a time
-	maxUnasked = 1 << 10
+	agentCheckTimeoutMs = 2000.0 // from the connection's start to its end
+	maxAgentChecks      = 16     // at a time
+	agentInputLimit     = 1 << 10
 )
 
-// agent is what the agent-check protocol says of each state, and web the answer over HTTP.
-var (
-	agent = map[State]string{
-		Starting: "down#no database host can be reached\n", Ready: "up ready 100%\n", Draining: "drain\n",
-	}
-	web = map[State]httpd.Response{
-		Starting: {Status: http.StatusServiceUnavailable, Body: "no database host can be reached\n"},
-		Ready:    {Status: http.StatusOK, Body: "ready\n"},
-		Draining: {Status: http.StatusServiceUnavailable, Body: "draining\n"},
-	}
-)
+// agentResponses are the agent-check protocol's responses for each state.
+var agentResponses = map[State]string{
+	Starting: "down#no database host can be reached\n",
+	Ready:    "up ready 100%\n",
+	Draining: "drain\n",
+}
 
-// ServeHTTP answers HTTP checks on an address.
-func ServeHTTP(l *eventloop.Loop, addr string, state func() State, full func(error)) (*eventloop.Listener, error) {
-	return httpd.Serve(l, addr, func(r httpd.Request) httpd.Response { return respond(r, state()) }, full)
+// httpResponses are the responses to HTTP checks for each state.
+var httpResponses = map[State]httpd.Response{
+	Starting: {Status: http.StatusServiceUnavailable, Body: "no database host can be reached\n"},
+	Ready:    {Status: http.StatusOK, Body: "ready\n"},
+	Draining: {Status: http.StatusServiceUnavailable, Body: "draining\n"},
 }
 
-func respond(r httpd.Request, s State) httpd.Response {
-	switch {
-	case r.Method != "GET" && r.Method != "HEAD" && r.Method != "OPTIONS":
+// ServeHTTP responds to HTTP checks on an address. onAcceptError is called when no connection can be accepted.
+func ServeHTTP(
+	loop *eventloop.Loop, address string, state func() State, onAcceptError func(error),
+) (*eventloop.Listener, error) {
+	handler := func(r httpd.Request) httpd.Response { return respond(r, state()) }
+	return httpd.Serve(loop, address, handler, onAcceptError)
+}
+
+func respond(r httpd.Request, state State) httpd.Response {
+	switch r.Method {
+	case http.MethodGet, http.MethodHead, http.MethodOptions:
+	default:
 		return httpd.Response{Status: http.StatusMethodNotAllowed, Body: "GET, HEAD or OPTIONS\n", Allow: "GET, HEAD, OPTIONS"}
-	case r.Path == "/livez":
+	}
+	switch r.Path {
+	case "/livez":
 		return httpd.Response{Status: http.StatusOK, Body: "alive\n"}
-	case r.Path == "/" || r.Path == "/healthz" || r.Path == "/readyz" || r.Path == "*":
-		return web[s]
+	case "/", "/healthz", "/readyz", "*":
+		return httpResponses[state]
 	}
 	return httpd.Response{Status: http.StatusNotFound, Body: "only /healthz, /readyz and /livez are here\n"}
 }
 
-// ServeAgent answers agent checks on an address. The agent speaks without being asked.
-func ServeAgent(l *eventloop.Loop, addr string, state func() State, full func(error)) (*eventloop.Listener, error) {
-	open := 0
-	return l.Listen(addr, func(fd int) {
-		conn, err := l.Adopt(fd, maxUnasked)
-		if err != nil {
-			return
-		}
-		c := &check{conn: conn, open: &open}
-		conn.SetHandler(c)
-		if open++; open > mostChecks {
-			c.leave()
-			return
-		}
-		c.timer = l.After(patienceMs, c.leave)
-		conn.Write([]byte(agent[state()]))
-		c.Flushed()
-	}, full)
+// ServeAgent responds to agent checks on an address. The agent sends the state as soon as it is connected to.
+// onAcceptError is called when no connection can be accepted.
+func ServeAgent(
+	loop *eventloop.Loop, address string, state func() State, onAcceptError func(error),
+) (*eventloop.Listener, error) {
+	agent := &agentServer{loop: loop, state: state}
+	return loop.Listen(address, agent.accept, onAcceptError)
 }
 
-// check is one connection of a balancer's agent check.
-type check struct {
-	conn  *eventloop.Conn
-	timer *eventloop.Timer
-	open  *int
-	left  bool
+// agentServer serves the agent checks of one listener.
+type agentServer struct {
+	loop  *eventloop.Loop
+	state func() State
+	open  int // connections
 }
 
-func (c *check) Connected() {}
-
-func (c *check) leave() {
-	if !c.left {
-		c.left = true
-		*c.open--
-		c.timer.Stop()
-		c.conn.Close()
+func (s *agentServer) accept(fd int) {
+	conn, err := s.loop.Adopt(fd, agentInputLimit)
+	if err != nil {
+		return
 	}
+	c := &agentCheck{server: s, conn: conn}
+	conn.SetHandler(c)
+	s.open++
+	if s.open > maxAgentChecks {
+		c.close()
+		return
+	}
+	c.timer = s.loop.After(agentCheckTimeoutMs, c.close)
+	conn.Write([]byte(agentResponses[s.state()]))
+	c.Flushed()
+}
+
+// agentCheck is one connection of an agent check. It implements eventloop.Handler.
+type agentCheck struct {
+	server *agentServer
+	conn   *eventloop.Conn
+	timer  *eventloop.Timer
+	closed bool
 }
 
-// Flushed ends this side; the other side's end closes the connection.
-func (c *check) Flushed() {
+// Connected implements eventloop.Handler.
+func (c *agentCheck) Connected() {}
+
+// Flushed implements eventloop.Handler: it ends this side once the response is written; the other side's end closes the
+// connection.
+func (c *agentCheck) Flushed() {
 	if c.conn.Pending() == 0 {
 		c.conn.CloseWrite()
 	}
 }
 
-// Ended leaves: the answer is out, or nobody hears it.
-func (c *check) Ended(error) { c.leave() }
+// Ended implements eventloop.Handler.
+func (c *agentCheck) Ended(error) { c.close() }
 
-// Data passes over whatever is said.
-func (c *check) Data() { c.conn.Consume(len(c.conn.In())) }
+// Data implements eventloop.Handler: it discards what the other side sends.
+func (c *agentCheck) Data() { c.conn.Consume(len(c.conn.In())) }
+
+func (c *agentCheck) close() {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	c.server.open--
+	c.timer.Stop()
+	c.conn.Close()
+}
