--- a/cmd/merlinjunction/fleet_test.go
+++ b/cmd/merlinjunction/fleet_test.go
@@ -7,6 +7,7 @@
 	"net"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -16,11 +17,12 @@
 	"merlinjunction/internal/testkit"
 )
 
-// fleetConfig writes the file of one gateway.
-func fleetConfig(t *testing.T, name, listen, seed string, keys ...string) string {
+// writeFleetConfig writes the file of one gateway, and returns its path.
+func writeFleetConfig(t *testing.T, name, listen, seed string, keys ...string) string {
 	t.Helper()
-	for i, k := range keys {
-		keys[i] = fmt.Sprintf("%q", k)
+	var quoted []string
+	for _, key := range keys {
+		quoted = append(quoted, strconv.Quote(key))
 	}
 	path := filepath.Join(t.TempDir(), name+".toml")
 	text := fmt.Sprintf(`name = %q
@@ -32,33 +34,34 @@
 listen = %q
 seeds = [%q]
 keys = [%s]
-%s`, name, listen, seed, strings.Join(keys, ", "), testkit.OneHost)
+%s`, name, listen, seed, strings.Join(quoted, ", "), testkit.OneHost)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-// freeUDP is an address that was free a moment ago.
-func freeUDP(t *testing.T) string {
+// freeUDPAddress is an address that was free a moment ago.
+func freeUDPAddress(t *testing.T) string {
 	t.Helper()
-	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	return c.LocalAddr().String()
+	defer closeQuietly(conn)
+	return conn.LocalAddr().String()
 }
 
+// startFleet starts a gateway of a fleet, and kills it at the end of the test if it still runs.
 func startFleet(t *testing.T, path string) *program {
 	t.Helper()
-	c, err := testkit.NewCluster("unused")
+	cluster, err := testkit.NewCluster("unused")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := startWith(t, c, path, nil)
+	p := start(t, cluster, path, nil)
 	t.Cleanup(func() {
-		if !p.over {
+		if !p.waited {
 			_ = p.cmd.Process.Kill()
 			<-p.log
 			_ = p.cmd.Wait()
@@ -67,20 +70,20 @@
 	return p
 }
 
-// membersUntil asks a gateway by the command until a condition holds.
-func membersUntil(t *testing.T, p *program, what string, ok func(f *management.Fleet) bool) {
+// waitForMembers asks a gateway by the members command until a condition holds.
+func waitForMembers(t *testing.T, p *program, what string, condition func(fleet *management.Fleet) bool) {
 	t.Helper()
 	var out string
 	for range 200 {
 		var err error
-		if out, err = command("members", "--json", "--address", p.manage); err != nil {
+		if out, err = runCommand("members", "--json", "--address", p.management); err != nil {
 			t.Fatalf("%s: %v: %s", what, err, out)
 		}
-		var f management.Fleet
-		if err := json.Unmarshal([]byte(out), &f); err != nil {
+		var fleet management.Fleet
+		if err := json.Unmarshal([]byte(out), &fleet); err != nil {
 			t.Fatal(err)
 		}
-		if ok(&f) {
+		if condition(&fleet) {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -88,31 +91,31 @@
 	t.Fatalf("%s: %s", what, out)
 }
 
-// Two gateways find each other; keys change in service at SIGHUP; SIGTERM is a goodbye; the commands show it.
+// Two gateways find each other; SIGHUP changes their keys in service; SIGTERM makes one leave; the commands show it.
 func TestFleet(t *testing.T) {
 	const one, two = "the first key, long enough", "the second key, long enough"
-	addr, other := freeUDP(t), freeUDP(t)
-	pathA, pathB := fleetConfig(t, "a", addr, addr, one), fleetConfig(t, "b", other, addr, one)
+	addressA, addressB := freeUDPAddress(t), freeUDPAddress(t)
+	pathA, pathB := writeFleetConfig(t, "a", addressA, addressA, one), writeFleetConfig(t, "b", addressB, addressA, one)
 	a, b := startFleet(t, pathA), startFleet(t, pathB)
 	alive := func(n int) func(*management.Fleet) bool {
-		return func(f *management.Fleet) bool { return f.Alive == n && f.Suspect == 0 }
+		return func(fleet *management.Fleet) bool { return fleet.Alive == n && fleet.Suspect == 0 }
 	}
-	membersUntil(t, a, "they meet", alive(2))
-	membersUntil(t, b, "they meet", alive(2))
-	out, err := command("members", "--address", a.manage)
+	waitForMembers(t, a, "they meet", alive(2))
+	waitForMembers(t, b, "they meet", alive(2))
+	out, err := runCommand("members", "--address", a.management)
 	if err != nil || !strings.Contains(out, "fleet f, seen by a (fine): 2 alive") || !strings.Contains(out, "b     alive") {
 		t.Errorf("members: %v: %s", err, out)
 	}
-	// The new key is taken in by all before any seals under it, and the old one dropped last: nobody is lost.
+	// All gateways accept the new key before any uses it, and the old one is removed last: no member is lost.
 	for _, keys := range [][]string{{one, two}, {two, one}, {two}} {
 		for i, p := range []*program{a, b} {
 			path := []string{pathA, pathB}[i]
-			name, at := []string{"a", "b"}[i], []string{addr, other}[i]
-			text, err := os.ReadFile(fleetConfig(t, name, at, addr, append([]string(nil), keys...)...))
+			name, address := []string{"a", "b"}[i], []string{addressA, addressB}[i]
+			text, err := os.ReadFile(writeFleetConfig(t, name, address, addressA, keys...))
 			if err != nil {
 				t.Fatal(err)
 			}
-			// startWith has copied the file: the copy is what the process reads.
+			// start has copied the file: the process reads the copy.
 			copied := p.cmd.Args[len(p.cmd.Args)-1]
 			if filepath.Base(copied) != filepath.Base(path) {
 				t.Fatalf("the process reads %s", copied)
@@ -124,35 +127,35 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 	}
-	time.Sleep(1500 * time.Millisecond) // longer than it takes to lose sight of each other
-	membersUntil(t, a, "after the keys changed", alive(2))
-	membersUntil(t, b, "after the keys changed", alive(2))
-	watch := testCommand("members", "--watch", "--every", "100ms", "--address", a.manage)
-	lines, err := watch.StdoutPipe()
+	time.Sleep(1500 * time.Millisecond) // longer than failure detection takes
+	waitForMembers(t, a, "after the keys changed", alive(2))
+	waitForMembers(t, b, "after the keys changed", alive(2))
+	watch := testCommand("members", "--watch", "--every", "100ms", "--address", a.management)
+	stdout, err := watch.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := watch.Start(); err != nil {
 		t.Fatal(err)
 	}
-	said := bufio.NewScanner(lines)
-	sayUntil := func(what string) {
+	lines := bufio.NewScanner(stdout)
+	waitForLine := func(want string) {
 		t.Helper()
-		for said.Scan() {
-			if strings.Contains(said.Text(), what) {
+		for lines.Scan() {
+			if strings.Contains(lines.Text(), want) {
 				return
 			}
 		}
-		t.Errorf("the watch does not say %q", what)
+		t.Errorf("the watch does not print %q", want)
 	}
-	sayUntil("member=b state=alive")
+	waitForLine("member=b state=alive")
 	b.Stop()
-	sayUntil("member=b was=alive state=left")
+	waitForLine("member=b was=alive state=left")
 	_ = watch.Process.Signal(syscall.SIGTERM)
 	if err := watch.Wait(); err != nil {
 		t.Errorf("the watch ends with %v", err)
 	}
-	membersUntil(t, a, "the goodbye", func(f *management.Fleet) bool { return f.Left == 1 })
+	waitForMembers(t, a, "b has left", func(fleet *management.Fleet) bool { return fleet.Left == 1 })
 	if err := b.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -162,20 +165,20 @@
 	}
 }
 
-// A wrong key keeps a process out; what it sends is counted and it goes on serving.
+// A wrong key keeps a gateway out of the fleet, and it goes on serving.
 func TestFleetOfAnotherKey(t *testing.T) {
-	addr := freeUDP(t)
-	a := startFleet(t, fleetConfig(t, "a", addr, addr, "the first key, long enough"))
-	b := startFleet(t, fleetConfig(t, "b", freeUDP(t), addr, "the second key, long enough"))
+	address := freeUDPAddress(t)
+	a := startFleet(t, writeFleetConfig(t, "a", address, address, "the first key, long enough"))
+	b := startFleet(t, writeFleetConfig(t, "b", freeUDPAddress(t), address, "the second key, long enough"))
 	time.Sleep(time.Second)
-	membersUntil(t, a, "alone", func(f *management.Fleet) bool { return f.Alive == 1 && len(f.Members) == 1 })
-	membersUntil(t, b, "kept out", func(f *management.Fleet) bool { return f.Status == "joining" })
+	waitForMembers(t, a, "alone", func(fleet *management.Fleet) bool { return fleet.Alive == 1 && len(fleet.Members) == 1 })
+	waitForMembers(t, b, "kept out", func(fleet *management.Fleet) bool { return fleet.Status == "joining" })
 }
 
 func TestMembersCommandFails(t *testing.T) {
 	for _, args := range [][]string{{"members"}, {"members", "--address", "127.0.0.1:1"}, {"members", "--config", "nowhere.toml"},
 		{"members", "--address", "127.0.0.1:1", "--every", "1ms"}} {
-		if out, err := command(args...); err == nil || strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "merlinjunction: ") {
+		if out, err := runCommand(args...); err == nil || strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "merlinjunction: ") {
 			t.Errorf("%v: %q, %v", args, out, err)
 		}
 	}
--- a/cmd/merlinjunction/main_test.go
+++ b/cmd/merlinjunction/main_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"fmt"
+	"io"
 	"net/http/httptest"
 	"os"
 	"os/exec"
@@ -16,87 +17,85 @@
 	"merlinjunction/internal/testkit"
 )
 
-// The test binary is the program itself when this is set.
-const asProgram = "MERLINJUNCTION_TEST_RUN"
+// runAsProgram is an environment variable with which the test binary is the program itself.
+const runAsProgram = "MERLINJUNCTION_TEST_RUN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgram) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// program is a running copy of the program.
+// program is a running copy of the program. It implements testkit.Gateway.
 type program struct {
-	cmd    *exec.Cmd
-	addr   string
-	manage string
-	log    chan string // its whole log, once it has ended
-	err    error
-	over   bool
+	cmd        *exec.Cmd
+	address    string // of the clients' listener
+	management string
+	log        chan string // the complete log, once the process has ended
+	err        error       // of Wait, once waited is true
+	waited     bool
 }
 
-func (p *program) Addrs() (string, string, string) { return p.addr, "", "" }
-func (p *program) Management() string              { return p.manage }
+func (p *program) Addrs() (string, string, string) { return p.address, "", "" }
+func (p *program) Management() string              { return p.management }
 func (p *program) Stop()                           { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
 func (p *program) Wait() error {
-	if !p.over {
-		p.over = true
-		timer := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() })
-		text := <-p.log
-		p.err = p.cmd.Wait()
-		timer.Stop()
-		if p.err == nil && !strings.Contains(text, `"open_requests":0`) {
-			p.err = fmt.Errorf("requests were left: %s", text)
-		}
+	if p.waited {
+		return p.err
+	}
+	p.waited = true
+	timer := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() })
+	text := <-p.log
+	p.err = p.cmd.Wait()
+	timer.Stop()
+	if p.err == nil && !strings.Contains(text, `"open_requests":0`) {
+		p.err = fmt.Errorf("requests were left: %s", text)
 	}
 	return p.err
 }
 
-// start runs the program with a configuration in which DISCOVERY stands for the address of discovery.
-func start(t *testing.T, c *testkit.Cluster, config string) testkit.Gateway {
-	return startWith(t, c, config, nil)
-}
-
-// startWith starts the program with a descriptor more than the usual ones, and variables.
-func startWith(t *testing.T, c *testkit.Cluster, config string, listener *os.File, env ...string) *program {
-	web := httptest.NewServer(c)
-	t.Cleanup(web.Close)
+// start runs the program with a copy of a configuration in which DISCOVERY stands for the address of discovery. It
+// inherits a listener, if there is one, as descriptor 3, and variables of the environment.
+func start(t *testing.T, cluster *testkit.Cluster, config string, listener *os.File, env ...string) *program {
+	t.Helper()
+	discovery := httptest.NewServer(cluster)
+	t.Cleanup(discovery.Close)
 	text, err := os.ReadFile(config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), filepath.Base(config))
-	text = bytes.Replace(text, []byte("DISCOVERY"), []byte(web.Listener.Addr().String()), 1)
+	text = bytes.Replace(text, []byte("DISCOVERY"), []byte(discovery.Listener.Addr().String()), 1)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p := &program{cmd: exec.Command(os.Args[0], "serve"), log: make(chan string, 1)}
-	p.cmd.Env = append(append(os.Environ(), asProgram+"=1"), env...)
+	p.cmd.Env = append(append(os.Environ(), runAsProgram+"=1"), env...)
 	if listener != nil {
-		p.cmd.ExtraFiles = []*os.File{listener} // descriptor 3
+		p.cmd.ExtraFiles = []*os.File{listener}
 	}
 	if filepath.Ext(path) == ".toml" {
 		p.cmd.Args = append(p.cmd.Args, "--config", path)
 	} else {
 		p.cmd.Env = append(p.cmd.Env, "LB_CONFIG="+path)
 	}
-	out, err := p.cmd.StderrPipe()
+	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	lines := bufio.NewScanner(out)
+	lines := bufio.NewScanner(stderr)
 	var log strings.Builder
-	for p.addr == "" && lines.Scan() {
+	for p.address == "" && lines.Scan() {
 		log.WriteString(lines.Text() + "\n")
-		p.addr, p.manage = testkit.Listening(lines.Text())
+		p.address, p.management = testkit.Listening(lines.Text())
 	}
-	if p.addr == "" {
+	if p.address == "" {
 		t.Fatalf("it doesn't serve: %s", log.String())
 	}
 	go func() {
@@ -112,34 +111,40 @@
 	for folder, config := range map[string]string{"operator": "config.toml", "platform": "config.json"} {
 		t.Run(folder, func(t *testing.T) {
 			folder := filepath.Join("testdata", folder)
-			testkit.Play(t, folder, func(t *testing.T, c *testkit.Cluster) testkit.Gateway {
-				return start(t, c, filepath.Join(folder, config))
+			testkit.Play(t, folder, func(t *testing.T, cluster *testkit.Cluster) testkit.Gateway {
+				t.Helper()
+				return start(t, cluster, filepath.Join(folder, config), nil)
 			})
 		})
 	}
 }
 
+// testCommand is a command of the program that has no configuration of the platform.
 func testCommand(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG=")
+	cmd.Env = append(os.Environ(), runAsProgram+"=1", "LB_CONFIG=")
 	return cmd
 }
 
-func command(args ...string) (string, error) {
+// runCommand runs a command of the program, and returns what it prints.
+func runCommand(args ...string) (string, error) {
 	out, err := testCommand(args...).CombinedOutput()
 	return string(out), err
 }
 
 func TestCommands(t *testing.T) {
-	if out, err := command("version"); err != nil || !strings.HasPrefix(out, "merlinjunction ") {
+	if out, err := runCommand("version"); err != nil || !strings.HasPrefix(out, "merlinjunction ") {
 		t.Errorf("version: %q, %v", out, err)
 	}
-	if out, err := command("check", "--config", "../../deploy/extended.toml"); err != nil || !strings.Contains(out, "3 classes, 2 hosts") {
+	if out, err := runCommand("check", "--config", "../../deploy/extended.toml"); err != nil || !strings.Contains(out, "3 classes, 2 hosts") {
 		t.Errorf("check: %q, %v", out, err)
 	}
 	for _, args := range [][]string{{"serve"}, {"check", "--config", "nowhere.toml"}, {"serve", "now"}, {"walk"}} {
-		if out, err := command(args...); err == nil || strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "merlinjunction: ") {
+		if out, err := runCommand(args...); err == nil || strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "merlinjunction: ") {
 			t.Errorf("%v: %q, %v", args, out, err)
 		}
 	}
 }
+
+// closeQuietly closes what a test has no more use for.
+func closeQuietly(closer io.Closer) { _ = closer.Close() }
--- a/cmd/merlinjunction/upgrade_test.go
+++ b/cmd/merlinjunction/upgrade_test.go
@@ -15,29 +15,32 @@
 	"merlinjunction/internal/testkit"
 )
 
-const platform = "testdata/platform/config.json"
+// platformConfig is the platform's configuration; DISCOVERY stands for an address.
+const platformConfig = "testdata/platform/config.json"
 
-// A new version takes over under load: on the inherited listener nobody is kept out, closed on or left unread, a session
-// reads its own writes whichever process takes them, and what was taken out by hand stays out.
+// A new version takes over under load: on the inherited listener no client is rejected, disconnected or left without a
+// response, a session reads its own writes whichever process serves them, and an excluded host stays excluded.
 func TestUpgradeUnderLoad(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	file, err := ln.(*net.TCPListener).File()
+	defer closeQuietly(listener)
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer closeQuietly(file)
 	cluster, err := testkit.NewCluster("a", "b", "c")
 	if err != nil {
 		t.Fatal(err)
 	}
 	env := []string{"LB_LISTEN_FD=3", "LB_MANAGEMENT=127.0.0.1:0", "TMPDIR=" + t.TempDir()}
-	old := startWith(t, cluster, platform, file, env...)
-	player := func(g testkit.Gateway) *testkit.Player { return &testkit.Player{Cluster: cluster, Gateway: g} }
-	must := func(p *testkit.Player, steps ...string) {
+	old := start(t, cluster, platformConfig, file, env...)
+	player := func(gateway testkit.Gateway) *testkit.Player {
+		return &testkit.Player{Cluster: cluster, Gateway: gateway}
+	}
+	play := func(p *testkit.Player, steps ...string) {
 		t.Helper()
 		for _, step := range steps {
 			if err := p.Step(step); err != nil {
@@ -45,17 +48,17 @@
 			}
 		}
 	}
-	until(t, func() error { return player(old).Step("manage 200 GET /api/ready") })
-	must(player(old), `manage 200 PUT /api/exclude {"id":"b"}`, `manage 200 PUT /api/exclude {"id":"c"}`,
+	waitUntil(t, func() error { return player(old).Step("manage 200 GET /api/ready") })
+	play(player(old), `manage 200 PUT /api/exclude {"id":"b"}`, `manage 200 PUT /api/exclude {"id":"c"}`,
 		`manage 200 PUT /api/include {"id":"c"}`)
 
-	var wait sync.WaitGroup
-	var asked atomic.Int64
+	var clients sync.WaitGroup
+	var requests atomic.Int64
 	stop := make(chan struct{})
 	for n := range 8 {
-		wait.Add(1)
+		clients.Add(1)
 		go func() {
-			defer wait.Done()
+			defer clients.Done()
 			var c client
 			defer c.close()
 			for i := 0; ; i++ {
@@ -64,8 +67,8 @@
 					return
 				default:
 				}
-				asked.Add(1)
-				if err := c.ask(ln.Addr().String(), fmt.Sprintf("%d-%d", n, i), i); err != nil {
+				requests.Add(1)
+				if err := c.request(listener.Addr().String(), fmt.Sprintf("%d-%d", n, i), i); err != nil {
 					t.Errorf("client %d, request %d: %v", n, i, err)
 					return
 				}
@@ -73,12 +76,12 @@
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
-	next := startWith(t, cluster, platform, file, env...)
-	until(t, func() error { return player(next).Step("manage 200 GET /api/ready") })
-	must(player(next), `manage 200 GET /api/telemetry "targets_disabled":1`)
-	must(player(old), `manage 200 PUT /api/exclude {"id":"c"}`)
-	until(t, func() error { return player(next).Step(`manage 200 GET /api/telemetry "targets_disabled":2`) })
-	before := asked.Load()
+	next := start(t, cluster, platformConfig, file, env...)
+	waitUntil(t, func() error { return player(next).Step("manage 200 GET /api/ready") })
+	play(player(next), `manage 200 GET /api/telemetry "targets_disabled":1`)
+	play(player(old), `manage 200 PUT /api/exclude {"id":"c"}`)
+	waitUntil(t, func() error { return player(next).Step(`manage 200 GET /api/telemetry "targets_disabled":2`) })
+	before := requests.Load()
 	old.Stop()
 	if err := old.Wait(); err != nil {
 		t.Error(err)
@@ -86,61 +89,63 @@
 	for n := range 8 {
 		for i := range int(before) {
 			if slices.Contains(cluster.Runs(fmt.Sprintf("k%d-%d", n, i)), "b") {
-				t.Fatalf("request %d-%d ran at a host that is out", n, i)
+				t.Fatalf("request %d-%d ran at an excluded host", n, i)
 			}
 		}
 	}
-	must(player(next), `manage 200 PUT /api/include {"id":"b"}`)
+	play(player(next), `manage 200 PUT /api/include {"id":"b"}`)
 	time.Sleep(200 * time.Millisecond)
 	close(stop)
-	wait.Wait()
-	if before == 0 || asked.Load() == before {
-		t.Errorf("%d requests before the stop, %d in all", before, asked.Load())
+	clients.Wait()
+	if before == 0 || requests.Load() == before {
+		t.Errorf("%d requests before the stop, %d in all", before, requests.Load())
 	}
-	must(player(next), `manage 200 GET /api/telemetry "targets_disabled":1`)
+	play(player(next), `manage 200 GET /api/telemetry "targets_disabled":1`)
 	next.Stop()
 	if err := next.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-// client is a usual one: it keeps its connection, and sends a request that crossed a close once more on a new one.
+// client keeps its connection, and sends a request again on a new connection where the old one was closed meanwhile.
 type client struct{ conn net.Conn }
 
 func (c *client) close() {
 	if c.conn != nil {
-		c.conn.Close()
+		closeQuietly(c.conn)
 		c.conn = nil
 	}
 }
 
-func (c *client) ask(addr, id string, i int) error {
+// request sends a read, or every third time a write.
+func (c *client) request(address, id string, i int) error {
 	text := fmt.Sprintf("SELECT v FROM records WHERE k = 'k%s' /* id=%s,c=read,t=x,d=900,cluster=0 */", id, id)
 	if i%3 == 0 {
 		text = fmt.Sprintf(`INSERT INTO records (k, v) VALUES ('k%s', '\x76') RETURNING v /* id=%s,c=write,t=x,d=900,k=%s,cluster=0 */`, id, id, id)
 	}
-	fresh := c.conn == nil
+	isNew := c.conn == nil
 	var err error
-	if fresh {
-		if c.conn, err = net.Dial("tcp4", addr); err != nil {
+	if isNew {
+		if c.conn, err = net.Dial("tcp4", address); err != nil {
 			return err
 		}
 	}
-	got, err := c.exchange(text, fresh)
-	if err != nil && !fresh {
+	responses, err := c.exchange(text, isNew)
+	if err != nil && !isNew {
 		c.close()
-		return c.ask(addr, id, i)
+		return c.request(address, id, i)
 	}
-	if err == nil && !strings.HasSuffix(got, "T D C Z") {
-		err = fmt.Errorf("got %s", got)
+	if err == nil && !strings.HasSuffix(responses, "T D C Z") {
+		err = fmt.Errorf("got %s", responses)
 	}
 	return err
 }
 
-func (c *client) exchange(text string, fresh bool) (string, error) {
+// exchange sends a query and returns the types of the messages that it is answered with.
+func (c *client) exchange(text string, isNew bool) (string, error) {
 	var out []byte
 	var err error
-	if fresh {
+	if isNew {
 		if out, err = testkit.Encode(out, "startup"); err != nil {
 			return "", err
 		}
@@ -152,42 +157,44 @@
 	if _, err := c.conn.Write(out); err != nil {
 		return "", err
 	}
-	ends := 1
-	if fresh {
-		ends = 2
+	readyMessages := 1
+	if isNew {
+		readyMessages = 2
 	}
-	var got []string
-	for ends > 0 {
-		a, err := testkit.Answer(c.conn)
+	var types []string
+	for readyMessages > 0 {
+		message, err := testkit.Answer(c.conn)
 		if err != nil {
-			return strings.Join(got, " "), err
+			return strings.Join(types, " "), err
 		}
-		if got = append(got, a[:1]); a == "Z" {
-			ends--
+		types = append(types, message[:1])
+		if message == "Z" {
+			readyMessages--
 		}
 	}
-	return strings.Join(got, " "), nil
+	return strings.Join(types, " "), nil
 }
 
-func until(t *testing.T, f func() error) {
+// waitUntil repeats a step until it succeeds.
+func waitUntil(t *testing.T, step func() error) {
 	t.Helper()
 	var err error
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if err = f(); err == nil {
+		if err = step(); err == nil {
 			return
 		}
 	}
 	t.Fatal(err)
 }
 
-// A start that can't have what it was told to have ends with one line that names the key.
+// A program that can't open what its configuration names ends with one line that names the key.
 func TestAStartWithoutItsListenerNamesTheKey(t *testing.T) {
 	nothing, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nothing.Close()
-	text, err := os.ReadFile(platform)
+	defer closeQuietly(nothing)
+	text, err := os.ReadFile(platformConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,14 +202,14 @@
 	if err := os.WriteFile(path, []byte(strings.Replace(string(text), "DISCOVERY", "127.0.0.1:1", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	taken, err := net.Listen("tcp4", "127.0.0.1:0")
+	inUse, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer closeQuietly(inUse)
 	for _, c := range []struct{ variable, key string }{
 		{"LB_LISTEN_FD=3", "LB_LISTEN_FD"}, {"LB_LISTEN_FD=77", "LB_LISTEN_FD"}, {"LB_LISTEN_FD=five", "LB_LISTEN_FD"},
-		{"LB_MANAGEMENT=here", "management"}, {"LB_MANAGEMENT=" + taken.Addr().String(), "management"},
+		{"LB_MANAGEMENT=here", "management"}, {"LB_MANAGEMENT=" + inUse.Addr().String(), "management"},
 	} {
 		p := &program{cmd: testCommand("serve")}
 		p.cmd.Env = append(p.cmd.Env, "LB_CONFIG="+path, c.variable)
