--- a/cmd/merlinjunction/fleet_test.go
+++ b/cmd/merlinjunction/fleet_test.go
@@ -103,7 +103,8 @@
 	waitForMembers(t, a, "they meet", alive(2))
 	waitForMembers(t, b, "they meet", alive(2))
 	out, err := runCommand("members", "--address", a.management)
-	if err != nil || !strings.Contains(out, "fleet f, seen by a (fine): 2 alive") || !strings.Contains(out, "b     alive") {
+	summary, row := "fleet f, seen by a (fine): 2 alive", "b     alive"
+	if err != nil || !strings.Contains(out, summary) || !strings.Contains(out, row) {
 		t.Errorf("members: %v: %s", err, out)
 	}
 	// All gateways accept the new key before any uses it, and the old one is removed last: no member is lost.
@@ -171,15 +172,19 @@
 	a := startFleet(t, writeFleetConfig(t, "a", address, address, "the first key, long enough"))
 	b := startFleet(t, writeFleetConfig(t, "b", freeUDPAddress(t), address, "the second key, long enough"))
 	time.Sleep(time.Second)
-	waitForMembers(t, a, "alone", func(fleet *management.Fleet) bool { return fleet.Alive == 1 && len(fleet.Members) == 1 })
+	waitForMembers(t, a, "alone", func(fleet *management.Fleet) bool {
+		return fleet.Alive == 1 && len(fleet.Members) == 1
+	})
 	waitForMembers(t, b, "kept out", func(fleet *management.Fleet) bool { return fleet.Status == "joining" })
 }
 
 func TestMembersCommandFails(t *testing.T) {
-	for _, args := range [][]string{{"members"}, {"members", "--address", "127.0.0.1:1"}, {"members", "--config", "nowhere.toml"},
-		{"members", "--address", "127.0.0.1:1", "--every", "1ms"}} {
-		if out, err := runCommand(args...); err == nil || strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "merlinjunction: ") {
-			t.Errorf("%v: %q, %v", args, out, err)
-		}
+	for _, args := range [][]string{
+		{"members"},
+		{"members", "--address", "127.0.0.1:1"},
+		{"members", "--config", "nowhere.toml"},
+		{"members", "--address", "127.0.0.1:1", "--every", "1ms"},
+	} {
+		checkCommandFails(t, args...)
 	}
 }
--- a/cmd/merlinjunction/main_test.go
+++ b/cmd/merlinjunction/main_test.go
@@ -136,13 +136,21 @@
 	if out, err := runCommand("version"); err != nil || !strings.HasPrefix(out, "merlinjunction ") {
 		t.Errorf("version: %q, %v", out, err)
 	}
-	if out, err := runCommand("check", "--config", "../../deploy/extended.toml"); err != nil || !strings.Contains(out, "3 classes, 2 hosts") {
+	out, err := runCommand("check", "--config", "../../deploy/extended.toml")
+	if err != nil || !strings.Contains(out, "3 classes, 2 hosts") {
 		t.Errorf("check: %q, %v", out, err)
 	}
 	for _, args := range [][]string{{"serve"}, {"check", "--config", "nowhere.toml"}, {"serve", "now"}, {"walk"}} {
-		if out, err := runCommand(args...); err == nil || strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "merlinjunction: ") {
-			t.Errorf("%v: %q, %v", args, out, err)
-		}
+		checkCommandFails(t, args...)
+	}
+}
+
+// checkCommandFails checks that a command ends with an error in one line.
+func checkCommandFails(t *testing.T, args ...string) {
+	t.Helper()
+	out, err := runCommand(args...)
+	if err == nil || strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "merlinjunction: ") {
+		t.Errorf("%v: %q, %v", args, out, err)
 	}
 }
 
--- a/cmd/merlinjunction/members.go
+++ b/cmd/merlinjunction/members.go
@@ -42,8 +42,8 @@
 	var options membersOptions
 	cmd := &cobra.Command{
 		Use: "members", Short: "Show what a running gateway knows of its fleet", Args: cobra.NoArgs,
-		Long: "Show what a running gateway knows of its fleet. Asks its management address: --address, the one in --config,\n" +
-			"or LB_MANAGEMENT. Ends with 1 where the gateway can't be asked or has no fleet.",
+		Long: "Show what a running gateway knows of its fleet. Asks its management address: " +
+			"--address, the one in --config,\nor LB_MANAGEMENT. Ends with 1 where the gateway can't be asked or has no fleet.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runMembers(cmd.Context(), cmd.OutOrStdout(), options)
 		},
--- a/cmd/merlinjunction/serve.go
+++ b/cmd/merlinjunction/serve.go
@@ -33,7 +33,8 @@
 		},
 	}
 	cmd.Flags().StringVarP(&path, "config", "c", "", configUsage)
-	cmd.Flags().IntVar(&subsetSize, "subset", 0, "platform front: keep to so many hosts of a group, by the gateway's number (0: all)")
+	cmd.Flags().IntVar(&subsetSize, "subset", 0,
+		"platform front: keep to so many hosts of a group, by the gateway's number (0: all)")
 	cmd.Flags().BoolVarP(&verbose, "verbose", "v", false, "log failed connections too")
 	return cmd
 }
--- a/cmd/merlinjunction/upgrade_test.go
+++ b/cmd/merlinjunction/upgrade_test.go
@@ -121,7 +121,8 @@
 func (c *client) request(address, id string, i int) error {
 	text := fmt.Sprintf("SELECT v FROM records WHERE k = 'k%s' /* id=%s,c=read,t=x,d=900,cluster=0 */", id, id)
 	if i%3 == 0 {
-		text = fmt.Sprintf(`INSERT INTO records (k, v) VALUES ('k%s', '\x76') RETURNING v /* id=%s,c=write,t=x,d=900,k=%s,cluster=0 */`, id, id, id)
+		text = fmt.Sprintf(`INSERT INTO records (k, v) VALUES ('k%s', '\x76') RETURNING v `+
+			`/* id=%s,c=write,t=x,d=900,k=%s,cluster=0 */`, id, id, id)
 	}
 	isNew := c.conn == nil
 	var err error
--- a/internal/frontend/management/management.go
+++ b/internal/frontend/management/management.go
@@ -1,5 +1,6 @@
-// Package management serves the operators' calls over HTTP: they read readiness, telemetry and the fleet's members, take
-// database hosts out of use, and evacuate the gateway. It decides nothing: each call becomes one method call of Gateway.
+// Package management serves the operators' calls over HTTP: they read readiness, telemetry and the fleet's members,
+// take database hosts out of use, and evacuate the gateway. It decides nothing: each call becomes one method call of
+// Gateway.
 package management
 
 import (
--- a/internal/protocol/discovery/outage_test.go
+++ b/internal/protocol/discovery/outage_test.go
@@ -125,7 +125,14 @@
 }
 
 func listResponse(revision int, phase string) string {
-	body := fmt.Sprintf("{\n  \"revision\": %d,\n  \"complete\": true,\n  \"members\": [\n    {\"id\": \"a\", \"host_port\": \"127.0.0.1:1\", \"phase\": %q}\n  ]\n}\n", revision, phase)
+	body := fmt.Sprintf(`{
+  "revision": %d,
+  "complete": true,
+  "members": [
+    {"id": "a", "host_port": "127.0.0.1:1", "phase": %q}
+  ]
+}
+`, revision, phase)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -161,10 +168,10 @@
 	return fmt.Sprintf("pushed %v, %s call, %s, %d times", o.pushed, o.poll, o.how, o.times)
 }
 
-// Discovery fails at the poll that should report a drain: in each way, once and twice in a row, in a first poll, a watch,
-// or the first poll at a new address. The gateway must know of the drain, and must count it as known since a time, within
-// the drain grace period as the platform counts it: from 6 s after the poll timed out; of a pushed list, from when it
-// responds again.
+// Discovery fails at the poll that should report a drain: in each way, once and twice in a row, in a first poll, a
+// watch, or the first poll at a new address. The gateway must know of the drain, and must count it as known since a
+// time, within the drain grace period as the platform counts it: from 6 s after the poll timed out; of a pushed list,
+// from when it responds again.
 func TestDrainIsKnownInTimeDespiteOutages(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		for _, poll := range []string{"first", "watch", "moved"} {
--- a/internal/protocol/discovery/response_test.go
+++ b/internal/protocol/discovery/response_test.go
@@ -11,13 +11,15 @@
 		malformed         bool
 	}{
 		{name: "Content-Length", input: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcd", body: "abc"},
-		{name: "chunked", input: "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\n\r\n", body: "abc"},
+		{name: "chunked", body: "abc",
+			input: "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\n\r\n"},
 		{name: "incomplete body", input: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab"},
 		{name: "incomplete chunk", input: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na"},
 		{name: "incomplete head", input: "HTTP/1.1 200 OK\r\nConte"},
 		{name: "no length", input: "HTTP/1.1 200 OK\r\n\r\n", malformed: true},
 		{name: "negative length", input: "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc", malformed: true},
-		{name: "chunk size no number", input: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n", malformed: true},
+		{name: "chunk size no number", malformed: true,
+			input: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n"},
 		{name: "chunk too long", input: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", malformed: true},
 		{name: "another protocol", input: "SSH-2.0 hello\r\n\r\n", malformed: true},
 		{name: "head too large", input: strings.Repeat("x", maxHeadBytes+1), malformed: true},
--- a/internal/protocol/discovery/watcher.go
+++ b/internal/protocol/discovery/watcher.go
@@ -20,8 +20,8 @@
 const listPath = "/v1/servers"
 
 var (
-	errTimeout            = errors.New("no answer")
-	errUnexpectedResponse = errors.New("an answer that nobody asked for")
+	errTimeout            = errors.New("no response in time")
+	errUnexpectedResponse = errors.New("response without a request")
 )
 
 // UpdateFunc receives the whole endpoint list (complete) or changes of it. The changes count as known to this gateway
--- a/internal/protocol/discovery/watcher_test.go
+++ b/internal/protocol/discovery/watcher_test.go
@@ -16,8 +16,12 @@
 	"merlinjunction/internal/proxy"
 )
 
-func TestBadEntriesAreRefused(t *testing.T) {
-	for _, entry := range []string{`{"id":"","phase":"active"}`, `{"id":"a","phase":"asleep"}`, `{"id":"a","phase":"left","up_since_ms":-1}`} {
+func TestInvalidEntriesAreRejected(t *testing.T) {
+	for _, entry := range []string{
+		`{"id":"","phase":"active"}`,
+		`{"id":"a","phase":"asleep"}`,
+		`{"id":"a","phase":"left","up_since_ms":-1}`,
+	} {
 		w := &Watcher{log: zap.NewNop()}
 		err := w.handleResponse(&response{status: 200, body: []byte(`{"members":[` + entry + `]}`)})
 		var entryError *EntryError
@@ -29,12 +33,12 @@
 
 // Discovery responds in pieces, then not at all, then closes the connection: the watch continues from the revision that
 // is known, and the complete list is requested again where discovery does not know that revision any more.
-func TestTheWatchGoesOn(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+func TestWatchResumesFromKnownRevision(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = ln.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	var requests []string
 	served := make(chan struct{})
 	go func() {
@@ -45,7 +49,7 @@
 			{"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"},
 			{documentResponse(9, true, "c")},
 		} {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -71,7 +75,8 @@
 	}
 	t.Cleanup(loop.Close)
 	var updates []string
-	Watch(loop, zap.NewNop(), ln.Addr().String(), Config{GatewayCount: 4, Revision: NoRevision}, func(complete bool, hosts []proxy.Host, _ float64) {
+	config := Config{GatewayCount: 4, Revision: NoRevision}
+	Watch(loop, zap.NewNop(), listener.Addr().String(), config, func(complete bool, hosts []proxy.Host, _ float64) {
 		updates = append(updates, fmt.Sprint(complete, " ", hosts[0].ID))
 		if hosts[0].ID == "c" {
 			loop.Stop()
@@ -98,8 +103,8 @@
 	}
 }
 
-// A discovery service that rejects polls with 503 is polled with exponential backoff and jitter, and the watch keeps the
-// revision that is known: a request for the complete list would cost an overloaded service more.
+// A discovery service that rejects polls with 503 is polled with exponential backoff and jitter, and the watch keeps
+// the revision that is known: a request for the complete list would cost an overloaded service more.
 func TestOverloadedDiscoveryIsPolledWithBackoff(t *testing.T) {
 	now := 1000.0
 	loop, err := eventloop.New(eventloop.ManualClock(&now))
@@ -131,8 +136,8 @@
 	}
 }
 
-// Polls that time out are repeated within half of the drain grace period, however many time out in a row: a change counts
-// as known to the gateway although its poll got no response.
+// Polls that time out are repeated within half of the drain grace period, however many time out in a row: a change
+// counts as known to the gateway although its poll got no response.
 func TestTimedOutPollIsRepeatedWithinTheGrace(t *testing.T) {
 	now := 1000.0
 	loop, err := eventloop.New(eventloop.ManualClock(&now))
@@ -141,7 +146,8 @@
 	}
 	t.Cleanup(loop.Close)
 	for seed := range uint64(40) {
-		w := Watch(loop, zap.NewNop(), "127.0.0.1:1", Config{GatewayCount: 300, DrainGraceMs: 2000, Seed: seed, Revision: 41}, func(bool, []proxy.Host, float64) {})
+		config := Config{GatewayCount: 300, DrainGraceMs: 2000, Seed: seed, Revision: 41}
+		w := Watch(loop, zap.NewNop(), "127.0.0.1:1", config, discardUpdate)
 		body := `{"revision":42,"complete":true,"members":[]}`
 		if err := w.handleResponse(&response{status: 200, body: []byte(body)}); err != nil {
 			t.Fatal(err)
@@ -166,7 +172,8 @@
 	t.Cleanup(loop.Close)
 	pollsPerTenth := map[int]int{}
 	for seed := range uint64(80) {
-		w := Watch(loop, zap.NewNop(), "127.0.0.1:1", Config{GatewayCount: 80, DrainGraceMs: 2000, Seed: seed, Revision: 0}, nil)
+		config := Config{GatewayCount: 80, DrainGraceMs: 2000, Seed: seed, Revision: 0}
+		w := Watch(loop, zap.NewNop(), "127.0.0.1:1", config, nil)
 		if w.conn != nil || w.FirstPollLaterThan(0) != (w.firstPollAtMs > now) {
 			t.Fatal("the first poll was made at the start")
 		}
@@ -178,7 +185,8 @@
 			t.Errorf("%d of 80 in tenth of a second %d", polls, tenth)
 		}
 	}
-	w := Watch(loop, zap.NewNop(), "127.0.0.1:1", Config{GatewayCount: 80, DrainGraceMs: 2000, Revision: NoRevision}, func(bool, []proxy.Host, float64) {})
+	config := Config{GatewayCount: 80, DrainGraceMs: 2000, Revision: NoRevision}
+	w := Watch(loop, zap.NewNop(), "127.0.0.1:1", config, discardUpdate)
 	if w.conn == nil {
 		t.Error("a gateway without a list delays its first poll")
 	}
@@ -192,17 +200,21 @@
 	}
 }
 
+func discardUpdate(bool, []proxy.Host, float64) {}
+
 func documentResponse(revision int, complete bool, id string) string {
-	body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[{"id":%q,"host_port":"127.0.0.1:1","cell":0,"phase":"active","up_since_ms":0}]}`,
-		revision, complete, id)
+	entry := fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:1","cell":0,"phase":"active","up_since_ms":0}`, id)
+	body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, entry)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// An invalid entry is logged once; the other entries are applied, and no host counts as gone because its entry is invalid.
+// An invalid entry is logged once; the other entries are applied, and no host counts as gone because its entry is
+// invalid.
 func TestInvalidEntryLeavesTheOthersInUse(t *testing.T) {
 	for _, c := range []struct{ entry, want string }{
 		{`{"id":"b","cell":0,"phase":"active"}`, `entry "b": host_port "" is no address and port`},
-		{`{"id":"b","host_port":"nowhere","cell":0,"phase":"active"}`, `entry "b": host_port "nowhere" is no address and port`},
+		{`{"id":"b","host_port":"nowhere","cell":0,"phase":"active"}`,
+			`entry "b": host_port "nowhere" is no address and port`},
 		{`{"id":"","host_port":"127.0.0.1:1","phase":"active"}`, `host_port "127.0.0.1:1" has no id`},
 		{`{"id":"b","host_port":"127.0.0.1:1","phase":"asleep"}`, `entry "b": unknown phase "asleep"`},
 	} {
--- a/internal/protocol/health/health.go
+++ b/internal/protocol/health/health.go
@@ -51,7 +51,9 @@
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 	default:
-		return httpd.Response{Status: http.StatusMethodNotAllowed, Body: "GET, HEAD or OPTIONS\n", Allow: "GET, HEAD, OPTIONS"}
+		return httpd.Response{
+			Status: http.StatusMethodNotAllowed, Body: "GET, HEAD or OPTIONS\n", Allow: "GET, HEAD, OPTIONS",
+		}
 	}
 	switch r.Path {
 	case "/livez":
--- a/internal/protocol/httpd/httpd.go
+++ b/internal/protocol/httpd/httpd.go
@@ -35,13 +35,15 @@
 }
 
 // Serve serves the requests that come to an address. onAcceptError is called when no connection can be accepted.
-func Serve(loop *eventloop.Loop, address string, handler Handler, onAcceptError func(error)) (*eventloop.Listener, error) {
+func Serve(
+	loop *eventloop.Loop, address string, handler Handler, onAcceptError func(error),
+) (*eventloop.Listener, error) {
 	s := &Server{loop: loop, handler: handler}
 	return loop.Listen(address, s.accept, onAcceptError)
 }
 
-// accept adopts a connection, and closes the oldest one where there are too many: clients that send a part of a request,
-// or nothing, can't hold up others.
+// accept adopts a connection, and closes the oldest one where there are too many: clients that send a part of a
+// request, or nothing, can't hold up others.
 func (s *Server) accept(fd int) {
 	conn, err := s.loop.Adopt(fd, maxHeadBytes+maxBodyBytes)
 	if err != nil {
--- a/internal/protocol/httpd/httpd_test.go
+++ b/internal/protocol/httpd/httpd_test.go
@@ -11,8 +11,8 @@
 	"merlinjunction/internal/eventloop"
 )
 
-// Clients send a part of a request, or nothing, and stay connected: each request of the others gets its response at once,
-// and they get 408 in the end.
+// Clients send a part of a request, or nothing, and stay connected: each request of the others gets its response at
+// once, and they get 408 in the end.
 func TestIncompleteRequestsHoldUpNobody(t *testing.T) {
 	now := 1000.0
 	loop, err := eventloop.New(eventloop.ManualClock(&now))
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -43,8 +43,8 @@
 	minSockets              = 64
 )
 
-// Reload reads the file of the configuration again. Only the file says where discovery is: the environment is still that
-// of the start.
+// Reload reads the file of the configuration again. Only the file says where discovery is: the environment is still
+// that of the start.
 func (c *Config) Reload() (*Config, error) {
 	if c.Operator != nil {
 		return LoadOperator(c.ConfigPath)
--- a/internal/server/exclusion_file_test.go
+++ b/internal/server/exclusion_file_test.go
@@ -13,7 +13,8 @@
 
 // exclusionFileOfVersion1 is the file as version 1 of the format has it, byte for byte. During an upgrade the processes
 // of two releases read each other's files.
-const exclusionFileOfVersion1 = `{"version":1,"hosts":{"a":{"out":true,"at":1700000000000.5},"b":{"out":false,"at":1700000000001}}}`
+const exclusionFileOfVersion1 = `{"version":1,"hosts":{` +
+	`"a":{"out":true,"at":1700000000000.5},"b":{"out":false,"at":1700000000001}}}`
 
 func TestExclusionFileFormat(t *testing.T) {
 	dir := t.TempDir()
@@ -42,8 +43,14 @@
 }
 
 // A file that can't be read changes nothing, and is replaced as a whole at the next exclusion.
-func TestForeignStateIsSafe(t *testing.T) {
-	for _, text := range []string{"", "{", `{"version":1,"hosts":{"a":`, `{"version":2,"hosts":{"a":{"out":true,"at":9}}}`, `[1]`} {
+func TestUnreadableExclusionFileIsReplaced(t *testing.T) {
+	for _, text := range []string{
+		"",
+		"{",
+		`{"version":1,"hosts":{"a":`,
+		`{"version":2,"hosts":{"a":{"out":true,"at":9}}}`,
+		`[1]`,
+	} {
 		state, err := openSharedState(zap.NewNop(), t.TempDir(), "n/1")
 		if err != nil {
 			t.Fatal(err)
@@ -71,7 +78,7 @@
 
 // Two processes write at a time: the newest order on each host counts, and an order that the other has written over is
 // written again.
-func TestTheNewestWordOnAHostCounts(t *testing.T) {
+func TestNewestExclusionOfHostCounts(t *testing.T) {
 	first := openTestState(t, t.TempDir(), "n").exclusions
 	second := newExclusionFile(zap.NewNop(), first.path)
 	first.record("x", exclusion{Excluded: true, AtMs: 10})
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -47,8 +47,9 @@
 	return s.transport.Addr().String()
 }
 
-// syncFleet announces this gateway's load to the fleet, and passes a changed roster on to the proxy core and the watcher.
-// It runs in each round, and does something once per loadSampleMs, or rosterUpdateDelayMs after members have changed.
+// syncFleet announces this gateway's load to the fleet, and passes a changed roster on to the proxy core and the
+// watcher. It runs in each round, and does something once per loadSampleMs, or rosterUpdateDelayMs after members have
+// changed.
 func (s *Server) syncFleet() {
 	state, now := &s.fleetSync, s.loop.Clock.Now()
 	if state.roster == nil {
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -213,7 +213,8 @@
 	return runGateway(t, config, err)
 }
 
-// startManagedExtended names the management address in the file, so that the tests find a key that is read but not used.
+// startManagedExtended names the management address in the file, so that the tests find a key that is read but not
+// used.
 func startManagedExtended(t *testing.T, cluster *testkit.Cluster) testkit.Gateway {
 	t.Helper()
 	text := "management = \"127.0.0.1:0\"\n" + operatorText(t, serveDiscovery(t, cluster))
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -61,7 +61,8 @@
 		dialer, healthCheck = operator.Login.dialer(s.loop), operator.HealthCheck
 		limits.HealthCheckIntervalMs = operator.HealthCheckIntervalMs
 	}
-	s.core, err = proxy.New(s.loop.Timers, s.log, s.config.Settings, s.config.Seed, limits, dialer, healthCheck, pg.ParseLoadReport)
+	s.core, err = proxy.New(s.loop.Timers, s.log, s.config.Settings, s.config.Seed, limits,
+		dialer, healthCheck, pg.ParseLoadReport)
 	return err
 }
 
--- a/internal/server/process_lock_test.go
+++ b/internal/server/process_lock_test.go
@@ -11,7 +11,7 @@
 )
 
 // A process that was killed leaves its file, but not the lock on it.
-func TestALockTellsWhoLives(t *testing.T) {
+func TestLockShowsWhetherProcessIsAlive(t *testing.T) {
 	dir := t.TempDir()
 	state := openTestState(t, dir, "n")
 	path := filepath.Join(dir, "merlinjunction-n-1.live")
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -24,7 +24,8 @@
 		return
 	}
 	s.reloadSuccesses++
-	s.log.Info("configuration reloaded", zap.String("discovery", config.Discovery), zap.Int("hosts", len(config.KnownHosts)))
+	s.log.Info("configuration reloaded",
+		zap.String("discovery", config.Discovery), zap.Int("hosts", len(config.KnownHosts)))
 	if config.FileDiscovery != s.config.FileDiscovery && config.Discovery != "" {
 		s.config.FileDiscovery, s.config.Discovery = config.FileDiscovery, config.Discovery
 		s.followEndpointList()
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -48,8 +48,8 @@
 	insert("k3", "b")
 }
 
-// At SIGHUP the platform's gateway follows the endpoint list at the address that the file names then. Until that address
-// has sent the list, and while the file is incomplete, it serves with the list that it has.
+// At SIGHUP the platform's gateway follows the endpoint list at the address that the file names then. Until that
+// address has sent the list, and while the file is incomplete, it serves with the list that it has.
 func TestReloadMovesDiscovery(t *testing.T) {
 	var path, text string
 	oldDiscovery := httptest.NewServer(nil)
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -21,9 +21,9 @@
 	words      map[string]string
 }
 
-// deployments are unlike each other: other names and numbers of classes, writes with an idempotency key and without, lists
-// that are pushed and polled, with and without tenants and health checks, grace periods and deadlines several times as
-// long.
+// deployments are unlike each other: other names and numbers of classes, writes with an idempotency key and without,
+// lists that are pushed and polled, with and without tenants and health checks, grace periods and deadlines several
+// times as long.
 var deployments = []deployment{
 	{"keyed", "../../cmd/merlinjunction/testdata/platform/config.json", map[string]string{
 		"slow": "long", "write": "write", "td": "t=x,d", "pastgrace": "2100", "repeated": "T D C", "runs": "2"}},
@@ -59,7 +59,8 @@
 	}, "a", "b")
 	for i := range 10 {
 		name := fmt.Sprint("c", i)
-		playSteps(t, player, "send "+name+" startup | query SELECT v FROM s WHERE greenhouse = 'g'", "expect "+name+" R K Z T D C Z")
+		playSteps(t, player,
+			"send "+name+" startup | query SELECT v FROM s WHERE greenhouse = 'g'", "expect "+name+" R K Z T D C Z")
 	}
 	if err := player.Step("expect c0 eof"); err != nil {
 		t.Error(err)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,7 +1,7 @@
 // Package server runs the gateway: it reads the configuration, opens the listeners, reloads at SIGHUP, shuts down
 // gracefully at SIGTERM, and takes over from an older process of the same gateway during an upgrade.
 //
-// All methods of a Server run on its event loop, except for those that say otherwise.
+// The methods of a Server run on its event loop, unless their comment says otherwise.
 package server
 
 import (
@@ -113,7 +113,8 @@
 	s.log.Info("serving", zap.String("name", s.config.Name), zap.String("listen", s.clientListener.Addr()),
 		zap.String("management", s.Management()), zap.String("fleet", s.fleetAddress()))
 	err := s.loop.Run(s.onLoopRound)
-	s.log.Info("stopped", zap.Int("open_connections", s.abandonedConnections), zap.Int("open_requests", s.core.OpenRequests()))
+	s.log.Info("stopped",
+		zap.Int("open_connections", s.abandonedConnections), zap.Int("open_requests", s.core.OpenRequests()))
 	return err
 }
 
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -75,7 +75,8 @@
 		key += "slow"
 	}
 	startingUp := len(out) > 0
-	out, _ = testkit.Encode(out, "query SELECT v FROM records WHERE k = '"+key+"' /* id="+key+",c=read,t=x,d=900,cluster=0 */")
+	query := "query SELECT v FROM records WHERE k = '" + key + "' /* id=" + key + ",c=read,t=x,d=900,cluster=0 */"
+	out, _ = testkit.Encode(out, query)
 	if _, err := conn.Write(out); err != nil {
 		return conn, err
 	}
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -79,10 +79,11 @@
 	if s.shared == nil {
 		return
 	}
-	for id, exclusion := range s.shared.exclusions.readNewer() {
-		s.log.Info("exclusion received from sibling process", zap.String("host", id), zap.Bool("excluded", exclusion.Excluded))
-		if exclusion.Excluded {
-			s.core.RestoreExclusion(id, exclusion.AtMs)
+	for id, order := range s.shared.exclusions.readNewer() {
+		s.log.Info("exclusion received from sibling process",
+			zap.String("host", id), zap.Bool("excluded", order.Excluded))
+		if order.Excluded {
+			s.core.RestoreExclusion(id, order.AtMs)
 		} else {
 			s.core.Include(id)
 		}
