--- /dev/null
+++ b/internal/frontend/platform/annotation.go
@@ -0,0 +1,84 @@
+package platform
+
+import (
+	"math"
+	"strconv"
+	"strings"
+)
+
+// Names in an annotation. Hosts read further names, which the gateway forwards unseen.
+const (
+	annotationRequestID      = "id"
+	annotationIdempotencyKey = "k"
+	annotationClass          = "c"
+	annotationTenant         = "t"
+	annotationClientRetry    = "r" // "1" for a retry
+	annotationGroup          = "cluster"
+	annotationTimeLeft       = "d" // in milliseconds
+)
+
+const (
+	maxTokenLen = 64 // of a request ID or idempotency key, in bytes
+	noGroup     = -1 // the annotation has no group
+)
+
+// annotation is the metadata of a request.
+type annotation struct {
+	id             string
+	class, tenant  string
+	idempotencyKey string
+	timeLeftMs     float64 // until the client gives up
+	group          int
+	clientRetry    bool
+}
+
+// complete reports whether all required values are set.
+func (a *annotation) complete() bool {
+	return a.id != "" && a.class != "" && a.group >= 0 && a.timeLeftMs != 0
+}
+
+// set stores one value and returns false if it is invalid. Unknown names are ignored.
+func (a *annotation) set(name, value string) bool {
+	switch name {
+	case annotationRequestID:
+		a.id = value
+		return isToken(value)
+	case annotationIdempotencyKey:
+		a.idempotencyKey = value
+		return isToken(value)
+	case annotationClass:
+		a.class = value
+	case annotationTenant:
+		a.tenant = value
+	case annotationClientRetry:
+		a.clientRetry = value == "1"
+	case annotationGroup:
+		group, err := strconv.ParseUint(value, 10, 31)
+		a.group = int(group)
+		return err == nil
+	case annotationTimeLeft:
+		return a.setTimeLeft(value)
+	}
+	return true
+}
+
+// setTimeLeft accepts a positive decimal number without sign or exponent.
+func (a *annotation) setTimeLeft(value string) bool {
+	timeLeftMs, err := strconv.ParseFloat(value, 64)
+	a.timeLeftMs = timeLeftMs
+	decimal := strings.Trim(value, "0123456789.") == ""
+	return err == nil && decimal && timeLeftMs > 0 && timeLeftMs <= math.MaxInt32
+}
+
+// isToken reports whether a text can be a request ID or an idempotency key: letters, digits, "-" and "_".
+func isToken(text string) bool {
+	return text != "" && len(text) <= maxTokenLen && strings.IndexFunc(text, isNoTokenRune) < 0
+}
+
+func isNoTokenRune(r rune) bool {
+	switch {
+	case r >= '0' && r <= '9', r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r == '-', r == '_':
+		return false
+	}
+	return true
+}
--- /dev/null
+++ b/internal/frontend/platform/frontend.go
@@ -0,0 +1,91 @@
+// Package platform is the frontend for the platform's own protocol: simple queries whose trailing comment, the
+// annotation, carries the request's metadata.
+package platform
+
+import (
+	"fmt"
+
+	"merlinjunction/internal/protocol/pg"
+	"merlinjunction/internal/proxy"
+	"merlinjunction/routing"
+)
+
+// Frontend turns queries into requests to the proxy core.
+type Frontend struct {
+	Core *proxy.Core
+	// Ready reports whether clients can be served.
+	Ready func() bool
+
+	classes       []routing.Class
+	classIndexes  map[string]int      // by class name, into classes
+	tenantIndexes map[string]int      // by tenant name, into the tenants of the settings
+	openRequests  map[string]struct{} // IDs of the requests that have no final answer yet
+}
+
+// New returns a Frontend for the classes and tenants of the settings.
+func New(core *proxy.Core, settings routing.Settings, ready func() bool) *Frontend {
+	f := &Frontend{
+		Core:          core,
+		Ready:         ready,
+		classes:       settings.Classes,
+		classIndexes:  map[string]int{},
+		tenantIndexes: map[string]int{},
+		openRequests:  map[string]struct{}{},
+	}
+	for i, class := range settings.Classes {
+		f.classIndexes[class.Name] = i
+	}
+	for i, tenant := range settings.Tenants {
+		f.tenantIndexes[tenant.Name] = i
+	}
+	return f
+}
+
+// NewSession starts the session of a client.
+func (f *Frontend) NewSession(client *pg.Client) pg.Session {
+	return &session{frontend: f, client: client}
+}
+
+// newRequest validates a statement against the settings and returns the request to the core.
+//
+// It rejects what a host would answer with SQLSTATE 08P01 or by closing the connection. It also rejects an ID that is
+// already open: the answer to one of the two requests could be taken for the answer to the other.
+func (f *Frontend) newRequest(st *statement) (proxy.Request, error) {
+	classIndex, classKnown := f.classIndexes[st.class]
+	tenantIndex, tenantKnown := f.tenantIndexes[st.tenant]
+	if !classKnown {
+		return proxy.Request{}, fmt.Errorf("unknown class %q", st.class)
+	}
+	if !tenantKnown && len(f.tenantIndexes) > 0 {
+		return proxy.Request{}, fmt.Errorf("unknown tenant %q", st.tenant)
+	}
+	class := f.classes[classIndex]
+	if err := validateClass(class, st); err != nil {
+		return proxy.Request{}, err
+	}
+	if _, open := f.openRequests[st.id]; open {
+		return proxy.Request{}, fmt.Errorf("a request with the id %q is in hand", st.id)
+	}
+	request := proxy.Request{
+		Class: classIndex, Tenant: -1, Group: st.group,
+		TimeLeftMs: st.timeLeftMs, ClientRetry: st.clientRetry, Command: st,
+	}
+	if tenantKnown {
+		request.Tenant = tenantIndex
+	}
+	if class.Consistency == routing.ConsistencyWrite || class.Consistency == routing.ConsistencySession {
+		request.Session = st.key
+	}
+	return request, nil
+}
+
+// validateClass returns an error when a statement doesn't have the form or the idempotency key that its class needs.
+func validateClass(class routing.Class, st *statement) error {
+	if st.write != (class.Consistency == routing.ConsistencyWrite) {
+		return fmt.Errorf("class %q takes no statement of this form", st.class)
+	}
+	if class.Idempotency == routing.IdempotentWithKey && st.idempotencyKey == "" {
+		return fmt.Errorf("class %q needs the idempotency key k", st.class)
+	}
+	return nil
+}
--- a/internal/protocol/pg/client.go
+++ b/internal/protocol/pg/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"io"
 	"math/rand/v2"
 	"strings"
@@ -219,6 +220,11 @@
 	c.finish()
 }
 
+// FatalUnknownMessage closes the connection because of a message type that the protocol doesn't have.
+func (c *Client) FatalUnknownMessage(kind byte) {
+	c.Fatal(StateProtocol, fmt.Sprintf("unknown message type %q", kind))
+}
+
 // finish ends the connection once the client has had the chance to read the last words: to close at once with
 // input unread would reset it and could take them away.
 func (c *Client) finish() {
--- a/internal/protocol/pg/message.go
+++ b/internal/protocol/pg/message.go
@@ -21,6 +21,11 @@
 	MsgSync     = 'S'
 	MsgEnd      = 'X' // Terminate
 
+	MsgFunctionCall = 'F'
+	MsgCopyData     = 'd'
+	MsgCopyDone     = 'c'
+	MsgCopyFail     = 'f'
+
 	MsgAuthentication  = 'R'
 	MsgBackendKeyData  = 'K'
 	MsgBindComplete    = '2'
@@ -327,3 +332,12 @@
 func UnknownOutcomeError() ErrorResponse {
 	return ErrorResponse{State: StateUnknownOutcome, Text: "no answer from the database; the statement may have run"}
 }
+
+// FailureBody is the response to a request that has failed: the error of a host, or where that is nil
+// UnknownOutcomeError.
+func FailureBody(hostError []byte) []byte {
+	if hostError == nil {
+		return UnknownOutcomeError().Append(nil)
+	}
+	return hostError
+}
