--- /dev/null
+++ b/internal/frontend/extended/describe.go
@@ -0,0 +1,105 @@
+package extended
+
+import (
+	"merlinjunction/internal/protocol/pg"
+)
+
+// Sizes in a RowDescription message, in bytes.
+const (
+	columnCountSize    = 2
+	formatCodeSize     = 2
+	columnFieldsSize   = 18 // of a column after its name: five fields and the format code, which is last
+	columnFieldsBefore = columnFieldsSize - formatCodeSize
+)
+
+// handleDescribe handles Describe: the kind of object, its name. A statement is described by a host once; its
+// description is cached with it.
+func (s *session) handleDescribe(fields *pg.FieldReader) error {
+	kind, name := fields.Byte(), fields.Text()
+	if !fields.End() || !isObjectKind(kind) {
+		return pg.ErrMalformed
+	}
+	st, p := s.statements[name], s.portals[name]
+	switch {
+	case kind == kindPortal && p == nil:
+		s.fail(unknownPortal(name))
+		return nil
+	case kind == kindPortal:
+		st = p.statement
+	case st == nil:
+		s.fail(unknownStatement(name))
+		return nil
+	}
+	if st.rule == nil {
+		st.description = emptyDescription()
+	}
+	if st.description != nil {
+		s.sendDescription(st, kind, p)
+		return nil
+	}
+	s.submit(s.frontend.Rules.DescribeClass, "", describeCommand{st}, func(answer []byte) {
+		st.description = answer
+		s.sendDescription(st, kind, p)
+		if st.named && s.reserve(len(answer)) {
+			st.reservedBytes += len(answer)
+		} else {
+			st.description = nil
+		}
+	})
+	return nil
+}
+
+// emptyDescription describes a statement without parameters and columns.
+func emptyDescription() []byte {
+	return pg.AppendMessage(pg.AppendMessage(nil, pg.MsgParamDesc, 0, 0), pg.MsgNoData)
+}
+
+// sendDescription answers Describe from a statement's description. A portal has no ParameterDescription, and its
+// columns have the formats that were bound.
+func (s *session) sendDescription(st *preparedStatement, objectKind byte, p *portal) {
+	for rest := st.description; len(rest) > 0; {
+		kind, body, size, err := pg.SplitMessage(rest, pg.MaxMessage)
+		if err != nil || size == 0 {
+			s.fail(pg.UnknownOutcomeError())
+			return
+		}
+		switch {
+		case objectKind == kindPortal && kind == pg.MsgParamDesc:
+		case objectKind == kindPortal && kind == pg.MsgRowDescription:
+			s.output = pg.AppendMessage(s.output, kind, withFormatCodes(body, p.resultFormats)...)
+		default:
+			s.output = append(s.output, rest[:size]...)
+		}
+		rest = rest[size:]
+	}
+}
+
+// withFormatCodes returns the body of a RowDescription with the format codes that a Bind has set.
+func withFormatCodes(body []byte, codes []uint16) []byte {
+	fields := pg.NewFieldReader(body)
+	out := append([]byte(nil), body...)
+	columnEnd := columnCountSize
+	for i := range fields.Int16() {
+		name := fields.Text()
+		fields.Bytes(columnFieldsBefore)
+		if fields.Malformed {
+			return body
+		}
+		columnEnd += len(name) + 1 + columnFieldsSize
+		fields.Bytes(formatCodeSize)
+		code := formatCodeOf(i, codes)
+		out[columnEnd-2], out[columnEnd-1] = byte(code>>8), byte(code)
+	}
+	return out
+}
+
+// formatCodeOf is the format of a column: one code applies to all columns, none means text.
+func formatCodeOf(column int, codes []uint16) uint16 {
+	switch {
+	case len(codes) == 1:
+		return codes[0]
+	case column < len(codes):
+		return codes[column]
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/frontend/extended/execute.go
@@ -0,0 +1,110 @@
+package extended
+
+import (
+	"merlinjunction/internal/protocol/pg"
+	"merlinjunction/internal/proxy"
+	"merlinjunction/routing"
+)
+
+const millisecondsPerSecond = 1000
+
+// handleExecute handles Execute: portal name, row limit (0 for none). The first Execute of a portal runs its
+// statement; later ones fetch the rows that the row limit has left.
+func (s *session) handleExecute(fields *pg.FieldReader) error {
+	name, maxRows := fields.Text(), fields.Int32()
+	if !fields.End() {
+		return pg.ErrMalformed
+	}
+	p := s.portals[name]
+	switch {
+	case p == nil:
+		s.fail(unknownPortal(name))
+	case p.lastMessage != nil:
+		s.sendBufferedRows(p, maxRows)
+	case p.executed:
+		s.fail(portalAlreadyExecuted(name))
+	case p.statement.localCommand != nil:
+		p.executed = true
+		s.runLocalCommand(p.statement)
+	case p.statement.rule == nil:
+		s.output = pg.AppendMessage(s.output, pg.MsgEmptyQuery)
+	default:
+		p.executed = true
+		s.rowLimited = maxRows > 0
+		s.run(p.statement, p.parameters, executeCommand{p}, func(answer []byte) {
+			s.handleRows(p, answer, maxRows)
+		})
+	}
+	return nil
+}
+
+// handleRows handles the answer to an Execute.
+func (s *session) handleRows(p *portal, answer []byte, maxRows int) {
+	if maxRows <= 0 {
+		s.output = append(s.output, answer...)
+		return
+	}
+	s.bufferAnswer(p, answer, maxRows)
+}
+
+// handleQuery handles a simple query.
+func (s *session) handleQuery(fields *pg.FieldReader) error {
+	text := fields.Text()
+	if !fields.End() {
+		return pg.ErrMalformed
+	}
+	s.dropStatement("") // PostgreSQL's protocol: a simple query closes the unnamed statement and portal
+	s.dropPortal("")
+	st, rejection := s.prepare(text)
+	switch {
+	case rejection != nil:
+		s.fail(*rejection)
+	case st.localCommand != nil:
+		s.runLocalCommand(st)
+	case st.rule != nil:
+		s.rowLimited = false
+		s.run(st, nil, queryCommand(text), func(answer []byte) {
+			s.output = append(s.output, answer...)
+			s.finishSimpleQuery()
+		})
+	case s.frontend.Ready():
+		s.output = pg.AppendMessage(s.output, pg.MsgEmptyQuery)
+		s.finishSimpleQuery()
+	default:
+		s.fail(noReachableHost)
+	}
+	return nil
+}
+
+// run submits a statement as one request, with the session and the idempotency key that its rule finds in it.
+func (s *session) run(st *preparedStatement, parameters [][]byte, command any, onSuccess func(answer []byte)) {
+	class := s.frontend.Rules.Classes[st.rule.Class]
+	sessionName, key := st.rule.sessionAndKey(st.bare, parameters, s.id)
+	if class.Idempotency == routing.IdempotentWithKey && key == "" {
+		s.fail(idempotencyKeyNeeded(class.Name))
+		return
+	}
+	if class.Consistency != routing.ConsistencyWrite && class.Consistency != routing.ConsistencySession {
+		sessionName = ""
+	}
+	s.submit(st.rule.Class, sessionName, command, onSuccess)
+}
+
+// submit hands a request to the core. Its answer goes to the session's responder methods.
+func (s *session) submit(class int, sessionName string, command any, onSuccess func(answer []byte)) {
+	request := proxy.Request{
+		Class: class, Tenant: -1, Group: s.group, Session: sessionName, Command: command, Responder: s,
+		TimeLeftMs: s.frontend.Rules.Classes[class].Deadline.Seconds() * millisecondsPerSecond,
+	}
+	if tenant, ok := s.frontend.Rules.Tenants[s.client.User]; ok {
+		request.Tenant = tenant
+	}
+	requestID, accepted := s.frontend.Core.Submit(request)
+	if !accepted {
+		s.fail(pg.RejectionError(0))
+		return
+	}
+	s.inFlight = true
+	s.requestID = requestID
+	s.onSuccess = onSuccess
+}
--- /dev/null
+++ b/internal/frontend/extended/scanner.go
@@ -0,0 +1,135 @@
+package extended
+
+import "strings"
+
+// scan returns SQL text without comments, each replaced by a space, and the number of statements in it. Semicolons in
+// quoted strings and names, dollar quotes and nested comments don't end a statement.
+func scan(text string) (bare string, statements int) {
+	var out strings.Builder
+	empty := true // the current statement has nothing but white space so far
+	for i := 0; i < len(text); {
+		if length := commentLen(text[i:]); length > 0 {
+			out.WriteByte(' ')
+			i += length
+			continue
+		}
+		token := text[i : i+tokenLen(text, i)]
+		switch {
+		case token == ";":
+			empty = true
+		case empty && strings.TrimSpace(token) != "":
+			empty = false
+			statements++
+		}
+		out.WriteString(token)
+		i += len(token)
+	}
+	return strings.Trim(out.String(), " \t\r\n;"), statements
+}
+
+// commentLen is the length of the comment that a text begins with, 0 when it begins with none.
+func commentLen(text string) int {
+	switch {
+	case strings.HasPrefix(text, "--"):
+		if end := strings.IndexByte(text, '\n'); end >= 0 {
+			return end
+		}
+		return len(text)
+	case strings.HasPrefix(text, "/*"):
+		return blockCommentLen(text)
+	}
+	return 0
+}
+
+// blockCommentLen is the length of a comment that may have others in it. One that isn't closed extends to the end.
+func blockCommentLen(text string) int {
+	depth := 0
+	for i := 0; i+1 < len(text); i++ {
+		switch text[i : i+2] {
+		case "/*":
+			depth++
+			i++
+		case "*/":
+			depth--
+			i++
+			if depth == 0 {
+				return i + 1
+			}
+		}
+	}
+	return len(text)
+}
+
+// tokenLen is the length of the quoted text at an offset, 1 for any other character.
+func tokenLen(text string, offset int) int {
+	rest := text[offset:]
+	switch text[offset] {
+	case '\'':
+		return quotedLen(rest, '\'', hasEscapePrefix(text, offset))
+	case '"':
+		return quotedLen(rest, '"', false)
+	case '$':
+		if offset == 0 || !isNameByte(text[offset-1]) {
+			return dollarQuotedLen(rest)
+		}
+	}
+	return 1
+}
+
+// hasEscapePrefix reports whether the quote at an offset opens an escape string, as in E'...'.
+func hasEscapePrefix(text string, quote int) bool {
+	if quote == 0 || text[quote-1] != 'E' && text[quote-1] != 'e' {
+		return false
+	}
+	return quote == 1 || !isNameByte(text[quote-2])
+}
+
+// isNameByte reports whether a byte can be part of an unquoted name.
+func isNameByte(c byte) bool {
+	return c == '_' || c == '$' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
+}
+
+// quotedLen is the length of the quoted text that a text begins with. A doubled quote doesn't end it, nor in an escape
+// string does one after a backslash.
+func quotedLen(text string, quote byte, escapes bool) int {
+	for i := 1; i < len(text); i++ {
+		switch {
+		case escapes && text[i] == '\\':
+			i++
+		case text[i] == quote && i+1 < len(text) && text[i+1] == quote:
+			i++
+		case text[i] == quote:
+			return i + 1
+		}
+	}
+	return len(text)
+}
+
+// dollarQuotedLen is the length of a dollar-quoted string such as $tag$...$tag$, and 1 for a dollar that begins none,
+// as in $1.
+func dollarQuotedLen(text string) int {
+	tagEnd := strings.IndexByte(text[1:], '$')
+	if tagEnd < 0 {
+		return 1
+	}
+	delimiter := text[:tagEnd+2]
+	for i, c := range []byte(delimiter[1 : len(delimiter)-1]) {
+		if !isNameByte(c) || c == '$' || i == 0 && c >= '0' && c <= '9' {
+			return 1
+		}
+	}
+	if end := strings.Index(text[len(delimiter):], delimiter); end >= 0 {
+		return end + 2*len(delimiter)
+	}
+	return len(text)
+}
+
+// leadingKeywords returns up to limit words from the start of SQL without comments, in capitals.
+func leadingKeywords(bare string, limit int) []string {
+	words := strings.FieldsFunc(bare, func(c rune) bool { return strings.ContainsRune(" \t\r\n=;", c) })
+	words = words[:min(len(words), limit)]
+	for i := range words {
+		words[i] = strings.ToUpper(words[i])
+	}
+	return words
+}
--- a/internal/frontend/extended/sql_test.go
+++ b/internal/frontend/extended/scanner_test.go
@@ -3,23 +3,24 @@
 import "testing"
 
 func TestScan(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text, bare string
-		n          int
+		statements int
 	}{
 		{"", "", 0},
 		{" ;; -- nothing\n /* or /* nested */ ; */ ;", "", 0},
 		{"SELECT 1;", "SELECT 1", 1},
 		{"SELECT 1; SELECT 2", "SELECT 1; SELECT 2", 2},
-		{"SELECT ';', \"a;b\", $$;$$, $x$;$$;$x$, E'\\';', 'it''s;'", "SELECT ';', \"a;b\", $$;$$, $x$;$$;$x$, E'\\';', 'it''s;'", 1},
-		{"SELECT '\\'; SELECT 2", "SELECT '\\'; SELECT 2", 2}, // a backslash is nothing special in a plain text
+		{"SELECT ';', \"a;b\", $$;$$, $x$;$$;$x$, E'\\';', 'it''s;'",
+			"SELECT ';', \"a;b\", $$;$$, $x$;$$;$x$, E'\\';', 'it''s;'", 1},
+		{"SELECT '\\'; SELECT 2", "SELECT '\\'; SELECT 2", 2}, // a backslash is an ordinary character outside escape strings
 		{"SELECT $1/* a */,$2 -- b", "SELECT $1 ,$2", 1},
 		{"/* ; */ INSERT INTO t VALUES ('--', '/*')", "INSERT INTO t VALUES ('--', '/*')", 1},
 		{"SELECT 'open; SELECT 2", "SELECT 'open; SELECT 2", 1},
 		{"SELECT a$1$b;SELECT 2", "SELECT a$1$b;SELECT 2", 2},
 	} {
-		if bare, n := scan(c.text); bare != c.bare || n != c.n {
-			t.Errorf("%q: got %q, %d", c.text, bare, n)
+		if bare, statements := scan(test.text); bare != test.bare || statements != test.statements {
+			t.Errorf("%q: got %q, %d", test.text, bare, statements)
 		}
 	}
 }
--- a/internal/frontend/extended/session_test.go
+++ b/internal/frontend/extended/session_test.go
@@ -7,15 +7,16 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// Where an operator names no session, a connection is one. No other connection, at the same time or later, has its name, nor has
-// a session that a client names: a stamp or a write in flight of one client is never taken for another's.
+// A statement whose rule names no session belongs to the session of its connection. No other connection, at the same time
+// or later, has that session, and no client can name it: a session stamp or a write in flight of one client never counts
+// for another.
 func TestSessionsOfConnectionsAreTheirOwn(t *testing.T) {
-	f := &Frontend{Rules: &Rules{Databases: map[string]int{"main": 0}}}
+	frontend := &Frontend{Rules: &Rules{Databases: map[string]int{"main": 0}}}
 	rule := &Rule{Pattern: regexp.MustCompile("SELECT"), SessionParam: 1}
 	seen := map[string]bool{}
 	open := func() *session {
-		s := f.NewSession(&pg.Client{Database: "main"}).(*session)
-		name, _ := (&Rule{Pattern: rule.Pattern}).names("SELECT 1", nil, s.id)
+		s := frontend.NewSession(&pg.Client{Database: "main"}).(*session)
+		name, _ := (&Rule{Pattern: rule.Pattern}).sessionAndKey("SELECT 1", nil, s.id)
 		if seen[name] {
 			t.Errorf("a connection got the session %q of an earlier one", name)
 		}
@@ -27,14 +28,14 @@
 	first.ClientGone()
 	open()
 	for name := range seen {
-		for _, said := range []string{name, name[2:]} {
-			if got, _ := rule.names("SELECT 1", [][]byte{[]byte(said)}, 99); seen[got] {
-				t.Errorf("a client that names the session %q gets that of a connection, %q", said, got)
+		for _, requested := range []string{name, name[2:]} {
+			if got, _ := rule.sessionAndKey("SELECT 1", [][]byte{[]byte(requested)}, 99); seen[got] {
+				t.Errorf("a client that names the session %q gets that of a connection, %q", requested, got)
 			}
 		}
 	}
-	// One that names none at a rule that asks for it has its connection's.
-	if got, _ := rule.names("SELECT 1", [][]byte{nil}, 1); got == "s:" || !seen[got] {
+	// A NULL session parameter gives the session of the connection.
+	if got, _ := rule.sessionAndKey("SELECT 1", [][]byte{nil}, 1); got == "s:" || !seen[got] {
 		t.Errorf("no name gives the session %q", got)
 	}
 }
--- /dev/null
+++ b/internal/frontend/extended/statement.go
@@ -0,0 +1,112 @@
+package extended
+
+import (
+	"merlinjunction/internal/protocol/pg"
+)
+
+// preparedStatement is a statement that was parsed here. No host knows it: each request carries its text.
+type preparedStatement struct {
+	text           string
+	bare           string // the text without comments
+	parameterTypes []byte // OIDs, as encoded in the Parse message
+	rule           *Rule  // nil for an empty statement, and for one that the gateway answers itself
+
+	// localCommand and commandTag are set for a statement that the gateway answers itself.
+	localCommand localCommand
+	commandTag   string
+
+	named         bool   // it is in session.statements: its memory is reserved
+	description   []byte // ParameterDescription, and RowDescription or NoData; nil until a host has described it
+	reservedBytes int
+}
+
+// prepare classifies a statement: empty, answered by the gateway itself, or with the rule that applies to it.
+func (s *session) prepare(text string) (*preparedStatement, *pg.ErrorResponse) {
+	bare, count := scan(text)
+	st := &preparedStatement{text: text, bare: bare, reservedBytes: len(text) + len(bare) + overheadBytes}
+	if count > 1 {
+		return nil, &multipleStatements
+	}
+	if count == 0 {
+		return st, nil
+	}
+	if rejection := s.prepareLocalCommand(st); rejection != nil || st.localCommand != nil {
+		return st, rejection
+	}
+	if st.rule = s.frontend.Rules.match(bare); st.rule == nil {
+		return nil, &noMatchingRule
+	}
+	return st, nil
+}
+
+// handleParse handles Parse: statement name, text, parameter types.
+func (s *session) handleParse(fields *pg.FieldReader) error {
+	name, text := fields.Text(), fields.Text()
+	parameterTypes := fields.Bytes(parameterTypeSize * fields.Int16())
+	if !fields.End() {
+		return pg.ErrMalformed
+	}
+	if name == "" {
+		s.dropStatement("")
+	}
+	st, rejection := s.prepare(text)
+	switch {
+	case s.statements[name] != nil:
+		s.fail(duplicateStatement(name))
+	case rejection != nil:
+		s.fail(*rejection)
+	case len(s.statements) >= maxNames || !s.reserve(st.reservedBytes):
+		s.fail(memoryLimitExceeded)
+	default:
+		st.parameterTypes = append([]byte(nil), parameterTypes...)
+		st.named = true
+		s.statements[name] = st
+		s.output = pg.AppendMessage(s.output, pg.MsgParseComplete)
+	}
+	return nil
+}
+
+// handleClose handles Close: the kind of object, its name. Closing an unknown name is no error.
+func (s *session) handleClose(fields *pg.FieldReader) error {
+	kind, name := fields.Byte(), fields.Text()
+	if !fields.End() || !isObjectKind(kind) {
+		return pg.ErrMalformed
+	}
+	if kind == kindStatement {
+		s.closeStatement(name)
+	} else {
+		s.dropPortal(name)
+	}
+	s.output = pg.AppendMessage(s.output, pg.MsgCloseComplete)
+	return nil
+}
+
+// dropStatement removes a statement's name. Portals bound to it stay usable.
+func (s *session) dropStatement(name string) *preparedStatement {
+	st := s.statements[name]
+	if st != nil {
+		st.named = false
+		s.release(st.reservedBytes)
+		delete(s.statements, name)
+	}
+	return st
+}
+
+// closeStatement removes a statement, and the portals bound to it.
+func (s *session) closeStatement(name string) {
+	st := s.dropStatement(name)
+	if st == nil {
+		return
+	}
+	for portalName, p := range s.portals {
+		if p.statement == st {
+			s.dropPortal(portalName)
+		}
+	}
+}
+
+func (s *session) closeAllStatements() {
+	for name := range s.statements {
+		s.closeStatement(name)
+	}
+}
--- a/internal/protocol/pg/client.go
+++ b/internal/protocol/pg/client.go
@@ -216,7 +216,13 @@
 
 // Fatal says why the connection ends, and ends it.
 func (c *Client) Fatal(sqlstate, text string) {
-	c.Send(ErrorResponse{Fatal: true, State: sqlstate, Text: text}.Append(nil))
+	c.FatalError(ErrorResponse{State: sqlstate, Text: text})
+}
+
+// FatalError is Fatal with an error response, which becomes fatal.
+func (c *Client) FatalError(response ErrorResponse) {
+	response.Fatal = true
+	c.Send(response.Append(nil))
 	c.finish()
 }
 
