--- a/internal/frontend/platform/annotation.go
+++ b/internal/frontend/platform/annotation.go
@@ -32,13 +32,13 @@
 	clientRetry    bool
 }
 
-// complete reports whether all required values are set.
-func (a *annotation) complete() bool {
+// hasRequiredValues reports whether all required values are set.
+func (a *annotation) hasRequiredValues() bool {
 	return a.id != "" && a.class != "" && a.group >= 0 && a.timeLeftMs != 0
 }
 
-// set stores one value and returns false if it is invalid. Unknown names are ignored.
-func (a *annotation) set(name, value string) bool {
+// setValue stores one value and returns false if it is invalid. Unknown names are ignored.
+func (a *annotation) setValue(name, value string) bool {
 	switch name {
 	case annotationRequestID:
 		a.id = value
--- a/internal/frontend/platform/statement.go
+++ b/internal/frontend/platform/statement.go
@@ -39,7 +39,7 @@
 	if err := st.parseAnnotation(comment, len(sql)+len("/*")); err != nil {
 		return nil, err
 	}
-	if !st.annotation.complete() {
+	if !st.hasRequiredValues() {
 		return nil, errAnnotationIncomplete
 	}
 	return st, nil
@@ -60,7 +60,7 @@
 			st.deadlineStart = offset + leadingSpaces + len(annotationTimeLeft+"=")
 			st.deadlineEnd = st.deadlineStart + len(value)
 		}
-		if !st.annotation.set(name, value) {
+		if !st.setValue(name, value) {
 			return fmt.Errorf("the comment's %s has the value %q", name, value)
 		}
 		offset += len(pair) + len(",")
--- /dev/null
+++ b/internal/protocol/pg/answer.go
@@ -0,0 +1,58 @@
+package pg
+
+import "merlinjunction/routing"
+
+// maxAnswerBytes bounds the buffered part of a host's answer.
+const maxAnswerBytes = 256 << 10
+
+// MessageTypes returns the types of the messages in an answer, in order: one row is "TDC". It returns "?" for an answer
+// that doesn't consist of complete messages.
+func MessageTypes(answer []byte) string {
+	var types []byte
+	for len(answer) > 0 {
+		kind, _, size, err := SplitMessage(answer, maxAnswerBytes)
+		if err != nil || size == 0 {
+			return "?"
+		}
+		types, answer = append(types, kind), answer[size:]
+	}
+	return string(types)
+}
+
+// ColumnCount is the number of columns of the RowDescription or DataRow that an answer begins with.
+func ColumnCount(answer []byte) int {
+	_, body, _, _ := SplitMessage(answer, maxAnswerBytes)
+	return NewFieldReader(body).Int16()
+}
+
+// CommandTag is the tag of the CommandComplete that an answer begins with.
+func CommandTag(answer []byte) string {
+	_, body, _, _ := SplitMessage(answer, maxAnswerBytes)
+	return NewFieldReader(body).Text()
+}
+
+// outcomeOf is the outcome of an attempt by the SQLSTATE of its answer, "" for success.
+func outcomeOf(sqlState string) routing.Outcome {
+	switch sqlState {
+	case "":
+		return routing.OutcomeOK
+	case stateReadOnly, stateSnapshotTooOld:
+		return routing.OutcomeMisdirected
+	case StateTooManyConnections, StateCannotConnectNow:
+		return routing.OutcomeRejected
+	}
+	return routing.OutcomeError
+}
+
+// isStatementError reports whether an error is caused by the statement itself: any host would return it, and the client
+// gets it. The SQLSTATE classes 08, 25, 40, 53, 54, 57, 58, 72 and XX depend on the host or the moment instead.
+func isStatementError(sqlState string) bool {
+	if len(sqlState) != sqlStateLen {
+		return false
+	}
+	switch sqlState[:2] {
+	case "0A", "22", "23", "26", "42", "44", "P0":
+		return true
+	}
+	return false
+}
--- /dev/null
+++ b/internal/protocol/pg/client_pool.go
@@ -0,0 +1,119 @@
+package pg
+
+import (
+	"merlinjunction/internal/eventloop"
+)
+
+const (
+	// sweepIntervalMs is the time between two searches for stalled and idle connections.
+	sweepIntervalMs = 250.0
+	// minIdleMs is how long a connection must be idle to be evicted before the limit is reached.
+	minIdleMs = 100.0
+	// earlyEvictionPercent is the share of MaxClients above which a new connection evicts an idle one.
+	earlyEvictionPercent = 40
+	// maxLingering bounds the closing connections that wait for their clients to read the last message.
+	maxLingering = 32
+)
+
+// ClientPool is the set of client connections of one listener.
+type ClientPool struct {
+	Loop       *eventloop.Loop
+	MaxClients int
+	NewSession func(*Client) Session
+	// IdleTimeoutMs is how long a connection may be idle; 0 for no limit.
+	IdleTimeoutMs float64
+
+	clients      map[*Client]struct{} // nil until the first Accept
+	closingCount int                  // clients that are closing
+	draining     bool
+}
+
+// Accept takes over a descriptor of the listener. When all places are taken it evicts a connection, or else rejects the
+// new one.
+func (p *ClientPool) Accept(fd int) {
+	if p.clients == nil {
+		p.clients = map[*Client]struct{}{}
+		p.sweep()
+	}
+	conn, err := p.Loop.Adopt(fd, maxInputBytes)
+	if err != nil {
+		return // the client sees a closed connection
+	}
+	now := p.Loop.Clock.Now()
+	client := &Client{pool: p, conn: conn, lastActiveMs: now, messageDueSinceMs: now}
+	conn.SetHandler(client)
+	admitted := p.makePlace()
+	p.clients[client] = struct{}{}
+	if !admitted {
+		client.Fatal(StateTooManyConnections, "too many connections")
+	}
+}
+
+// makePlace reports whether there is a place for one more connection, and evicts one where that is needed.
+func (p *ClientPool) makePlace() bool {
+	open := len(p.clients) - p.closingCount
+	if open < p.MaxClients*earlyEvictionPercent/100 {
+		return true
+	}
+	return p.evict(minIdleMs) || open < p.MaxClients || p.CloseIdle()
+}
+
+// Count is the number of connections.
+func (p *ClientPool) Count() int { return len(p.clients) }
+
+// CloseIdle closes one connection to make place for another: the one whose message has been due longest, or else the one
+// that has been idle longest. It returns false when there is none. A connection that has only just been accepted is not
+// closed, because its first message is on the way.
+//
+// This protects clients against others that open hundreds of connections and send nothing, an incomplete message, or
+// one request only.
+func (p *ClientPool) CloseIdle() bool { return p.evict(0) }
+
+// evict is CloseIdle among the connections that are idle for at least some time.
+func (p *ClientPool) evict(minIdleMs float64) bool {
+	now := p.Loop.Clock.Now()
+	var candidate *Client
+	for client := range p.clients {
+		if client.evictable(now, minIdleMs) && (candidate == nil || client.evictedBefore(candidate)) {
+			candidate = client
+		}
+	}
+	if candidate == nil || candidate.hasNewInput() {
+		return false
+	}
+	candidate.close()
+	return true
+}
+
+// sweep closes the connections that hold a place without using it.
+func (p *ClientPool) sweep() {
+	now := p.Loop.Clock.Now()
+	for client := range p.clients {
+		client.closeIfStalled(now)
+	}
+	p.Loop.After(sweepIntervalMs, p.sweep)
+}
+
+// cancel cancels the statement in flight of the client with a key.
+func (p *ClientPool) cancel(key uint64) {
+	for client := range p.clients {
+		if client.cancelKey != key || !client.busy() {
+			continue
+		}
+		if canceler, ok := client.session.(Canceler); ok {
+			canceler.Cancel()
+		}
+		return
+	}
+}
+
+// Drain closes idle connections, and all others as soon as they are idle.
+func (p *ClientPool) Drain() {
+	p.draining = true
+	for client := range p.clients {
+		client.processInput()
+	}
+}
+
+// StopDraining ends a drain: connections stay open again.
+func (p *ClientPool) StopDraining() { p.draining = false }
--- /dev/null
+++ b/internal/protocol/pg/client_pool_test.go
@@ -0,0 +1,154 @@
+package pg
+
+import (
+	"maps"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"merlinjunction/internal/eventloop"
+)
+
+// stubSession takes every message and answers none.
+type stubSession struct{ busy bool }
+
+func (s *stubSession) Busy() bool                 { return s.busy }
+func (s *stubSession) Accepts(byte) bool          { return !s.busy }
+func (s *stubSession) HandleMessage(byte, []byte) { s.busy = true }
+func (s *stubSession) InPipeline() bool           { return false }
+func (s *stubSession) ClientGone()                {}
+
+// poolHarness is a ClientPool with a clock that the test moves.
+type poolHarness struct {
+	*ClientPool
+	t        *testing.T
+	now      float64
+	peerEnds map[*Client]int // descriptors of the clients' ends
+}
+
+func newPoolHarness(t *testing.T, pool *ClientPool) *poolHarness {
+	t.Helper()
+	h := &poolHarness{ClientPool: pool, t: t, now: 1000, peerEnds: map[*Client]int{}}
+	loop, err := eventloop.New(eventloop.ManualClock(&h.now))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { loop.Close() })
+	pool.Loop = loop
+	return h
+}
+
+// accept connects a client, one millisecond after the last event.
+func (h *poolHarness) accept() *Client {
+	h.t.Helper()
+	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.t.Cleanup(func() {
+		if err := unix.Close(fds[1]); err != nil {
+			h.t.Error(err)
+		}
+	})
+	h.now++
+	before := maps.Clone(h.clients)
+	h.Accept(fds[0])
+	for client := range h.clients {
+		if _, ok := before[client]; !ok {
+			h.peerEnds[client] = fds[1]
+			return client
+		}
+	}
+	return nil
+}
+
+// send writes from a client's end.
+func (h *poolHarness) send(client *Client, data []byte) {
+	h.t.Helper()
+	if _, err := unix.Write(h.peerEnds[client], data); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+func (h *poolHarness) open(client *Client) bool {
+	_, ok := h.clients[client]
+	return ok && !client.closing
+}
+
+// startSession puts a client past its first message.
+func startSession(client *Client) {
+	client.session = &stubSession{}
+	client.messageDueSinceMs = 0
+}
+
+// Clients that have sent one request and stay must not hold all places: otherwise each new client is closed for the
+// next one before its first request has come.
+func TestWhoMakesRoom(t *testing.T) {
+	h := newPoolHarness(t, &ClientPool{MaxClients: 2})
+	idle, first := h.accept(), h.accept()
+	startSession(idle)
+	idle.lastActiveMs = h.now - 100
+	if second := h.accept(); h.open(idle) || !h.open(first) || !h.open(second) {
+		t.Error("the idle connection was not evicted")
+	}
+	if third := h.accept(); h.open(third) || !h.open(first) {
+		t.Error("a connection that was just accepted was evicted")
+	}
+	h.now += firstMessageTimeoutMs
+	if fourth := h.accept(); h.open(first) || !h.open(fourth) {
+		t.Error("a connection without a first message was not evicted")
+	}
+	h.MaxClients = 100 // idle connections are evicted well below it: the clients' side is limited too
+	for range earlyEvictionPercent {
+		startSession(h.accept())
+	}
+	h.now += minIdleMs
+	if n := len(h.clients) - h.closingCount; h.accept() == nil || len(h.clients)-h.closingCount > n {
+		t.Errorf("%d connections, and no idle one was evicted", n)
+	}
+	h.MaxClients = 2
+	for client := range h.clients {
+		if len(h.clients) > 2 {
+			client.close()
+		}
+	}
+	for client := range h.clients { // both are idle; one has then sent a part of a message
+		startSession(client)
+		first = client
+	}
+	first.messageDueSinceMs = h.now
+	h.now += firstMessageTimeoutMs
+	for client := range h.clients {
+		h.send(client, AppendStrings(nil, MsgQuery, ""))
+	}
+	if h.accept(); !h.open(first) {
+		t.Error("a connection whose message has just come was evicted")
+	}
+	for client := range h.clients {
+		client.session = &stubSession{}
+	}
+	first.messageDueSinceMs = h.now
+	h.now += firstMessageTimeoutMs
+	if fifth := h.accept(); h.open(first) || !h.open(fifth) {
+		t.Error("a connection with an incomplete message was not evicted")
+	}
+}
+
+// An idle connection whose time is up must not be closed when the first part of a query has just come: a request that
+// was read in part would be lost.
+func TestAnIdleConnectionThatBeginsToAskIsKept(t *testing.T) {
+	h := newPoolHarness(t, &ClientPool{MaxClients: 10, IdleTimeoutMs: 2000})
+	client := h.accept()
+	startSession(client)
+	h.now += h.IdleTimeoutMs
+	query := AppendStrings(nil, MsgQuery, "a long query")
+	h.send(client, query[:9])
+	h.sweep()
+	if len(h.clients) != 1 {
+		t.Fatal("a connection was closed on the first part of a query")
+	}
+	h.send(client, query[9:])
+	if client.conn.ReadNow(); !client.session.Busy() {
+		t.Error("the rest of the query is not taken")
+	}
+}
--- /dev/null
+++ b/internal/protocol/pg/error_response.go
@@ -0,0 +1,108 @@
+package pg
+
+import (
+	"strconv"
+)
+
+// SQLSTATEs, with their condition names.
+const (
+	StateTooManyConnections = "53300" // too_many_connections: rejected, nothing was done
+	StateCannotConnectNow   = "57P03" // cannot_connect_now
+	StateNotSupported       = "0A000" // feature_not_supported
+	StateProtocol           = "08P01" // protocol_violation
+	StateSyntax             = "42601" // syntax_error
+	StateBadParameter       = "22023" // invalid_parameter_value
+	StateTooLarge           = "54000" // program_limit_exceeded
+	StateUnknownOutcome     = "40003" // statement_completion_unknown
+	StateNoStatement        = "26000" // invalid_sql_statement_name
+	StateNoPortal           = "34000" // invalid_cursor_name
+	StateDupStatement       = "42P05" // duplicate_prepared_statement
+	StateDupPortal          = "42P03" // duplicate_cursor
+	StateCanceled           = "57014" // query_canceled
+	StateNoDatabase         = "3D000" // invalid_catalog_name
+
+	stateReadOnly       = "25006" // read_only_sql_transaction
+	stateSnapshotTooOld = "72000" // snapshot_too_old
+)
+
+const sqlStateLen = 5
+
+// Field types of an ErrorResponse message.
+const (
+	fieldSeverity             = 'S'
+	fieldSeverityNonlocalized = 'V' // never translated
+	fieldSQLState             = 'C'
+	fieldMessage              = 'M'
+	fieldDetail               = 'D'
+)
+
+// ErrorResponse is an ErrorResponse message.
+type ErrorResponse struct {
+	Fatal  bool // the connection ends
+	State  string
+	Text   string
+	Detail string // optional
+}
+
+// Append appends the message.
+func (e ErrorResponse) Append(buf []byte) []byte {
+	severity := "ERROR"
+	if e.Fatal {
+		severity = "FATAL"
+	}
+	buf, mark := BeginMessage(buf, MsgError)
+	buf = appendErrorField(buf, fieldSeverity, severity)
+	buf = appendErrorField(buf, fieldSeverityNonlocalized, severity)
+	buf = appendErrorField(buf, fieldSQLState, e.State)
+	buf = appendErrorField(buf, fieldMessage, e.Text)
+	buf = appendErrorField(buf, fieldDetail, e.Detail)
+	return EndMessage(append(buf, 0), mark)
+}
+
+// appendErrorField appends a field unless it is empty.
+func appendErrorField(buf []byte, field byte, text string) []byte {
+	if text == "" {
+		return buf
+	}
+	return appendString(append(buf, field), text)
+}
+
+// sqlStateOf returns the SQLSTATE in the body of an ErrorResponse, "" when it has none.
+func sqlStateOf(body []byte) string {
+	fields := NewFieldReader(body)
+	for {
+		field := fields.Byte()
+		if field == 0 || fields.Malformed {
+			return ""
+		}
+		if text := fields.Text(); field == fieldSQLState {
+			return text
+		}
+	}
+}
+
+// RejectionError is the response to a request that was not run and may be retried. The detail is the Retry-After hint in
+// whole milliseconds, absent when retryAfterMs is 0.
+func RejectionError(retryAfterMs float64) ErrorResponse {
+	response := ErrorResponse{
+		State: StateTooManyConnections, Text: "refused, nothing was done; trying again is harmless",
+	}
+	if retryAfterMs > 0 {
+		response.Detail = strconv.Itoa(int(retryAfterMs))
+	}
+	return response
+}
+
+// UnknownOutcomeError is the response to a request that may or may not have run.
+func UnknownOutcomeError() ErrorResponse {
+	return ErrorResponse{State: StateUnknownOutcome, Text: "no answer from the database; the statement may have run"}
+}
+
+// FailureBody is the response to a request that has failed: the error of a host, or where that is nil
+// UnknownOutcomeError.
+func FailureBody(hostError []byte) []byte {
+	if hostError == nil {
+		return UnknownOutcomeError().Append(nil)
+	}
+	return hostError
+}
--- /dev/null
+++ b/internal/protocol/pg/health_check.go
@@ -0,0 +1,82 @@
+package pg
+
+import (
+	"math"
+	"strconv"
+	"strings"
+
+	"merlinjunction/routing"
+)
+
+// Names in a load report.
+const (
+	reportPosition = "x0" // in seconds since 1970
+	reportPrimary  = "x1" // 1 at the primary
+)
+
+const millisecondsPerSecond = 1000
+
+var (
+	_ Command = LoadReportQuery{}
+	_ Command = EmptyQuery{}
+)
+
+// LoadReportQuery is a health check that asks a host for its load report.
+type LoadReportQuery struct{}
+
+// AppendTo appends the query.
+func (LoadReportQuery) AppendTo(buf []byte, _ float64) []byte {
+	return AppendStrings(buf, MsgQuery, "SHOW server_load")
+}
+
+// Forwards accepts the messages of a query result, for ParseLoadReport.
+func (LoadReportQuery) Forwards(kind byte) bool {
+	return kind == MsgRowDescription || kind == MsgDataRow || kind == MsgComplete
+}
+
+// IsComplete requires one row.
+func (LoadReportQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "TDC" }
+
+// EmptyQuery is a health check for hosts without load reports. Its answer shows that the host is alive; the role is what
+// the host reported when the connection started, or since.
+type EmptyQuery struct{}
+
+// AppendTo appends the query.
+func (EmptyQuery) AppendTo(buf []byte, _ float64) []byte { return AppendStrings(buf, MsgQuery, "") }
+
+// Forwards accepts the answer to an empty query.
+func (EmptyQuery) Forwards(kind byte) bool { return kind == MsgEmptyQuery }
+
+// IsComplete requires the answer to an empty query.
+func (EmptyQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "I" }
+
+// ParseLoadReport parses the answer to a LoadReportQuery. The position is in milliseconds since 1970. It returns false
+// for an answer that is no load report, or one without a position.
+func ParseLoadReport(answer []byte) (role routing.Role, positionMs float64, ok bool) {
+	if !(LoadReportQuery{}).IsComplete(answer) {
+		return 0, 0, false
+	}
+	_, _, size, _ := SplitMessage(answer, maxAnswerBytes)
+	_, body, _, _ := SplitMessage(answer[size:], maxAnswerBytes)
+	fields := NewFieldReader(body)
+	if fields.Int16() != 1 {
+		return 0, 0, false
+	}
+	role = routing.RoleReplica
+	for pair := range strings.SplitSeq(string(fields.Value()), ",") {
+		name, text, _ := strings.Cut(pair, "=")
+		value, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
+		if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
+			continue
+		}
+		switch strings.TrimSpace(name) {
+		case reportPosition:
+			positionMs, ok = value*millisecondsPerSecond, true
+		case reportPrimary:
+			if value == 1 {
+				role = routing.RolePrimary
+			}
+		}
+	}
+	return role, positionMs, ok && !fields.Malformed
+}
--- /dev/null
+++ b/internal/protocol/pg/host_conn.go
@@ -0,0 +1,255 @@
+package pg
+
+import (
+	"errors"
+	"io"
+	"strconv"
+
+	"merlinjunction/internal/eventloop"
+	"merlinjunction/internal/proxy"
+	"merlinjunction/routing"
+)
+
+var (
+	_ proxy.UpstreamConn = (*hostConn)(nil)
+	_ eventloop.Handler  = (*hostConn)(nil)
+)
+
+// hostConn is a connection to a database host. It has one command in flight at a time.
+type hostConn struct {
+	dialer      *HostDialer
+	handler     proxy.UpstreamHandler
+	conn        *eventloop.Conn
+	established bool         // the host has accepted the connection
+	role        routing.Role // as last reported, with HostDialer.RoleOnChange
+	hostClosed  bool         // the host sends no more; what it has sent is still processed
+
+	command  Command // nil when none is in flight
+	written  bool    // the last byte of the command has been sent: it may run
+	response proxy.Response
+	sqlState string // of the answer's first error, "" for none
+
+	stream rowStream
+}
+
+// Send writes a command. The previous one must have been answered.
+func (c *hostConn) Send(command any, timeLeftMs float64) {
+	c.command = command.(Command)
+	c.written = false
+	c.response = proxy.Response{}
+	c.sqlState = ""
+	c.stream.active = false
+	c.conn.Write(c.command.AppendTo(nil, timeLeftMs))
+	c.notifyWritten()
+}
+
+// notifyWritten notifies the handler once the operating system has taken the last byte of the command.
+func (c *hostConn) notifyWritten() {
+	if c.command != nil && !c.written && c.conn.Pending() == 0 && c.conn.IsOpen() {
+		c.written = true
+		c.handler.RequestWritten()
+	}
+}
+
+// Close closes the connection without a notification.
+func (c *hostConn) Close() { c.conn.Close() }
+
+// Connected does nothing: the connection is established once the host has answered the startup message.
+func (c *hostConn) Connected() {}
+
+// Flushed is called when all output has been sent.
+func (c *hostConn) Flushed() { c.notifyWritten() }
+
+// Ended is called when the connection has broken, or the host sends no more. A streamed row is still forwarded as far
+// as the host has sent it.
+func (c *hostConn) Ended(err error) {
+	if errors.Is(err, io.EOF) && c.stream.active && len(c.conn.In()) > 0 && !c.hostClosed {
+		c.hostClosed = true
+		return
+	}
+	c.conn.Close()
+	if err == nil || errors.Is(err, io.EOF) {
+		err = io.ErrUnexpectedEOF
+	}
+	c.handler.ConnectionClosed(err)
+}
+
+// Data is called when the host has sent something, and when a streamed row can go on.
+func (c *hostConn) Data() {
+	c.processInput()
+	if c.hostClosed && c.conn.IsOpen() && len(c.conn.In()) == 0 {
+		c.Ended(io.ErrUnexpectedEOF)
+	}
+}
+
+func (c *hostConn) processInput() {
+	for c.conn.IsOpen() && (len(c.conn.In()) > 0 || len(c.stream.buffered) > 0) {
+		progress, err := c.processNext()
+		if err != nil {
+			c.Ended(err)
+			return
+		}
+		if !progress {
+			return
+		}
+	}
+}
+
+// processNext processes the next message or part of a streamed row. It returns false when it has to wait for more
+// input, or for the client to take more of a streamed row.
+func (c *hostConn) processNext() (progress bool, err error) {
+	if c.stream.pending() {
+		return c.forwardStream()
+	}
+	streamed, err := c.beginStream()
+	if err != nil {
+		return false, err
+	}
+	if streamed {
+		headerComplete := c.stream.rowBytesLeft > 0
+		return headerComplete, nil
+	}
+	return c.processMessage()
+}
+
+// processMessage processes the next message if it is complete.
+func (c *hostConn) processMessage() (progress bool, err error) {
+	maxLength := maxHostMessageSize(c.conn.In()[0])
+	if maxLength == 0 {
+		return false, errInvalidAnswer
+	}
+	kind, body, size, err := SplitMessage(c.conn.In(), maxLength)
+	if err != nil {
+		return false, err
+	}
+	if size == 0 {
+		return false, nil
+	}
+	readyForQuery, err := c.handleMessage(kind, body, c.conn.In()[:size])
+	if err != nil {
+		return false, err
+	}
+	c.conn.Consume(size)
+	if !readyForQuery {
+		return true, nil
+	}
+	if !c.established {
+		return true, c.finishStartup()
+	}
+	return true, c.finishResponse()
+}
+
+// handleMessage handles one message, whose encoding with the header is raw. It returns true for ReadyForQuery.
+func (c *hostConn) handleMessage(kind byte, body, raw []byte) (readyForQuery bool, err error) {
+	if !isWellFormed(kind, body) {
+		return false, errInvalidAnswer
+	}
+	switch kind {
+	case MsgReady:
+		if c.established && c.command == nil {
+			return false, errUnsolicitedMessage
+		}
+		return true, nil
+	case MsgParameterStatus:
+		c.handleParameterStatus(body)
+		return false, nil
+	case MsgNotice, MsgNotification:
+		return false, nil
+	case MsgError:
+		return false, c.handleError(body, raw)
+	}
+	return false, c.handleResult(kind, body, raw)
+}
+
+// handleParameterStatus takes the host's role or position from a parameter. Values that can't be parsed are ignored.
+func (c *hostConn) handleParameterStatus(body []byte) {
+	fields := NewFieldReader(body)
+	name, value := fields.Text(), fields.Text()
+	switch name {
+	case c.dialer.RoleParameter:
+		role := c.dialer.roleOf(value)
+		if role != routing.RoleUnknown {
+			c.response.Role = role
+		}
+		if c.dialer.RoleOnChange {
+			c.role = role
+		}
+	case c.dialer.PositionParameter:
+		if positionMs, err := strconv.ParseFloat(value, 64); err == nil {
+			c.response.PositionMs = positionMs
+		}
+	}
+}
+
+// handleError handles an ErrorResponse: the first one is the command's answer. Without a command the host rejects or
+// closes the connection.
+func (c *hostConn) handleError(body, raw []byte) error {
+	sqlState := sqlStateOf(body)
+	if c.command == nil {
+		return &ConnectionRejectedError{SQLState: sqlState}
+	}
+	if c.sqlState == "" {
+		c.sqlState = sqlState
+		c.response.Body = append(c.response.Body, raw...)
+	}
+	return nil
+}
+
+// handleResult handles a message that is part of the startup or of a command's result.
+func (c *hostConn) handleResult(kind byte, body, raw []byte) error {
+	switch {
+	case !c.established:
+		if kind == MsgAuthentication && NewFieldReader(body).Int32() != authenticationOK {
+			return errPasswordRequested
+		}
+	case c.command == nil:
+		return errUnsolicitedMessage
+	case c.command.Forwards(kind):
+		if len(c.response.Body)+len(raw) > maxAnswerBytes {
+			return ErrTooLarge
+		}
+		c.response.Body = append(c.response.Body, raw...)
+	case kind != MsgParseComplete && kind != MsgBindComplete:
+		return errInvalidAnswer
+	}
+	return nil
+}
+
+// finishStartup handles the first ReadyForQuery. More input after it is an error.
+func (c *hostConn) finishStartup() error {
+	c.response = proxy.Response{}
+	if len(c.conn.In()) > 0 {
+		return errInvalidAnswer
+	}
+	c.established = true
+	c.handler.Established()
+	return nil
+}
+
+// finishResponse hands a complete answer to the handler. When there is more input after it the connection takes no more
+// commands: that input could be taken for the next command's answer.
+func (c *hostConn) finishResponse() error {
+	if !c.responseComplete() {
+		return errInvalidAnswer
+	}
+	response := c.response
+	response.ConnectionEnds = len(c.conn.In()) > 0 || c.hostClosed
+	response.Outcome = outcomeOf(c.sqlState)
+	response.StatementError = isStatementError(c.sqlState)
+	if response.Role == routing.RoleUnknown {
+		response.Role = c.role
+	}
+	c.command, c.response = nil, proxy.Response{}
+	c.handler.ResponseReceived(response)
+	return nil
+}
+
+// responseComplete reports whether the answer is an error or a complete result. An error after a streamed row is
+// neither: the client has a part of the result already.
+func (c *hostConn) responseComplete() bool {
+	failed := c.sqlState != ""
+	if c.stream.active {
+		return !failed && c.command.(StreamingCommand).IsStreamComplete(c.response.Body)
+	}
+	return failed || c.command.IsComplete(c.response.Body)
+}
--- /dev/null
+++ b/internal/protocol/pg/host_dialer.go
@@ -0,0 +1,60 @@
+package pg
+
+import (
+	"merlinjunction/internal/eventloop"
+	"merlinjunction/internal/proxy"
+	"merlinjunction/routing"
+)
+
+// HostDialer opens connections to database hosts.
+type HostDialer struct {
+	Loop           *eventloop.Loop
+	User, Database string
+	// RoleParameter is the name of the ParameterStatus that reports a host's role: PrimaryValue or ReplicaValue.
+	RoleParameter, PrimaryValue, ReplicaValue string
+	// PositionParameter is the name of the ParameterStatus that reports a host's position, in milliseconds since 1970.
+	PositionParameter string
+	// RoleOnChange means that a host reports its role when the connection starts and whenever it changes, as
+	// PostgreSQL does with in_hot_standby. Otherwise it reports the role with each answer.
+	RoleOnChange bool
+}
+
+// NewHostDialer returns a HostDialer with the parameter names of the platform.
+func NewHostDialer(loop *eventloop.Loop) *HostDialer {
+	return &HostDialer{
+		Loop: loop, User: "svc", Database: "main",
+		RoleParameter: "node_role", PrimaryValue: "leader", ReplicaValue: "follower",
+		PositionParameter: "replay_position",
+	}
+}
+
+// Dial starts a connection to a host. The handler is notified of its progress.
+func (d *HostDialer) Dial(addr string, handler proxy.UpstreamHandler) (proxy.UpstreamConn, error) {
+	c := &hostConn{dialer: d, handler: handler}
+	var err error
+	if c.conn, err = d.Loop.Dial(addr, maxAnswerBytes, c); err != nil {
+		return nil, err
+	}
+	c.conn.Write(d.startupMessage())
+	return c, nil
+}
+
+func (d *HostDialer) startupMessage() []byte {
+	buf, mark := BeginMessage(nil, 0)
+	buf = append(buf, 0, 3, 0, 0) // the protocol's version
+	for _, text := range []string{"user", d.User, "database", d.Database, ""} {
+		buf = appendString(buf, text)
+	}
+	return EndMessage(buf, mark)
+}
+
+// roleOf returns the role that a value of RoleParameter stands for.
+func (d *HostDialer) roleOf(value string) routing.Role {
+	switch value {
+	case d.ReplicaValue:
+		return routing.RoleReplica
+	case d.PrimaryValue:
+		return routing.RolePrimary
+	}
+	return routing.RoleUnknown
+}
--- /dev/null
+++ b/internal/protocol/pg/host_message.go
@@ -0,0 +1,68 @@
+package pg
+
+const (
+	// maxHostMessageBytes bounds a host's messages other than rows.
+	maxHostMessageBytes = 32 << 10
+	// emptyMessageLength is the length field of a message without a body, plus the one byte of ReadyForQuery.
+	emptyMessageLength = lengthSize + 1
+	// columnDescriptionSize is the size of a column in a RowDescription after its name, in bytes.
+	columnDescriptionSize = 18
+	// parameterTypeSize is the size of a parameter type's OID, in bytes.
+	parameterTypeSize = 4
+)
+
+// maxHostMessageSize is the largest length of a message from a host, by its type, and 0 for a type that no host sends
+// to a gateway. A length is checked as soon as the header is there, so that the gateway never waits for gigabytes.
+func maxHostMessageSize(kind byte) int {
+	switch kind {
+	case MsgReady, MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQuery, MsgSuspended:
+		return emptyMessageLength
+	case MsgDataRow:
+		return MaxMessage
+	case MsgAuthentication, MsgBackendKeyData, MsgParameterStatus, MsgComplete, MsgError, MsgNotice, MsgNegotiate,
+		MsgNotification, MsgParamDesc, MsgRowDescription:
+		return maxHostMessageBytes
+	}
+	return 0
+}
+
+// isWellFormed reports whether the body of a host's message matches its type.
+func isWellFormed(kind byte, body []byte) bool {
+	fields := NewFieldReader(body)
+	switch kind {
+	case MsgReady:
+		return len(body) == 1 && isTransactionStatus(body[0])
+	case MsgParameterStatus:
+		fields.Text()
+		fields.Text()
+	case MsgComplete:
+		if fields.Text() == "" {
+			return false
+		}
+	case MsgError, MsgNotice:
+		for field := fields.Byte(); field != 0; field = fields.Byte() {
+			fields.Text()
+		}
+		return fields.End() && (kind == MsgNotice || len(sqlStateOf(body)) == sqlStateLen)
+	case MsgRowDescription:
+		for range fields.Int16() {
+			fields.Text()
+			fields.Bytes(columnDescriptionSize)
+		}
+	case MsgDataRow:
+		for range fields.Int16() {
+			fields.Value()
+		}
+	case MsgParamDesc:
+		fields.Bytes(parameterTypeSize * fields.Int16())
+	case MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQuery, MsgSuspended:
+	default:
+		return true
+	}
+	return fields.End()
+}
+
+// isTransactionStatus reports whether a byte is a status of ReadyForQuery: idle, in a transaction, in a failed one.
+func isTransactionStatus(status byte) bool {
+	return status == transactionIdle || status == 'T' || status == 'E'
+}
--- /dev/null
+++ b/internal/protocol/pg/row_stream.go
@@ -0,0 +1,83 @@
+package pg
+
+import "encoding/binary"
+
+const (
+	// minStreamedRowBytes is the length above which a row is streamed: a value of 64 KiB and the fields before it.
+	minStreamedRowBytes = 64<<10 + 64
+	// maxStreamedRowBytes is the length above which a row is rejected.
+	maxStreamedRowBytes = 4<<20 + 64
+	// streamReadAheadBytes bounds what is read from the host before the client has taken it.
+	streamReadAheadBytes = 32 << 10
+)
+
+// rowStream is a large row that is forwarded to the client while it arrives. It bounds the memory for large values, and
+// the time to the first byte.
+type rowStream struct {
+	active       bool   // a row of the current answer is, or was, streamed
+	buffered     []byte // messages of the answer that go to the client before the row
+	rowBytesLeft int    // of the row, with its header
+	validator    rowValidator
+}
+
+// pending reports whether something is left to be forwarded.
+func (s *rowStream) pending() bool { return len(s.buffered)+s.rowBytesLeft > 0 }
+
+// beginStream reports whether the input begins with a row that is to be streamed, and starts that once the row's header
+// is there: until then rowBytesLeft is 0.
+func (c *hostConn) beginStream() (bool, error) {
+	input := c.conn.In()
+	if input[0] != MsgDataRow || len(input) < headerSize || c.command == nil || c.sqlState != "" {
+		return false, nil
+	}
+	length := int(binary.BigEndian.Uint32(input[1:]))
+	command, canStream := c.command.(StreamingCommand)
+	if length <= minStreamedRowBytes || length > maxStreamedRowBytes || !canStream {
+		return false, nil
+	}
+	if len(input) < rowHeaderSize {
+		return true, nil
+	}
+	columns := NewFieldReader(input[headerSize:rowHeaderSize]).Int16()
+	if !command.CanStream(c.response.Body, columns) {
+		return false, errInvalidAnswer
+	}
+	if !c.stream.active && !c.handler.BeginStream(c.Data) {
+		return false, nil
+	}
+	c.stream = rowStream{
+		active:       true,
+		buffered:     c.response.Body,
+		rowBytesLeft: length + 1, // the length doesn't count the type byte
+		validator:    rowValidator{columnsLeft: columns, skip: rowHeaderSize},
+	}
+	c.response.Body = nil
+	c.conn.SetLimit(streamReadAheadBytes)
+	return true, nil
+}
+
+// forwardStream forwards as much as the client takes. It returns false when there is no more input, the client takes no
+// more now, or the connection was closed.
+func (c *hostConn) forwardStream() (progress bool, err error) {
+	stream := &c.stream
+	if len(stream.buffered) > 0 {
+		stream.buffered = stream.buffered[c.handler.StreamPart(stream.buffered):]
+		return len(stream.buffered) == 0, nil
+	}
+	part := c.conn.In()
+	part = part[:min(len(part), stream.rowBytesLeft)]
+	forwarded := c.handler.StreamPart(part)
+	if !c.conn.IsOpen() { // the client has gone
+		return false, nil
+	}
+	stream.validator.add(part[:forwarded])
+	stream.rowBytesLeft -= forwarded
+	if stream.rowBytesLeft == 0 {
+		c.conn.SetLimit(maxAnswerBytes)
+	}
+	c.conn.Consume(forwarded)
+	if stream.rowBytesLeft == 0 && !stream.validator.complete() {
+		return false, errInvalidAnswer
+	}
+	return forwarded == len(part), nil
+}
