--- /dev/null
+++ b/internal/protocol/simulator/decoder.go
@@ -0,0 +1,182 @@
+// Package simulator implements the simulator's text protocol: it decodes batches of events for package routing and
+// encodes the actions that answer them. It takes no decisions.
+package simulator
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"time"
+
+	"merlinjunction/routing"
+)
+
+// noInstance is the current instance before the first switch_to line of a batch.
+const noInstance = -1
+
+var (
+	errNoBatch            = errors.New("expected begin_batch")
+	errInputEndsInBatch   = errors.New("the input ends inside a batch")
+	errNoCurrentInstance  = errors.New("create: no switch_to came before it")
+	errInputEndsInSheet   = errors.New("sheet: the input ends inside it")
+	errTooFewValues       = errors.New("too few values")
+	errValueAbsent        = errors.New("a value is absent")
+	errNegativeResultMark = errors.New("a mark below 0")
+)
+
+// LineError is an error in a line of the input. Lines are counted from 1.
+type LineError struct {
+	Line int
+	Err  error
+}
+
+func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
+
+func (e *LineError) Unwrap() error { return e.Err }
+
+// Batch is what has come in at one time of the simulator's clock.
+type Batch struct {
+	Clock    time.Duration
+	Messages []Message
+}
+
+// Message is one message for one instance: exactly one of Create, Kill and Event is set.
+type Message struct {
+	Instance int
+	Create   *Create
+	Kill     bool
+	Event    routing.Event
+}
+
+// Create starts an instance.
+type Create struct {
+	Seed     uint64
+	Settings routing.Settings
+}
+
+// instance is what the decoder needs to decode the events of an instance.
+type instance struct {
+	classIndexes, tenantIndexes map[string]int // by name
+}
+
+// Decoder decodes batches.
+type Decoder struct {
+	lines     lineReader
+	sheets    endpointSheets // of the process: all instances share them
+	instances map[int]*instance
+	current   int // the instance of the lines that follow
+}
+
+// NewDecoder returns a Decoder that reads from r.
+func NewDecoder(r io.Reader) *Decoder {
+	return &Decoder{lines: newLineReader(r), instances: map[int]*instance{}, current: noInstance}
+}
+
+// Next returns the next batch, or io.EOF when the input ends between two batches. Any other error is a *LineError.
+func (d *Decoder) Next() (*Batch, error) {
+	batch, err := d.beginBatch()
+	if err != nil {
+		return nil, err
+	}
+	for {
+		line, err := d.lines.next()
+		if errors.Is(err, io.EOF) {
+			return nil, &LineError{Line: d.lines.number + 1, Err: errInputEndsInBatch}
+		}
+		if err != nil {
+			return nil, err
+		}
+		if line == "your_turn" {
+			return batch, nil
+		}
+		message, err := d.decodeMessage(newFields(line))
+		if err != nil {
+			return nil, d.lines.fault(err)
+		}
+		if message != nil {
+			message.Instance = d.current
+			batch.Messages = append(batch.Messages, *message)
+		}
+	}
+}
+
+func (d *Decoder) beginBatch() (*Batch, error) {
+	line, err := d.lines.next()
+	if err != nil {
+		return nil, err
+	}
+	f := newFields(line)
+	if f.word() != "begin_batch" {
+		return nil, d.lines.fault(errNoBatch)
+	}
+	batch := &Batch{Clock: f.milliseconds()}
+	if err := f.end(); err != nil {
+		return nil, d.lines.fault(err)
+	}
+	d.current = noInstance
+	return batch, nil
+}
+
+// decodeMessage decodes one line of a batch, and the lines of a sheet. It returns nil for a line that is no message to
+// an instance.
+func (d *Decoder) decodeMessage(f *fields) (*Message, error) {
+	name := f.word()
+	switch name {
+	case "switch_to":
+		d.current = f.integer(math.MaxInt32)
+		return nil, f.end()
+	case "sheet":
+		return nil, d.decodeSheet(f)
+	case "create":
+		return d.decodeCreate(f)
+	}
+	decodeEvent, known := eventDecoders[name]
+	if !known && name != "kill" {
+		return nil, fmt.Errorf("unknown message %q", name)
+	}
+	in := d.instances[d.current]
+	if in == nil {
+		return nil, fmt.Errorf("%s: instance %d was not created", name, d.current)
+	}
+	if name == "kill" {
+		delete(d.instances, d.current)
+		return &Message{Kill: true}, f.end()
+	}
+	event := decodeEvent(d, in, f)
+	if err := f.end(); err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	if event == nil {
+		return nil, nil
+	}
+	return &Message{Event: event}, nil
+}
+
+func (d *Decoder) decodeCreate(f *fields) (*Message, error) {
+	create := &Create{Seed: f.unsigned()}
+	text := f.rest()
+	if err := f.end(); err != nil {
+		return nil, fmt.Errorf("create: %w", err)
+	}
+	if d.current == noInstance {
+		return nil, errNoCurrentInstance
+	}
+	var err error
+	if create.Settings, err = DecodeSettings(text); err != nil {
+		return nil, fmt.Errorf("create: %w", err)
+	}
+	d.instances[d.current] = newInstance(create.Settings)
+	return &Message{Create: create}, nil
+}
+
+func newInstance(settings routing.Settings) *instance {
+	in := &instance{classIndexes: map[string]int{}, tenantIndexes: map[string]int{}}
+	for i, class := range settings.Classes {
+		in.classIndexes[class.Name] = i
+	}
+	for i, tenant := range settings.Tenants {
+		in.tenantIndexes[tenant.Name] = i
+	}
+	return in
+}
--- /dev/null
+++ b/internal/protocol/simulator/sheet.go
@@ -0,0 +1,80 @@
+package simulator
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"strconv"
+
+	"merlinjunction/routing"
+)
+
+const sheetSlots = 16
+
+// endpointStates maps the protocol's numbers.
+var endpointStates = [...]routing.EndpointState{
+	0: routing.StateGone,
+	1: routing.StateReady,
+	2: routing.StateDraining,
+}
+
+// endpointSheets are the numbered endpoint lists that view events refer to. Slots are reused.
+type endpointSheets struct {
+	endpoints [sheetSlots][]routing.Endpoint
+	filled    [sheetSlots]bool
+}
+
+// lookup returns the list of a slot, whose number may be any text.
+func (s *endpointSheets) lookup(slot string) ([]routing.Endpoint, error) {
+	index, err := strconv.Atoi(slot)
+	if err != nil || index < 0 || index >= sheetSlots || !s.filled[index] {
+		return nil, fmt.Errorf("sheet %s was never filled", slot)
+	}
+	return s.endpoints[index], nil
+}
+
+// decodeSheet decodes a sheet line and its member lines.
+func (d *Decoder) decodeSheet(f *fields) error {
+	slot := f.integer(sheetSlots - 1)
+	count := f.integer(math.MaxInt32)
+	if err := f.end(); err != nil {
+		return fmt.Errorf("sheet: %w", err)
+	}
+	var endpoints []routing.Endpoint
+	for range count {
+		line, err := d.lines.next()
+		if errors.Is(err, io.EOF) {
+			return errInputEndsInSheet
+		}
+		if err != nil {
+			return err
+		}
+		endpoint, err := decodeMember(newFields(line))
+		if err != nil {
+			return err
+		}
+		endpoints = append(endpoints, endpoint)
+	}
+	d.sheets.endpoints[slot] = endpoints
+	d.sheets.filled[slot] = true
+	return nil
+}
+
+func decodeMember(f *fields) (routing.Endpoint, error) {
+	if name := f.word(); name != "member" {
+		return routing.Endpoint{}, fmt.Errorf("sheet: expected member, not %q", name)
+	}
+	endpoint := routing.Endpoint{ID: f.text()}
+	endpoint.Zone = f.word()
+	f.word() // kind of machine
+	endpoint.Primary = f.optional() == "1"
+	endpoint.Group = f.integer(math.MaxInt32)
+	endpoint.State = endpointStates[f.integer(len(endpointStates)-1)]
+	f.word() // weight
+	endpoint.StartedAt = f.milliseconds()
+	if err := f.end(); err != nil {
+		return routing.Endpoint{}, fmt.Errorf("member: %w", err)
+	}
+	return endpoint, nil
+}
