--- a/routing/consistency.go
+++ b/routing/consistency.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// completeWrite takes in that a write was committed at a position. The primary applies a session's writes
+// completeWrite records that a write was committed at a position. The primary applies a session's writes
 // in order, so a write that is the last of its dirty set completes all of them.
 func (r *Router) completeWrite(request *request, committed Position) {
 	request.mayHaveRun = false
@@ -119,7 +119,7 @@
 	return required
 }
 
-// onSiblingProcess takes in that another process of this gateway has begun or ceased to serve requests.
+// onSiblingProcess handles that another process of this gateway has begun or ceased to serve requests.
 // While it does, any session may write through it (see sessionPosition). Once it has ceased, all that it
 // wrote lies before this moment.
 func (r *Router) onSiblingProcess(event SiblingProcess) {
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -7,7 +7,7 @@
 )
 
 // The endpoint list, and which hosts it leaves in service. The list is often out of date: a host that it
-// names as primary is only tried first (see primary.go).
+// names as primary only gets the first writes (see primary.go).
 
 const (
 	// subscribeRetryInterval is how long after a failed poll the endpoint list is asked for again.
@@ -17,7 +17,7 @@
 	goneHostRetention = 30 * time.Second
 )
 
-// onEndpointUpdate takes in the endpoint list or changes of it.
+// onEndpointUpdate applies the endpoint list or changes of it.
 func (r *Router) onEndpointUpdate(update EndpointUpdate) {
 	if update.Failed {
 		r.subscribeAt = r.now + subscribeRetryInterval
@@ -59,7 +59,7 @@
 	return count
 }
 
-// applyEndpoint takes in one entry of the list.
+// applyEndpoint applies one entry of the list.
 func (r *Router) applyEndpoint(endpoint Endpoint, update EndpointUpdate) {
 	host := r.hosts[endpoint.ID]
 	if host == nil {
@@ -97,7 +97,7 @@
 	return added
 }
 
-// setEndpointState takes in the state that the list gives a host.
+// setEndpointState records the state that the list gives a host.
 func (r *Router) setEndpointState(host *host, state EndpointState, update EndpointUpdate) {
 	if state != StateReady && host.State == StateReady {
 		host.drainNotifiedAt = update.effectiveNotifiedAt(r.now)
--- a/routing/events.go
+++ b/routing/events.go
@@ -36,7 +36,7 @@
 	RoleReplica
 )
 
-// Outcome says how an attempt or a health check ended.
+// Outcome is how an attempt or a health check ended.
 type Outcome int
 
 // The outcomes. OutcomeMisdirected, OutcomeRejected, OutcomeNoConnection and OutcomeNotSent prove that
--- a/routing/host.go
+++ b/routing/host.go
@@ -22,8 +22,8 @@
 	lastOutcomeAt time.Duration // when something last came from it
 
 	openAttempts []*attempt // oldest first
-	strikes      float64    // answers that it owes; see addStrike
-	unresponsive bool       // it owes answers and nothing has come from it since, or it takes no connection
+	strikes      float64    // overdue answers and refused connections; they fade; see addStrike
+	unresponsive bool       // nothing comes from it, or it refuses connections; see outlier.go
 	ejectedUntil time.Duration
 
 	concurrencyLimit  float64       // open attempts that it may have from this gateway
@@ -39,7 +39,7 @@
 	h.openAttempts = slices.DeleteFunc(h.openAttempts, func(open *attempt) bool { return open == ended })
 }
 
-// hostRole tells the primary of a group from its replicas, as an index.
+// hostRole distinguishes the primary of a group from its replicas. It is used as an index.
 type hostRole int
 
 const (
--- a/routing/lag.go
+++ b/routing/lag.go
@@ -51,7 +51,7 @@
 	r.emit(HealthCheck{host.ID})
 }
 
-// onHealthCheckResult takes in a load report. It may be older than other evidence: a primary's position is
+// onHealthCheckResult handles a load report. It may be older than other evidence: a primary's position is
 // the time of its report, and the report counts for the role only if it is the newest evidence.
 func (r *Router) onHealthCheckResult(event HealthCheckResult) {
 	host := r.hosts[event.Host]
@@ -70,7 +70,7 @@
 	}
 }
 
-// observeAttemptResult takes in what an attempt's result tells about its host: role, position, and lag.
+// observeAttemptResult records what an attempt's result shows about its host: role, position, and lag.
 func (r *Router) observeAttemptResult(ended *attempt, event AttemptResult) {
 	isWrite := ended.request.class.Consistency == ConsistencyWrite
 	switch event.Outcome {
@@ -89,7 +89,7 @@
 	}
 }
 
-// observeStalenessCheck takes in how a replica's check of a read ended: a replica that answered had the
+// observeStalenessCheck records how a replica's check of a read ended: a replica that answered had the
 // required position when the read was sent, one that rejected it had not.
 func (r *Router) observeStalenessCheck(ended *attempt, event AttemptResult) {
 	replica := ended.host
@@ -106,7 +106,7 @@
 	}
 }
 
-// observePosition takes in that a host has applied a position, 0 where it is unknown. The report may be as
+// observePosition records that a host has applied a position, 0 where it is unknown. The report may be as
 // old as the lag that it shows, so it can lower a known lag but never raise it.
 func (r *Router) observePosition(host *host, reported Position) {
 	if reported <= 0 {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -11,7 +11,7 @@
 //   - ejected: it gets nothing until ejectedUntil. That is rejectionEjectionTime after it rejected a request,
 //     and connectFailureEjectionTime, or with strikes longer, after it refused a connection.
 //   - unresponsive: it has a strike, and nothing came from it during one more attempt; or it refuses
-//     connections although they aren't scarce. While a primary is unresponsive, another is sought (see
+//     connections although they aren't scarce. While a primary is unresponsive, writes search another (see
 //     primary.go). Anything that comes from it ends it.
 //
 // A restart in the endpoint list ends strikes and unresponsiveness, IncludeHost ends all three.
@@ -49,7 +49,7 @@
 	lastHost *host   // that failed
 }
 
-// failed takes in a failure at a host.
+// failed counts a failure at a host.
 func (f *movingFailureShare) failed(at *host) {
 	if at != f.lastHost {
 		f.lastHost = at
@@ -57,7 +57,7 @@
 	}
 }
 
-// succeeded takes in an answer.
+// succeeded counts an answer.
 func (f *movingFailureShare) succeeded() { f.share *= 1 - failureShareGain }
 
 // recordOutcome counts the end of an attempt for or against its host.
@@ -95,9 +95,9 @@
 	}
 }
 
-// saysNothingAboutHost reports whether the end of an attempt tells nothing about its host: the answer had
+// isInconclusive reports whether the end of an attempt shows nothing about its host: the answer had
 // begun already, nothing was sent, the gateway cancelled it, or its time was nearly over when it was sent.
-// (A lost connection says that the host was there, and no more: recordOutcome counts it for nothing else.)
+// A lost connection shows that the host is up, and no more: recordOutcome counts it for nothing else.
 func (r *Router) isInconclusive(ended *attempt, outcome Outcome) bool {
 	if ended.streaming {
 		return true
@@ -111,7 +111,7 @@
 	return false
 }
 
-// recordAnswer takes in an answer: how long it took, and that its host serves.
+// recordAnswer counts an answer: its latency, and that its host serves.
 func (r *Router) recordAnswer(ended *attempt) {
 	latency := r.now - ended.sentAt
 	r.connectFailures.succeeded()
@@ -122,7 +122,7 @@
 }
 
 // recordRequestCausedError reports whether an outcome is an error that the request causes at whichever host
-// is tried: such errors are quick and move from host to host. They don't count against hosts, and the
+// is used: such errors are quick and move from host to host. They don't count against hosts, and the
 // request is not retried. Several hosts that fail quickly at the same time look alike.
 func (r *Router) recordRequestCausedError(ended *attempt, outcome Outcome) bool {
 	quickWithin := quickErrorLatencyShare * r.latencyOf(ended.request).meanSeconds
@@ -137,9 +137,9 @@
 	return ended.request.causedError
 }
 
-// recordConnectFailure takes in a refused connection and ejects the host, the longer the more strikes it
-// has. Where one host after another refuses while others answer, connections are scarce and the hosts are
-// well: none becomes unresponsive, so no other primary is sought. Many hosts that are really down at the
+// recordConnectFailure counts a refused connection and ejects the host, the longer the more strikes it has.
+// Where one host after another refuses while others answer, connections are scarce and the hosts are well:
+// none becomes unresponsive, so writes don't search another primary. Many hosts that are really down at the
 // same time look alike.
 func (r *Router) recordConnectFailure(host *host) {
 	r.connectFailures.failed(host)
@@ -158,8 +158,8 @@
 // sent.
 func (a *attempt) nothingReceivedSince() bool { return a.host.lastOutcomeAt < a.sentAt }
 
-// addStrike takes in that a host owes an answer. nothingReceived says that nothing at all has come from it
-// since it got the request: if that happens again soon, it is unresponsive.
+// addStrike counts an overdue answer or a refused connection. nothingReceived means that nothing has come
+// from the host since it got the request: if that happens again soon, it is unresponsive.
 func (r *Router) addStrike(host *host, nothingReceived bool) {
 	isRepeated := host.hasRecentStrike()
 	host.strikes = min(host.strikes+1, maxStrikes)
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -21,7 +21,7 @@
 	pausedUntil  time.Duration
 }
 
-// observeRole takes in the role that a host gives itself.
+// observeRole records the role that a host gives itself.
 func (r *Router) observeRole(host *host, role Role) {
 	group := host.group
 	switch role {
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -18,7 +18,7 @@
 	positionCheckTimeout = 50 * time.Millisecond
 )
 
-// replicaFitness says how well a host suits a read.
+// replicaFitness is how well a host suits a read.
 type replicaFitness int
 
 const (
--- a/routing/request.go
+++ b/routing/request.go
@@ -25,7 +25,7 @@
 
 	shed        bool            // the only hosts for it are warming up and get enough already
 	gateDrawn   [hostRoles]bool // the admission gate of a role was drawn for it already
-	causedError bool            // hosts answer it with quick errors, whichever is tried
+	causedError bool            // any host answers it with a quick error; see recordRequestCausedError
 	finished    bool            // it has its final answer, or its client is gone
 }
 
@@ -42,7 +42,7 @@
 	streaming        bool     // part of its answer has reached the client
 }
 
-// onRequest takes in a new request. It waits in its group until dispatchWaiting, in the same Step.
+// onRequest accepts a new request. It waits in its group until dispatchWaiting, in the same Step.
 func (r *Router) onRequest(event Request) {
 	if event.Class < 0 || event.Class >= len(r.settings.Classes) || r.requests[event.ID] != nil {
 		return
@@ -58,7 +58,7 @@
 	group.waiting = append(group.waiting, arrived)
 }
 
-// onAttemptResult takes in the end of an attempt. The request ends with it or waits to be dispatched again.
+// onAttemptResult handles the end of an attempt. The request ends with it or waits to be dispatched again.
 func (r *Router) onAttemptResult(event AttemptResult) {
 	request := r.requests[event.Request]
 	if request == nil || request.openAttempt == nil || request.openAttempt.number != event.Attempt {
@@ -88,7 +88,7 @@
 	request.group.waiting = append(request.group.waiting, request)
 }
 
-// onStreamStarted takes in that an answer has begun to reach the client. The host has done its part in
+// onStreamStarted handles that an answer has begun to reach the client. The host has done its part in
 // time; how long the rest takes depends on the client too, so the attempt no longer counts against the
 // host's limit.
 func (r *Router) onStreamStarted(event StreamStarted) {
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -31,8 +31,8 @@
 	return r.mayRepeat(request)
 }
 
-// hasWaited reports whether a request arrived before this moment. What has just arrived is tried in any
-// case.
+// hasWaited reports whether a request arrived before this moment. What has just arrived is attempted
+// in any case.
 func (r *Router) hasWaited(request *request) bool { return r.now > request.arrivedAt }
 
 // deadlineIsDue reports whether a request's deadline has passed, or would pass before it is looked at
@@ -41,8 +41,8 @@
 	if r.now >= request.deadline {
 		return true
 	}
-	nextLook := r.now + 2*r.settings.TickInterval + r.scaleToObjective(waitingCheckInterval)
-	return r.hasWaited(request) && nextLook >= request.deadline
+	nextCheck := r.now + 2*r.settings.TickInterval + r.scaleToObjective(waitingCheckInterval)
+	return r.hasWaited(request) && nextCheck >= request.deadline
 }
 
 // isUnseenTooLong reports whether half of a request's time has passed and no attempt has reached a host.
@@ -51,8 +51,8 @@
 	if request.reachedHost || !r.hasWaited(request) {
 		return false
 	}
-	nextLook := r.now + r.scaleToObjective(waitingCheckInterval)
-	return nextLook >= request.arrivedAt+request.TimeLeft/2
+	nextCheck := r.now + r.scaleToObjective(waitingCheckInterval)
+	return nextCheck >= request.arrivedAt+request.TimeLeft/2
 }
 
 // isTooLateToCount reports whether an answer would come after the latency objective to a request whose late
@@ -65,8 +65,8 @@
 	return earliestAnswer >= min(request.arrivedAt+request.class.LatencyObjective, request.deadline)
 }
 
-// mayRepeat reports whether it does no harm to send a request (again): it has not run, or hosts bear or
-// drop its repeat.
+// mayRepeat reports whether it does no harm to send a request (again): it has not run, is idempotent, or
+// hosts drop its repeat.
 func (r *Router) mayRepeat(request *request) bool {
 	if !request.mayHaveRun {
 		return true
--- a/routing/router.go
+++ b/routing/router.go
@@ -79,7 +79,7 @@
 	return r, nil
 }
 
-// Step takes in what has happened up to now and returns what to do, in order.
+// Step handles what has happened up to now and returns what to do, in order.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
 	r.now, r.actions = max(now, r.now), nil
 	for _, event := range events {
@@ -126,8 +126,8 @@
 // currentPosition is the position of a host that has applied everything up to now.
 func (r *Router) currentPosition() Position { return r.now - r.settings.PositionEpoch }
 
-// log writes a line for the operators: what has happened to a host. Lines within logInterval of the last one
-// are dropped.
+// log writes a line for the operators: what has happened to a host. Lines within logInterval of the last
+// one are dropped.
 func (r *Router) log(host *host, whatHappened string) {
 	if r.lastLogAt > 0 && r.now < r.lastLogAt+logInterval {
 		return
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -10,7 +10,7 @@
 // has applied all commits. Zero means unknown.
 type Position = time.Duration
 
-// Consistency says how new the data behind an answer must be.
+// Consistency is how new the data behind an answer must be.
 type Consistency int
 
 // The consistency levels of a class.
@@ -22,7 +22,7 @@
 	ConsistencyWrite                      // a write: only the primary accepts it
 )
 
-// Idempotency says whether a request that may have run can be sent again.
+// Idempotency is whether a request that may have run can be sent again.
 type Idempotency int
 
 // The idempotency levels of a class.
@@ -32,7 +32,7 @@
 	NotIdempotent                        // must never run twice
 )
 
-// StalenessCheck says what a replica does with a read that needs a newer position than it has applied.
+// StalenessCheck is what a replica does with a read that needs a newer position than it has applied.
 type StalenessCheck int
 
 // The ways in which replicas check.
