--- /dev/null
+++ b/membership/config.go
@@ -0,0 +1,126 @@
+package membership
+
+import (
+	"fmt"
+	"net/netip"
+)
+
+// Limits of a member's fields in bytes, so that one record always fits into a datagram.
+const (
+	MaxName    = 64
+	MaxZone    = 32
+	MaxPayload = 64
+)
+
+// Config is the configuration of a View.
+type Config struct {
+	Name    string         // 1 to MaxName bytes, unique in the fleet
+	Addr    netip.AddrPort // where the others reach this member
+	Zone    string         // up to MaxZone bytes
+	Payload []byte         // up to MaxPayload bytes; opaque to this package
+	BootID  uint64         // random, not 0
+	Seeds   []netip.AddrPort
+	Version uint8 // of messages; 0: the newest
+	Tuning
+}
+
+// Tuning holds the protocol's durations in milliseconds and counts. 0 stands for the default, which docs/membership.md
+// derives.
+type Tuning struct {
+	ProbeIntervalMs    float64 // between two regular probes of a member
+	ProbeRetryMs       float64 // least time between two attempts of a probe
+	GossipIntervalMs   float64 // between two rounds of gossip while there are rumors
+	SuspicionTimeoutMs float64 // from a quorum of accusers to dead
+	DeadRetentionMs    float64 // for which dead members are remembered and probed
+	LeftRetentionMs    float64 // for which members that left are remembered
+	DeathQuorum        int     // accusers that make a member dead, or all live members if there are fewer
+	IndirectProbes     int     // members that are asked to probe a target that doesn't answer
+}
+
+// The defaults of Tuning.
+const (
+	defaultProbeIntervalMs    = 350
+	defaultProbeRetryMs       = 100
+	defaultGossipIntervalMs   = 100
+	defaultSuspicionTimeoutMs = 500
+	defaultDeadRetentionMs    = 600_000
+	defaultLeftRetentionMs    = 30_000
+	defaultDeathQuorum        = 4
+	defaultIndirectProbes     = 4
+)
+
+// The bounds of Tuning.
+const (
+	minDurationMs     = 10
+	maxDurationMs     = 1e8
+	maxIndirectProbes = maxAccusers
+)
+
+// ConfigError is the error of New for a field of Config with an invalid value.
+type ConfigError struct {
+	Field   string // in lower case, or "tuning" for a field of Tuning
+	Problem string
+}
+
+func (e *ConfigError) Error() string { return e.Field + ": " + e.Problem }
+
+func configError(field, format string, args ...any) error {
+	return &ConfigError{Field: field, Problem: fmt.Sprintf(format, args...)}
+}
+
+// check validates the configuration and fills in the defaults. Its errors are of type *ConfigError.
+func (c *Config) check() error {
+	switch {
+	case c.Name == "" || len(c.Name) > MaxName:
+		return configError("name", "1 to %d bytes are needed, %q has %d", MaxName, c.Name, len(c.Name))
+	case !c.Addr.IsValid() || c.Addr.Port() == 0:
+		return configError("address", "the others need an address and a port")
+	case len(c.Zone) > MaxZone:
+		return configError("zone", "%q is longer than %d bytes", c.Zone, MaxZone)
+	case len(c.Payload) > MaxPayload:
+		return configError("payload", "%d bytes, %d at most", len(c.Payload), MaxPayload)
+	case c.BootID == 0:
+		return configError("boot", "0 tells no processes apart")
+	case c.Version > Version:
+		return configError("version", "%d is not spoken, %d at most", c.Version, Version)
+	}
+	if err := c.Tuning.check(); err != nil {
+		return err
+	}
+	if c.Version == 0 {
+		c.Version = Version
+	}
+	return nil
+}
+
+// check validates the tuning and fills in the defaults.
+func (t *Tuning) check() error {
+	for _, duration := range []struct {
+		ms        *float64
+		defaultMs float64
+	}{
+		{&t.ProbeIntervalMs, defaultProbeIntervalMs},
+		{&t.ProbeRetryMs, defaultProbeRetryMs},
+		{&t.GossipIntervalMs, defaultGossipIntervalMs},
+		{&t.SuspicionTimeoutMs, defaultSuspicionTimeoutMs},
+		{&t.DeadRetentionMs, defaultDeadRetentionMs},
+		{&t.LeftRetentionMs, defaultLeftRetentionMs},
+	} {
+		if *duration.ms == 0 {
+			*duration.ms = duration.defaultMs
+		}
+		if !(*duration.ms >= minDurationMs && *duration.ms <= maxDurationMs) {
+			return configError("tuning", "%v ms is out of range", *duration.ms)
+		}
+	}
+	if t.DeathQuorum == 0 {
+		t.DeathQuorum = defaultDeathQuorum
+	}
+	if t.IndirectProbes == 0 {
+		t.IndirectProbes = defaultIndirectProbes
+	}
+	if t.DeathQuorum < 1 || t.DeathQuorum > maxAccusers || t.IndirectProbes < 1 || t.IndirectProbes > maxIndirectProbes {
+		return configError("tuning", "observers and helpers have to be 1 to %d", maxAccusers)
+	}
+	return nil
+}
--- /dev/null
+++ b/membership/config_test.go
@@ -0,0 +1,30 @@
+package membership
+
+import (
+	"errors"
+	"net/netip"
+	"strings"
+	"testing"
+)
+
+func TestConfigErrorNamesTheField(t *testing.T) {
+	for field, change := range map[string]func(*Config){
+		"name":    func(c *Config) { c.Name = strings.Repeat("x", MaxName+1) },
+		"address": func(c *Config) { c.Addr = netip.AddrPort{} },
+		"zone":    func(c *Config) { c.Zone = strings.Repeat("z", MaxZone+1) },
+		"payload": func(c *Config) { c.Payload = make([]byte, MaxPayload+1) },
+		"boot":    func(c *Config) { c.BootID = 0 },
+		"version": func(c *Config) { c.Version = Version + 1 },
+		"tuning":  func(c *Config) { c.ProbeIntervalMs = -1 },
+	} {
+		t.Run(field, func(t *testing.T) {
+			cfg := Config{Name: "a", Addr: addrOf(1), BootID: 1}
+			change(&cfg)
+			_, err := New(cfg, 1)
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) || configErr.Field != field || !strings.HasPrefix(err.Error(), field) {
+				t.Errorf("error: %v", err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/membership/health.go
@@ -0,0 +1,78 @@
+package membership
+
+const (
+	maxHealthScore          = 8
+	healthRecoveryMs        = 1000.0 // an answered probe improves the score once in this time
+	maxHealthScoreAfterLoss = 2      // after a time without answers: the network was at fault rather than this member
+	lateStepPenaltyMs       = 1000.0 // of lateness for one point, besides the one for any late step
+	maxLateStepPenalty      = 2
+)
+
+// localHealth is Lifeguard's local health multiplier: a member that has reason to doubt itself stretches its time-outs.
+type localHealth struct {
+	score     int     // 0 is healthy
+	improveAt float64 // earliest time of the next improvement
+}
+
+// factor stretches time-outs.
+func (h *localHealth) factor() float64 { return 1 + float64(h.score)/2 }
+
+// degrade counts evidence that this member is at fault.
+func (h *localHealth) degrade() { h.score = min(maxHealthScore, h.score+1) }
+
+// penalizeLateStep counts a step that came so much too late.
+func (h *localHealth) penalizeLateStep(now, lateMs float64) {
+	h.score = min(maxHealthScore, h.score+1+int(min(lateMs/lateStepPenaltyMs, maxLateStepPenalty)))
+	h.improveAt = now + healthRecoveryMs
+}
+
+// improve counts an answered probe.
+func (h *localHealth) improve(now float64) {
+	if now >= h.improveAt {
+		h.score = max(0, h.score-1)
+		h.improveAt = now + healthRecoveryMs
+	}
+}
+
+// endOfSilence takes back what a time without any answer has added.
+func (h *localHealth) endOfSilence() { h.score = min(h.score, maxHealthScoreAfterLoss) }
+
+// silenceMs is a time without messages after which this member accuses nobody, and without answers after which failures
+// of that time are not counted.
+const silenceMs = 1000.0
+
+// noteDirectAck records an answer to this member's own probe.
+func (v *View) noteDirectAck() {
+	if v.now-v.lastAckAt > silenceMs {
+		v.acksResumedAt = v.now
+		v.health.endOfSilence()
+	}
+	v.lastAckAt = v.now
+}
+
+// isSilent reports whether this member has received no message for a while. It would not receive a refutation either.
+func (v *View) isSilent() bool { return v.now-v.lastReceivedAt >= silenceMs }
+
+// hasResumedRecently reports whether the process did not run a short time ago.
+func (v *View) hasResumedRecently() bool { return v.now-v.resumedAt < resumeGraceMs }
+
+// mayAccuse reports whether this member may trust its own observations.
+func (v *View) mayAccuse() bool {
+	return v.joined && !v.hasResumedRecently() && !v.isSilent() &&
+		v.status != StatusIsolated && v.status != StatusDisputed
+}
+
+const (
+	burstWindowMs   = 2000.0
+	burstFailures   = 3  // accusations and deaths within burstWindowMs
+	burstFleetShare = 10 // in a small fleet one failure for each so many members is enough
+)
+
+// isFailureBurst reports whether so many members failed recently that speed matters more than traffic: probes come as
+// fast as their attempts, gossip twice as often.
+func (v *View) isFailureBurst() bool {
+	for len(v.failuresAt) > 0 && v.now-v.failuresAt[0] > burstWindowMs {
+		v.failuresAt = v.failuresAt[1:]
+	}
+	return len(v.failuresAt) >= min(max(1, (len(v.live)+1)/burstFleetShare), burstFailures)
+}
--- /dev/null
+++ b/membership/leave.go
@@ -0,0 +1,27 @@
+package membership
+
+import "slices"
+
+// leaveFanout is how many members are notified when this member leaves. They gossip it.
+const leaveFanout = 16
+
+// leave makes this member leave the fleet.
+func (v *View) leave() {
+	v.self.State = Left
+	if v.joined {
+		v.announceLeave()
+	}
+	v.setStatus(StatusLeft, "told to leave")
+}
+
+func (v *View) announceLeave() {
+	var notified []*member
+	for range leaveFanout {
+		receiver := v.randomMember(func(m *member) bool { return slices.Contains(notified, m) })
+		if receiver == nil {
+			continue
+		}
+		notified = append(notified, receiver)
+		v.send(receiver.Addr, receiver, &Message{Kind: Gossip, Rumors: []Rumor{v.self.rumor(Left)}}, 0)
+	}
+}
--- /dev/null
+++ b/membership/refutation.go
@@ -0,0 +1,34 @@
+package membership
+
+// handleRumorAboutSelf refutes whatever others believe of this member but that it is alive in its present incarnation.
+func (v *View) handleRumorAboutSelf(r *Rumor) {
+	switch {
+	case r.State == Alive && r.Incarnation <= v.self.Incarnation:
+	case r.Incarnation >= v.self.Incarnation:
+		if r.State != Alive {
+			v.counters.refutations++
+			v.health.degrade()
+		}
+		v.advanceIncarnation(r.Incarnation)
+	case r.State == Dead && v.now-v.lastRefutedAt > refutationTimeMs:
+		v.disputedAt = append(v.disputedAt, v.now)
+	}
+}
+
+// handleRumorsAboutSelf handles only those rumors of a message that are about this member.
+func (v *View) handleRumorsAboutSelf(rumors []Rumor) {
+	for i := range rumors {
+		if rumors[i].Subject == v.id {
+			v.handleRumorAboutSelf(&rumors[i])
+		}
+	}
+}
+
+// advanceIncarnation takes an incarnation above the present one and above another one.
+func (v *View) advanceIncarnation(above uint64) {
+	v.toggleDigest(v.self)
+	v.self.Incarnation = max(above, v.self.Incarnation) + 1
+	v.toggleDigest(v.self)
+	v.lastRefutedAt = v.now
+	v.enqueueRumor(v.self, true)
+}
--- /dev/null
+++ b/membership/send_test.go
@@ -0,0 +1,44 @@
+package membership
+
+import "testing"
+
+// Members of an older version take part; they get one accuser in a rumor, and no payload.
+func TestOlderVersion(t *testing.T) {
+	c := newCluster(t, 6)
+	for i := 3; i < 6; i++ {
+		c.stop(i)
+	}
+	c.run(40_000)
+	for i := 3; i < 6; i++ {
+		c.start(i, Config{Version: 1, BootID: 100})
+	}
+	c.run(3000)
+	c.step(0, SetPayload{[]byte("payload")})
+	c.isCut = func(from, to int, m *Message) bool {
+		if to >= 3 || from >= 3 {
+			wantVersion1(t, from, to, m)
+		}
+		return false
+	}
+	c.run(1000)
+	c.stop(2)
+	c.run(6000)
+	c.wantState(Dead, "g2", 0, 1, 3, 4, 5)
+	if got := string(c.member(1, "g0").Payload); got != "payload" {
+		t.Errorf("g1 knows the payload %q", got)
+	}
+}
+
+func wantVersion1(t *testing.T, from, to int, m *Message) {
+	t.Helper()
+	for _, r := range m.Rumors {
+		if len(r.Accusers) > 1 {
+			t.Errorf("g%d sends g%d %d accusers", from, to, len(r.Accusers))
+		}
+	}
+	for _, r := range m.Records {
+		if r.Payload != nil {
+			t.Errorf("g%d sends g%d a payload", from, to)
+		}
+	}
+}
--- /dev/null
+++ b/membership/status.go
@@ -0,0 +1,62 @@
+package membership
+
+// Status is what a member thinks of itself.
+type Status uint8
+
+// The statuses.
+const (
+	StatusJoining   Status = iota // no member has accepted it yet; it tries again and again
+	StatusHealthy                 // it takes part
+	StatusSlow                    // it gets too little processor time or too few answers: it accuses later
+	StatusIsolated                // it receives no messages although there should be other members
+	StatusDisputed                // others declare it dead although it refutes that
+	StatusNameTaken               // another process lives under its name: it stays out and tries again and again
+	StatusLeft                    // it has left
+)
+
+// String is the status's name in logs and reports.
+func (s Status) String() string {
+	return [...]string{"joining", "fine", "slow", "deaf", "unheard", "taken", "gone"}[s]
+}
+
+// MarshalText is the status's name.
+func (s Status) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+
+const (
+	isolatedAfterMs  = 1500.0 // without any message
+	refutationTimeMs = 1500.0 // for a refutation to reach the others: a later declaration of death disputes it
+	disputeWindowMs  = 3000.0
+	disputeCount     = 3 // declarations of death within disputeWindowMs
+	slowHealthScore  = 3 // a slow member is healthy again at 0
+)
+
+// updateStatus determines this member's status.
+func (v *View) updateStatus() {
+	for len(v.disputedAt) > 0 && v.now-v.disputedAt[0] > disputeWindowMs {
+		v.disputedAt = v.disputedAt[1:]
+	}
+	if v.status == StatusLeft || v.status == StatusNameTaken && !v.joined {
+		return
+	}
+	others := len(v.live) + len(v.dead)
+	switch {
+	case !v.joined:
+		v.setStatus(StatusJoining, "nobody has let it in")
+	case others > 0 && v.now-v.lastReceivedAt > isolatedAfterMs:
+		v.setStatus(StatusIsolated, "nobody is heard")
+	case len(v.disputedAt) >= disputeCount && v.now-v.lastAckAt > isolatedAfterMs:
+		v.setStatus(StatusDisputed, "others call it dead, whatever it answers")
+	case v.health.score >= slowHealthScore || v.status == StatusSlow && v.health.score > 0:
+		v.setStatus(StatusSlow, "answers or processor time come late")
+	default:
+		v.setStatus(StatusHealthy, "answers come in time")
+	}
+}
+
+// setStatus reports a status if it has changed.
+func (v *View) setStatus(status Status, cause string) {
+	if v.status != status {
+		v.status = status
+		v.actions = append(v.actions, StatusChanged{status, cause})
+	}
+}
--- /dev/null
+++ b/membership/status_test.go
@@ -0,0 +1,86 @@
+package membership
+
+import (
+	"slices"
+	"strings"
+	"testing"
+)
+
+// A member that receives nothing is isolated; it accuses nobody.
+func TestIsolated(t *testing.T) {
+	c := newCluster(t, 6)
+	c.isCut = func(_, to int, _ *Message) bool { return to == 2 }
+	c.run(6000)
+	if !slices.Contains(c.statusChanges, "g2 deaf") || !c.views[2].Summary().Partial {
+		t.Errorf("statuses of g2: %v", c.statusChanges)
+	}
+	for _, change := range c.memberChanges {
+		if strings.HasPrefix(change, "g2 ") && !strings.Contains(change, "unreachable") {
+			t.Errorf("g2 accuses: %v", change)
+		}
+	}
+	c.isCut = nil
+	c.run(4000)
+	for i := range c.views {
+		c.wantState(Alive, "g2", i)
+		c.wantState(Alive, "g0", i)
+	}
+}
+
+// A member whose messages don't arrive learns that it is declared dead.
+func TestDisputed(t *testing.T) {
+	c := newCluster(t, 6)
+	c.isCut = func(from, _ int, _ *Message) bool { return from == 2 }
+	c.run(9000)
+	if !slices.Contains(c.statusChanges, "g2 unheard") {
+		t.Errorf("statuses of g2: %v", c.statusChanges)
+	}
+	c.wantState(Dead, "g2", 0, 1, 3, 4, 5)
+	c.isCut = nil
+	c.run(4000)
+	c.wantState(Alive, "g2", 0, 1, 3, 4, 5)
+}
+
+// A cut between two members, in one direction or both, makes neither dead.
+func TestOnePairIsCut(t *testing.T) {
+	for name, both := range map[string]bool{"one direction": false, "both directions": true} {
+		t.Run(name, func(t *testing.T) {
+			c := newCluster(t, 5)
+			c.isCut = func(from, to int, _ *Message) bool { return from == 1 && to == 3 || both && from == 3 && to == 1 }
+			c.run(20_000)
+			if c.countChanges("dead")+c.countChanges("unreachable") > 0 {
+				t.Errorf("changes: %v", c.memberChanges)
+			}
+		})
+	}
+}
+
+// Two halves go on, know that they are a part, and merge.
+func TestHalves(t *testing.T) {
+	c := newCluster(t, 8)
+	c.isCut = func(from, to int, _ *Message) bool { return from/4 != to/4 }
+	c.run(6000)
+	for i, v := range c.views {
+		if got := v.Summary(); got.Alive != 4 || !got.Partial {
+			t.Errorf("g%d sees %+v", i, got)
+		}
+	}
+	c.isCut = nil
+	c.run(4000)
+	for i, v := range c.views {
+		if got := v.Summary(); got.Alive != 8 || got.Partial {
+			t.Errorf("after the heal g%d sees %+v", i, got)
+		}
+	}
+}
+
+// With two members nobody can confirm a failure, so the other one is unreachable and not dead.
+func TestTwoOfTwo(t *testing.T) {
+	c := newCluster(t, 2)
+	c.stop(1)
+	c.run(5000)
+	c.wantState(Unreachable, "g1", 0)
+	if got := c.views[0].Summary(); !got.Partial || got.Status != StatusIsolated {
+		t.Errorf("g0 sees %+v", got)
+	}
+}
