--- a/internal/frontend/management/management_test.go
+++ b/internal/frontend/management/management_test.go
@@ -55,8 +55,10 @@
 		{name: "no fleet", method: "GET", path: "/api/members", status: 404,
 			want: "no fleet is set up: the operator's file has no [fleet]"},
 		{name: "metrics", method: "GET", path: "/metrics", status: 200, want: "metric 1"},
-		{name: "exclude", method: "PUT", path: "/api/exclude", body: `{"id":"a"}`, status: 200, want: "yes", call: "exclude a"},
-		{name: "include", method: "PUT", path: "/api/include", body: ` {"id":"a"} `, status: 200, want: "yes", call: "include a"},
+		{name: "exclude", method: "PUT", path: "/api/exclude", body: `{"id":"a"}`, status: 200, want: "yes",
+			call: "exclude a"},
+		{name: "include", method: "PUT", path: "/api/include", body: ` {"id":"a"} `, status: 200, want: "yes",
+			call: "include a"},
 		{name: "unknown host", method: "PUT", path: "/api/exclude", body: `{"id":"b"}`, status: 404,
 			want: `no database host "b" is known`, call: "exclude b"},
 		{name: "no body", method: "PUT", path: "/api/exclude", status: 400, want: badBody},
@@ -84,7 +86,8 @@
 
 // Scripts and dashboards read these objects: their keys are pinned.
 func TestJSONKeys(t *testing.T) {
-	g := &stubGateway{fleet: &Fleet{Name: "f", Self: "a", Status: "fine", Alive: 1, Members: []Member{{Name: "a", ForMs: 2}}}}
+	members := []Member{{Name: "a", ForMs: 2}}
+	g := &stubGateway{fleet: &Fleet{Name: "f", Self: "a", Status: "fine", Alive: 1, Members: members}}
 	for path, want := range map[string]string{
 		"/api/telemetry": `{"replies":{"read":{"success":1,"overload":2,"error":3}},` +
 			`"dispatches":4,"concurrent":5,"targets":6,"targets_disabled":7,"reload_success":8,"reload_failure":9}`,
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -15,6 +15,8 @@
 const (
 	// reservedDescriptors are for files, epoll, discovery and health checks.
 	reservedDescriptors = 48
+	// hostConnectionPercent is the part of the other descriptors that is for connections to hosts; the rest is for clients.
+	hostConnectionPercent = 40
 	// platformClientIdleMs is the idle timeout of the platform's clients: they open a new connection when they need one.
 	platformClientIdleMs = 2000.0
 )
@@ -22,7 +24,7 @@
 // open sets up the proxy core, the frontend and all listeners.
 func (s *Server) open() error {
 	s.connectionBudget = descriptorLimit(s.config.Sockets) - reservedDescriptors
-	s.hostConnectionLimit = s.connectionBudget * 2 / 5
+	s.hostConnectionLimit = s.connectionBudget * hostConnectionPercent / 100
 	if err := s.openCore(); err != nil {
 		return err
 	}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -3,7 +3,7 @@
 import "go.uber.org/zap"
 
 const (
-	// A configuration that can't be read at SIGHUP may still be being written: it is read again after reloadRetryMs, up to
+	// A configuration that can't be read at SIGHUP may be incomplete: it is read again every reloadRetryMs,
 	// maxReloadAttempts times in all.
 	reloadRetryMs     = 100.0
 	maxReloadAttempts = 30
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -43,7 +43,7 @@
 	hostConnectionLimit int // of them for hosts
 
 	watcher              *discovery.Watcher // nil without discovery
-	discoveryWaitEndMs   float64            // clients are accepted then, endpoint list or not
+	discoveryWaitEndMs   float64            // from then on the gateway is ready without an endpoint list
 	endpointListReceived bool
 
 	transport *transport.Transport // nil without a fleet
@@ -53,8 +53,8 @@
 	reloadFailures  int
 	reloadSuccesses int
 
-	evacuated       bool             // new clients are rejected, by an operator's order
-	evacuationTimer *eventloop.Timer // until idle clients are disconnected
+	evacuated       bool             // not ready, by an operator's order
+	evacuationTimer *eventloop.Timer // until clients are disconnected as they become idle
 
 	shuttingDown         bool
 	shutdownStartedMs    float64
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -3,10 +3,12 @@
 const (
 	// drainNoticeMs is how long clients are accepted after SIGTERM: load balancers go on sending them for a while.
 	drainNoticeMs = 500.0
-	// Clients have until the longest deadline of a request to finish, minDrainMs at least, and drainMarginMs more.
+	// Connected clients have as long as the longest deadline of a request to finish, minDrainMs at least, and
+	// drainMarginMs more.
 	minDrainMs    = 3000.0
 	drainMarginMs = 300.0
-	// The platform sends SIGKILL after SIGTERM by the longest deadline, maxKillDeadlineMs at most, and killMarginMs.
+	// The platform sends SIGKILL so long after SIGTERM: the longest deadline of a request, maxKillDeadlineMs at most, and
+	// killMarginMs more.
 	maxKillDeadlineMs = 3000.0
 	killMarginMs      = 700.0
 	// finalResponseMarginMs is how long before the end the last responses are written.
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -15,6 +15,8 @@
 const (
 	// siblingPollMs is the interval at which the shared state is read.
 	siblingPollMs = 100.0
+	// takeoverPollMs is the interval at which a process beside a sibling checks whether it can serve clients.
+	takeoverPollMs = 5.0
 	// takeoverDelayMs is the time from the start until clients are accepted beside a sibling, which has noticed this
 	// process by then.
 	takeoverDelayMs = 200.0
@@ -58,7 +60,7 @@
 			s.log.Info("accepting clients", zap.Bool("has_sibling", s.hasSibling))
 			return
 		}
-		s.loop.After(idlePollMs, check)
+		s.loop.After(takeoverPollMs, check)
 	}
 	check()
 }
