--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -15,7 +15,8 @@
 const (
 	// reservedDescriptors are for files, epoll, discovery and health checks.
 	reservedDescriptors = 48
-	// hostConnectionPercent is the part of the other descriptors that is for connections to hosts; the rest is for clients.
+	// hostConnectionPercent is the part of the other descriptors that is for connections to hosts. The rest is for
+	// clients.
 	hostConnectionPercent = 40
 	// platformClientIdleMs is the idle timeout of the platform's clients: they open a new connection when they need one.
 	platformClientIdleMs = 2000.0
