--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter lets the simulator drive package routing: it reads batches of events from standard input and writes
-// a reply to each to standard output, with one routing.Router for each instance.
+// Command simadapter lets the simulator drive package routing: it reads batches of events from standard input and
+// writes a reply to each to standard output, with one routing.Router for each instance.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,14 +6,17 @@
 	"testing"
 )
 
-const create = `create 1 {"Balancers": 1, "Services": [{"Name": "read", "Effect": "read_like", "Group": "all", "AimMs": 500,` +
-	` "HardLimitMs": 2000}], "MembershipMode": "automatic", "FamilyInfo": {"ServerChecks": "refuse",` +
+// createLine creates an instance with one class of reads.
+const createLine = `create 1 {"Balancers": 1, "Services": [{"Name": "read", "Effect": "read_like", "Group": "all",` +
+	` "AimMs": 500, "HardLimitMs": 2000}], "MembershipMode": "automatic", "FamilyInfo": {"ServerChecks": "refuse",` +
 	` "Tokens": "remembered", "NeedsByClass": ["any"], "MaxAgeMs": [0]}, "Permissions": {"MaxAttempts": 8},` +
 	` "Rules": {"DrainGraceMs": 250, "ColdFrom": 0.25, "ColdMs": 16000, "TipMultiple": 2.5}}` + "\n"
 
-const list = "sheet 0 1\nmember a:1 z k 0 1 1 1 -\nview 1 0 2\n"
+// endpointLines give the instance one host.
+const endpointLines = "sheet 0 1\nmember a:1 z k 0 1 1 1 -\nview 1 0 2\n"
 
-func play(t *testing.T, input string) (string, error) {
+// runAdapter answers an input of whole batches.
+func runAdapter(t *testing.T, input string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := run(strings.NewReader(input), &out)
@@ -21,38 +24,38 @@
 }
 
 func TestEmptyBatchAndCleanEnd(t *testing.T) {
-	out, err := play(t, "begin_batch 1\nyour_turn\n")
+	out, err := runAdapter(t, "begin_batch 1\nyour_turn\n")
 	if err != nil || out != "yield\n" {
 		t.Fatalf("got %q, %v", out, err)
 	}
 }
 
 func TestInputThatEndsInsideABatchIsAnError(t *testing.T) {
-	if _, err := play(t, "begin_batch 1\n"); err == nil {
+	if _, err := runAdapter(t, "begin_batch 1\n"); err == nil {
 		t.Fatal("no error")
 	}
 }
 
 func TestBadSettingIsNamed(t *testing.T) {
-	bad := strings.Replace(create, `"MaxAttempts": 8`, `"MaxAttempts": 0`, 1)
-	if _, err := play(t, "begin_batch 1\nswitch_to 0\n"+bad+"your_turn\n"); err == nil ||
+	bad := strings.Replace(createLine, `"MaxAttempts": 8`, `"MaxAttempts": 0`, 1)
+	if _, err := runAdapter(t, "begin_batch 1\nswitch_to 0\n"+bad+"your_turn\n"); err == nil ||
 		!strings.Contains(err.Error(), "MaxAttempts") {
 		t.Fatalf("got %v", err)
 	}
 }
 
 func TestKillAndCreateInOneBatch(t *testing.T) {
-	start := "begin_batch 1000\nswitch_to 0\n" + create + list + "your_turn\n"
-	again := "begin_batch 1010\nswitch_to 0\ndemand 7 - read 1 - - - 900 0\nkill\n" + create + list +
+	start := "begin_batch 1000\nswitch_to 0\n" + createLine + endpointLines + "your_turn\n"
+	again := "begin_batch 1010\nswitch_to 0\ndemand 7 - read 1 - - - 900 0\nkill\n" + createLine + endpointLines +
 		"demand 8 - read 1 - - - 900 0\nyour_turn\n"
-	out, err := play(t, start+again)
+	out, err := runAdapter(t, start+again)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if strings.Contains(out, "attempt 7") || !strings.Contains(out, "attempt 8 a:1") {
 		t.Fatalf("the new instance answers for its own request only, got %q", out)
 	}
-	out, err = play(t, start+"begin_batch 1010\nswitch_to 0\nkill\nyour_turn\n")
+	out, err = runAdapter(t, start+"begin_batch 1010\nswitch_to 0\nkill\nyour_turn\n")
 	if err != nil || !strings.HasSuffix(out, "yield\nyield\n") {
 		t.Fatalf("a killed instance says nothing, got %q, %v", out, err)
 	}
--- a/internal/frontend/extended/describe.go
+++ b/internal/frontend/extended/describe.go
@@ -60,7 +60,7 @@
 	for rest := st.description; len(rest) > 0; {
 		kind, body, size, err := pg.SplitMessage(rest, pg.MaxMessage)
 		if err != nil || size == 0 {
-			s.fail(pg.UnknownOutcomeError())
+			s.fail(pg.UnknownOutcomeResponse())
 			return
 		}
 		switch {
--- a/internal/frontend/extended/errors.go
+++ b/internal/frontend/extended/errors.go
@@ -42,7 +42,7 @@
 
 func duplicateStatement(name string) pg.ErrorResponse {
 	return pg.ErrorResponse{
-		State: pg.StateDupStatement, Text: "prepared statement " + strconv.Quote(name) + " exists",
+		State: pg.StateDuplicateStatement, Text: "prepared statement " + strconv.Quote(name) + " exists",
 	}
 }
 
@@ -51,7 +51,7 @@
 }
 
 func duplicatePortal(name string) pg.ErrorResponse {
-	return pg.ErrorResponse{State: pg.StateDupPortal, Text: "portal " + strconv.Quote(name) + " exists"}
+	return pg.ErrorResponse{State: pg.StateDuplicatePortal, Text: "portal " + strconv.Quote(name) + " exists"}
 }
 
 func portalAlreadyExecuted(name string) pg.ErrorResponse {
--- a/internal/frontend/extended/execute.go
+++ b/internal/frontend/extended/execute.go
@@ -101,7 +101,7 @@
 	}
 	requestID, accepted := s.frontend.Core.Submit(request)
 	if !accepted {
-		s.fail(pg.RejectionError(0))
+		s.fail(pg.RejectionResponse(0))
 		return
 	}
 	s.inFlight = true
--- a/internal/frontend/extended/portal.go
+++ b/internal/frontend/extended/portal.go
@@ -4,17 +4,9 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// Kinds of objects in Describe and Close messages.
-const (
-	kindStatement = 'S'
-	kindPortal    = 'P'
-)
-
 // maxFormatCode is the binary format; 0 is text.
 const maxFormatCode = 1
 
-func isObjectKind(kind byte) bool { return kind == kindStatement || kind == kindPortal }
-
 // portal is a statement with its parameters.
 type portal struct {
 	statement     *preparedStatement
@@ -112,7 +104,7 @@
 	for rest := answer; len(rest) > 0; {
 		kind, _, size, err := pg.SplitMessage(rest, pg.MaxMessage)
 		if err != nil || size == 0 {
-			s.fail(pg.UnknownOutcomeError())
+			s.fail(pg.UnknownOutcomeResponse())
 			return
 		}
 		if kind == pg.MsgDataRow {
@@ -143,7 +135,7 @@
 	}
 	p.bufferedRows = p.bufferedRows[count:]
 	if len(p.bufferedRows) > 0 {
-		s.output = pg.AppendMessage(s.output, pg.MsgSuspended)
+		s.output = pg.AppendMessage(s.output, pg.MsgPortalSuspended)
 		return
 	}
 	s.output = append(s.output, p.lastMessage...)
--- a/internal/frontend/extended/responder.go
+++ b/internal/frontend/extended/responder.go
@@ -19,7 +19,9 @@
 }
 
 // Reject responds that nothing was done, so that the client may retry.
-func (s *session) Reject(retryAfterMs float64) { s.Fail(pg.RejectionError(retryAfterMs).Append(nil)) }
+func (s *session) Reject(retryAfterMs float64) {
+	s.Fail(pg.RejectionResponse(retryAfterMs).Append(nil))
+}
 
 // Fail forwards the error of a host; without one the outcome of the statement is unknown.
 func (s *session) Fail(hostError []byte) {
--- a/internal/frontend/extended/session_test.go
+++ b/internal/frontend/extended/session_test.go
@@ -7,9 +7,9 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// A statement whose rule names no session belongs to the session of its connection. No other connection, at the same time
-// or later, has that session, and no client can name it: a session stamp or a write in flight of one client never counts
-// for another.
+// A statement whose rule names no session belongs to the session of its connection. No other connection, at the same
+// time or later, has that session, and no client can name it: a session stamp or a write in flight of one client never
+// counts for another.
 func TestSessionsOfConnectionsAreTheirOwn(t *testing.T) {
 	frontend := &Frontend{Rules: &Rules{Databases: map[string]int{"main": 0}}}
 	rule := &Rule{Pattern: regexp.MustCompile("SELECT"), SessionParam: 1}
--- a/internal/frontend/extended/statement.go
+++ b/internal/frontend/extended/statement.go
@@ -66,21 +66,6 @@
 	return nil
 }
 
-// handleClose handles Close: the kind of object, its name. Closing an unknown name is no error.
-func (s *session) handleClose(fields *pg.FieldReader) error {
-	kind, name := fields.Byte(), fields.Text()
-	if !fields.End() || !isObjectKind(kind) {
-		return pg.ErrMalformed
-	}
-	if kind == kindStatement {
-		s.closeStatement(name)
-	} else {
-		s.dropPortal(name)
-	}
-	s.output = pg.AppendMessage(s.output, pg.MsgCloseComplete)
-	return nil
-}
-
 // dropStatement removes a statement's name. Portals bound to it stay usable.
 func (s *session) dropStatement(name string) *preparedStatement {
 	st := s.statements[name]
--- a/internal/protocol/pg/answer_test.go
+++ b/internal/protocol/pg/answer_test.go
@@ -6,7 +6,7 @@
 	"merlinjunction/routing"
 )
 
-func TestWhatAnAnswerSaysOfTheAttempt(t *testing.T) {
+func TestOutcomeOfSQLState(t *testing.T) {
 	for state, want := range map[string]routing.Outcome{
 		"":      routing.OutcomeOK,
 		"25006": routing.OutcomeMisdirected,
--- a/internal/protocol/pg/client_idle.go
+++ b/internal/protocol/pg/client_idle.go
@@ -32,8 +32,8 @@
 	return other.messageDueSinceMs == 0 && c.lastActiveMs < other.lastActiveMs
 }
 
-// hasNewInput reads once more before a connection is closed, and reports whether something has come. A request that has
-// been read in part counts as accepted, and must not be lost.
+// hasNewInput reads once more before a connection is closed, and reports whether something has come. A request that
+// has been read in part counts as accepted, and must not be lost.
 func (c *Client) hasNewInput() bool {
 	inputBefore, startedBefore := len(c.conn.In()), c.session != nil
 	c.conn.ReadNow()
@@ -43,8 +43,8 @@
 	return c.session != nil && (c.session.Busy() || !startedBefore)
 }
 
-// closeIfStalled closes a connection that holds its place without using it: it is idle for too long, its answers are not
-// read, or its message stays incomplete.
+// closeIfStalled closes a connection that holds its place without using it: it is idle for too long, its answers are
+// not read, or its message stays incomplete.
 func (c *Client) closeIfStalled(now float64) {
 	if c.closing || c.busy() {
 		return
--- a/internal/protocol/pg/client_liveness.go
+++ b/internal/protocol/pg/client_liveness.go
@@ -18,8 +18,8 @@
 	return c.conn.IsOpen() && !c.closing && c.busy() && readBlocked
 }
 
-// checkLiveness sends a message without effect. The protocol allows a ParameterStatus at any time, so that a client that
-// still reads ignores it; the system of one that has closed the connection answers with a reset.
+// checkLiveness sends a message without effect. The protocol allows a ParameterStatus at any time, so that a client
+// that still reads ignores it; the system of one that has closed the connection answers with a reset.
 func (c *Client) checkLiveness() {
 	c.livenessTimer = nil
 	if !c.needsLivenessCheck() {
--- a/internal/protocol/pg/client_pool.go
+++ b/internal/protocol/pg/client_pool.go
@@ -61,9 +61,9 @@
 // Count is the number of connections.
 func (p *ClientPool) Count() int { return len(p.clients) }
 
-// CloseIdle closes one connection to make place for another: the one whose message has been due longest, or else the one
-// that has been idle longest. It returns false when there is none. A connection that has only just been accepted is not
-// closed, because its first message is on the way.
+// CloseIdle closes one connection to make place for another: the one whose message has been due longest, or else the
+// one that has been idle longest. It returns false when there is none. A connection that has only just been accepted is
+// not closed, because its first message is on the way.
 //
 // This protects clients against others that open hundreds of connections and send nothing, an incomplete message, or
 // one request only.
--- a/internal/protocol/pg/client_pool_test.go
+++ b/internal/protocol/pg/client_pool_test.go
@@ -83,7 +83,7 @@
 
 // Clients that have sent one request and stay must not hold all places: otherwise each new client is closed for the
 // next one before its first request has come.
-func TestWhoMakesRoom(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	h := newPoolHarness(t, &ClientPool{MaxClients: 2})
 	idle, first := h.accept(), h.accept()
 	startSession(idle)
@@ -136,7 +136,7 @@
 
 // An idle connection whose time is up must not be closed when the first part of a query has just come: a request that
 // was read in part would be lost.
-func TestAnIdleConnectionThatBeginsToAskIsKept(t *testing.T) {
+func TestIdleConnectionWithNewInputStaysOpen(t *testing.T) {
 	h := newPoolHarness(t, &ClientPool{MaxClients: 10, IdleTimeoutMs: 2000})
 	client := h.accept()
 	startSession(client)
--- a/internal/protocol/pg/error_response.go
+++ b/internal/protocol/pg/error_response.go
@@ -16,8 +16,8 @@
 	StateUnknownOutcome     = "40003" // statement_completion_unknown
 	StateNoStatement        = "26000" // invalid_sql_statement_name
 	StateNoPortal           = "34000" // invalid_cursor_name
-	StateDupStatement       = "42P05" // duplicate_prepared_statement
-	StateDupPortal          = "42P03" // duplicate_cursor
+	StateDuplicateStatement = "42P05" // duplicate_prepared_statement
+	StateDuplicatePortal    = "42P03" // duplicate_cursor
 	StateCanceled           = "57014" // query_canceled
 	StateNoDatabase         = "3D000" // invalid_catalog_name
 
@@ -81,9 +81,9 @@
 	}
 }
 
-// RejectionError is the response to a request that was not run and may be retried. The detail is the Retry-After hint in
-// whole milliseconds, absent when retryAfterMs is 0.
-func RejectionError(retryAfterMs float64) ErrorResponse {
+// RejectionResponse is the response to a request that was not run and may be retried. The detail is the Retry-After
+// hint in whole milliseconds, absent when retryAfterMs is 0.
+func RejectionResponse(retryAfterMs float64) ErrorResponse {
 	response := ErrorResponse{
 		State: StateTooManyConnections, Text: "refused, nothing was done; trying again is harmless",
 	}
@@ -93,16 +93,16 @@
 	return response
 }
 
-// UnknownOutcomeError is the response to a request that may or may not have run.
-func UnknownOutcomeError() ErrorResponse {
+// UnknownOutcomeResponse is the response to a request that may or may not have run.
+func UnknownOutcomeResponse() ErrorResponse {
 	return ErrorResponse{State: StateUnknownOutcome, Text: "no answer from the database; the statement may have run"}
 }
 
 // FailureBody is the response to a request that has failed: the error of a host, or where that is nil
-// UnknownOutcomeError.
+// UnknownOutcomeResponse.
 func FailureBody(hostError []byte) []byte {
 	if hostError == nil {
-		return UnknownOutcomeError().Append(nil)
+		return UnknownOutcomeResponse().Append(nil)
 	}
 	return hostError
 }
--- a/internal/protocol/pg/errors.go
+++ b/internal/protocol/pg/errors.go
@@ -13,16 +13,16 @@
 
 	// errInvalidAnswer is returned for an answer of a host that the protocol doesn't allow at this point. The command
 	// may have run; its answer, role and position are discarded.
-	errInvalidAnswer = &ProtocolError{"the host's answer is spoilt"}
+	errInvalidAnswer = &ProtocolError{"invalid answer from the host"}
 	// errUnsolicitedMessage is returned for an answer of a host without a command.
-	errUnsolicitedMessage = &ProtocolError{"the host sent what nobody asked for"}
+	errUnsolicitedMessage = &ProtocolError{"unsolicited message from the host"}
 	// errPasswordRequested is returned for a host that asks for authentication, which the gateway doesn't support.
-	errPasswordRequested = &ProtocolError{"the host wants a password"}
+	errPasswordRequested = &ProtocolError{"the host requests a password"}
 )
 
 // ConnectionRejectedError is the error of a host that rejects a connection, or closes an idle one.
 type ConnectionRejectedError struct{ SQLState string }
 
 func (e *ConnectionRejectedError) Error() string {
-	return e.SQLState + ": the host takes no connection"
+	return e.SQLState + ": the host rejects the connection"
 }
--- a/internal/protocol/pg/health_check.go
+++ b/internal/protocol/pg/health_check.go
@@ -37,8 +37,8 @@
 // IsComplete requires one row.
 func (LoadReportQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "TDC" }
 
-// EmptyQuery is a health check for hosts without load reports. Its answer shows that the host is alive; the role is what
-// the host reported when the connection started, or since.
+// EmptyQuery is a health check for hosts without load reports. Its answer shows that the host is alive; the role is
+// what the host reported when the connection started, or since.
 type EmptyQuery struct{}
 
 // AppendTo appends the query.
--- a/internal/protocol/pg/health_check_test.go
+++ b/internal/protocol/pg/health_check_test.go
@@ -13,7 +13,7 @@
 	return AppendStrings(row, MsgComplete, "SHOW")
 }
 
-func TestReport(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	role, position, ok := ParseLoadReport(reportRow("x0=1767225600.125,x1=1,inflight=7"))
 	if !ok || role != routing.RolePrimary || position != 1767225600125 {
 		t.Errorf("%v %v %v", role, position, ok)
--- a/internal/protocol/pg/host_conn.go
+++ b/internal/protocol/pg/host_conn.go
@@ -153,7 +153,7 @@
 	case MsgParameterStatus:
 		c.handleParameterStatus(body)
 		return false, nil
-	case MsgNotice, MsgNotification:
+	case MsgNotice, MsgNotificationResponse:
 		return false, nil
 	case MsgError:
 		return false, c.handleError(body, raw)
--- a/internal/protocol/pg/host_message.go
+++ b/internal/protocol/pg/host_message.go
@@ -15,12 +15,12 @@
 // to a gateway. A length is checked as soon as the header is there, so that the gateway never waits for gigabytes.
 func maxHostMessageSize(kind byte) int {
 	switch kind {
-	case MsgReady, MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQuery, MsgSuspended:
+	case MsgReady, MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQuery, MsgPortalSuspended:
 		return emptyMessageLength
 	case MsgDataRow:
 		return MaxMessage
-	case MsgAuthentication, MsgBackendKeyData, MsgParameterStatus, MsgComplete, MsgError, MsgNotice, MsgNegotiate,
-		MsgNotification, MsgParamDesc, MsgRowDescription:
+	case MsgAuthentication, MsgBackendKeyData, MsgNegotiateProtocolVersion, MsgParameterStatus,
+		MsgComplete, MsgError, MsgNotice, MsgNotificationResponse, MsgParamDesc, MsgRowDescription:
 		return maxHostMessageBytes
 	}
 	return 0
@@ -55,7 +55,7 @@
 		}
 	case MsgParamDesc:
 		fields.Bytes(parameterTypeSize * fields.Int16())
-	case MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQuery, MsgSuspended:
+	case MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQuery, MsgPortalSuspended:
 	default:
 		return true
 	}
--- a/internal/protocol/pg/message.go
+++ b/internal/protocol/pg/message.go
@@ -25,24 +25,24 @@
 
 // Types of messages from hosts.
 const (
-	MsgAuthentication  = 'R'
-	MsgBackendKeyData  = 'K'
-	MsgBindComplete    = '2'
-	MsgCloseComplete   = '3'
-	MsgComplete        = 'C' // CommandComplete
-	MsgDataRow         = 'D'
-	MsgEmptyQuery      = 'I' // EmptyQueryResponse
-	MsgError           = 'E' // ErrorResponse
-	MsgNegotiate       = 'v' // NegotiateProtocolVersion
-	MsgNoData          = 'n'
-	MsgNotice          = 'N' // NoticeResponse
-	MsgNotification    = 'A' // NotificationResponse
-	MsgParamDesc       = 't' // ParameterDescription
-	MsgParameterStatus = 'S'
-	MsgParseComplete   = '1'
-	MsgReady           = 'Z' // ReadyForQuery
-	MsgRowDescription  = 'T'
-	MsgSuspended       = 's' // PortalSuspended
+	MsgAuthentication           = 'R'
+	MsgBackendKeyData           = 'K'
+	MsgBindComplete             = '2'
+	MsgCloseComplete            = '3'
+	MsgComplete                 = 'C' // CommandComplete
+	MsgDataRow                  = 'D'
+	MsgEmptyQuery               = 'I' // EmptyQueryResponse
+	MsgError                    = 'E' // ErrorResponse
+	MsgNegotiateProtocolVersion = 'v' // NegotiateProtocolVersion
+	MsgNoData                   = 'n'
+	MsgNotice                   = 'N' // NoticeResponse
+	MsgNotificationResponse     = 'A' // NotificationResponse
+	MsgParamDesc                = 't' // ParameterDescription
+	MsgParameterStatus          = 'S'
+	MsgParseComplete            = '1'
+	MsgReady                    = 'Z' // ReadyForQuery
+	MsgRowDescription           = 'T'
+	MsgPortalSuspended          = 's' // PortalSuspended
 )
 
 // MaxMessage bounds a message in either direction, in bytes. It holds a value of 64 KiB as hexadecimal text.
--- a/internal/protocol/pg/message_test.go
+++ b/internal/protocol/pg/message_test.go
@@ -8,7 +8,7 @@
 )
 
 // The bytes are written out by hand from PostgreSQL's documentation of message formats.
-func TestBytes(t *testing.T) {
+func TestMessageEncoding(t *testing.T) {
 	for want, got := range map[string][]byte{
 		"5a 00000005 49":                     AppendReadyForQuery(nil),
 		"43 0000000f 494e534552542030203100": AppendStrings(nil, MsgComplete, "INSERT 0 1"),
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestNextAndFieldsOnBadInput(t *testing.T) {
+func TestSplitMessageAndFieldReaderOnBadInput(t *testing.T) {
 	for _, test := range []struct {
 		input string
 		size  int
--- a/internal/protocol/pg/row_validator_test.go
+++ b/internal/protocol/pg/row_validator_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A row that is forwarded in parts is checked as strictly as one that is complete, wherever it is cut.
-func TestARowInPartsIsJudgedLikeAWholeOne(t *testing.T) {
+func TestPartialRowIsValidatedLikeACompleteOne(t *testing.T) {
 	for _, body := range []string{
 		"\x00\x01\x00\x00\x00\x03abc",
 		"\x00\x02\x00\x00\x00\x00\xff\xff\xff\xff",
--- a/internal/protocol/pg/startup.go
+++ b/internal/protocol/pg/startup.go
@@ -144,7 +144,7 @@
 
 // appendNegotiation appends NegotiateProtocolVersion: the gateway supports minor version 0 without options.
 func (m *startupMessage) appendNegotiation(buf []byte) []byte {
-	buf, mark := BeginMessage(buf, MsgNegotiate)
+	buf, mark := BeginMessage(buf, MsgNegotiateProtocolVersion)
 	buf = binary.BigEndian.AppendUint32(buf, 0)
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(m.unknownOptions)))
 	for _, name := range m.unknownOptions {
--- /dev/null
+++ b/internal/protocol/pg/startup_test.go
@@ -0,0 +1,60 @@
+package pg
+
+import (
+	"bytes"
+	"errors"
+	"reflect"
+	"testing"
+)
+
+func TestParseStartup(t *testing.T) {
+	for name, test := range map[string]struct {
+		body string
+		want *startupMessage // nil for a malformed message
+	}{
+		"user and database": {"user\x00u\x00database\x00d\x00\x00", &startupMessage{user: "u", database: "d"}},
+		"user only":         {"user\x00u\x00\x00", &startupMessage{user: "u", database: "u"}},
+		"parameters":        {"user\x00u\x00DateStyle\x00ISO\x00\x00", &startupMessage{user: "u", database: "u"}},
+		"option": {
+			"user\x00u\x00_pq_.x\x001\x00\x00",
+			&startupMessage{user: "u", database: "u", unknownOptions: []string{"_pq_.x"}},
+		},
+		"no user":              {"database\x00d\x00\x00", nil},
+		"no end":               {"user\x00u\x00", nil},
+		"name without a value": {"user\x00u\x00database\x00", nil},
+		"text after the end":   {"user\x00u\x00\x00x", nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, err := parseStartup([]byte(test.body), 0)
+			if test.want == nil {
+				if !errors.Is(err, ErrMalformed) {
+					t.Errorf("got %+v, %v", got, err)
+				}
+				return
+			}
+			if err != nil || !reflect.DeepEqual(got, test.want) {
+				t.Errorf("got %+v, %v", got, err)
+			}
+		})
+	}
+}
+
+// A client that asks for a newer minor version, or for options, is told what the gateway supports before anything else.
+func TestStartupNegotiatesTheVersion(t *testing.T) {
+	noOptions := []byte("v\x00\x00\x00\x0c\x00\x00\x00\x00\x00\x00\x00\x00")
+	oneOption := []byte("v\x00\x00\x00\x13\x00\x00\x00\x00\x00\x00\x00\x01_pq_.x\x00")
+	for name, test := range map[string]struct {
+		startup startupMessage
+		want    []byte
+	}{
+		"version 3.0": {startupMessage{user: "u"}, []byte("R\x00\x00\x00\x08\x00\x00\x00\x00")},
+		"version 3.2": {startupMessage{user: "u", minorVersion: 2}, noOptions},
+		"option":      {startupMessage{user: "u", unknownOptions: []string{"_pq_.x"}}, oneOption},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if response := test.startup.response(1); !bytes.HasPrefix(response, test.want) {
+				t.Errorf("got %q, want %q first", response, test.want)
+			}
+		})
+	}
+}
--- a/internal/protocol/simulator/decoder.go
+++ b/internal/protocol/simulator/decoder.go
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	f := newFields(line)
-	if f.word() != "begin_batch" {
+	if f.value() != "begin_batch" {
 		return nil, d.lines.fault(errNoBatch)
 	}
 	batch := &Batch{Clock: f.milliseconds()}
@@ -121,7 +121,7 @@
 // decodeMessage decodes one line of a batch, and the lines of a sheet. It returns nil for a line that is no message to
 // an instance.
 func (d *Decoder) decodeMessage(f *fields) (*Message, error) {
-	name := f.word()
+	name := f.value()
 	switch name {
 	case "switch_to":
 		d.current = f.integer(math.MaxInt32)
--- a/internal/protocol/simulator/decoder_test.go
+++ b/internal/protocol/simulator/decoder_test.go
@@ -10,7 +10,8 @@
 	"merlinjunction/routing"
 )
 
-const profileText = `{"Balancers": 3, "Unknown": [1], "Services": [{"Name": "read", "Effect": "read_like", "Group": "all",` +
+const profileText = `{"Balancers": 3, "Unknown": [1], "Services": [` +
+	`{"Name": "read", "Effect": "read_like", "Group": "all",` +
 	` "AimMs": 500, "HardLimitMs": 2000, "DedupWindowMs": 5000, "Worth": 1, "LateWorth": 0},` +
 	` {"Name": "write", "Effect": "idempotency_key", "Group": "cell", "AimMs": 400, "HardLimitMs": 2000,` +
 	` "DedupWindowMs": 1200, "Worth": 6, "LateWorth": 0.3}], "Tenants": [{"Name": "t", "QuotaRps": 10}],` +
@@ -97,26 +98,86 @@
 
 func TestBadInputIsNamedWithItsLine(t *testing.T) {
 	for name, test := range map[string]struct{ input, want string }{
-		"no batch":           {"hello\n", "line 1: expected begin_batch"},
-		"unknown message":    {opening + "jump 1\nyour_turn\n", `line 4: unknown message "jump"`},
-		"bad number":         {opening + "demand 1 t read 1 - - - soon 0\nyour_turn\n", `line 4: demand: "soon" is not a number`},
-		"id out of range":    {opening + "cancelled_by_client 4503599627370496\nyour_turn\n", "line 4: cancelled_by_client: request id"},
-		"slot out of range":  {opening + "sheet 16 0\nyour_turn\n", `line 4: sheet: "16" is not a whole number from 0 to 15`},
-		"slot never filled":  {opening + "view 1 5 1\nyour_turn\n", "line 4: view: sheet 5 was never filled"},
-		"no such instance":   {"begin_batch 1\nswitch_to 9\nwake 1\nyour_turn\n", "line 3: wake: instance 9 was not created"},
-		"killed instance":    {opening + "kill\nwake 1\nyour_turn\n", "line 5: wake: instance 3 was not created"},
-		"cut batch":          {opening + "wake 1\n", "line 5: the input ends inside a batch"},
-		"cut sheet":          {opening + "sheet 0 2\n", "sheet: the input ends inside it"},
-		"too few values":     {opening + "wake\nyour_turn\n", "line 4: wake: too few values"},
-		"too many values":    {opening + "wake 1 2\nyour_turn\n", "line 4: wake: too many values"},
-		"unknown class":      {opening + "demand 1 t lead 1 - - - 10 0\nyour_turn\n", `line 4: demand: unknown class "lead"`},
-		"unknown outcome":    {opening + "result 1 0 m 299 1 0 0 -\nyour_turn\n", `line 4: result: unknown outcome "299"`},
-		"bad report":         {opening + "sampled 1 m 200 x0\nyour_turn\n", `line 4: sampled: report value "x0"`},
-		"missing settings":   {"begin_batch 1\nswitch_to 0\ncreate 1 {}\nyour_turn\n", "line 3: create: settings lack Balancers, Services"},
-		"settings not JSON":  {"begin_batch 1\nswitch_to 0\ncreate 1 {\nyour_turn\n", "line 3: create: settings:"},
-		"unknown word":       {strings.Replace(opening, `"refuse"`, `"argue"`, 1) + "your_turn\n", `unknown word "argue"`},
-		"create to nobody":   {"begin_batch 1\ncreate 1 {}\nyour_turn\n", "line 2: create: no switch_to"},
-		"negative time mark": {opening + "result 1 0 m 200 1 0 -4 -\nyour_turn\n", "line 4: result: a mark below 0"},
+		"no batch": {
+			"hello\n",
+			"line 1: expected begin_batch",
+		},
+		"unknown message": {
+			opening + "jump 1\nyour_turn\n",
+			`line 4: unknown message "jump"`,
+		},
+		"bad number": {
+			opening + "demand 1 t read 1 - - - soon 0\nyour_turn\n",
+			`line 4: demand: "soon" is not a number`,
+		},
+		"id out of range": {
+			opening + "cancelled_by_client 4503599627370496\nyour_turn\n",
+			"line 4: cancelled_by_client: request id",
+		},
+		"slot out of range": {
+			opening + "sheet 16 0\nyour_turn\n",
+			`line 4: sheet: "16" is not a whole number from 0 to 15`,
+		},
+		"slot never filled": {
+			opening + "view 1 5 1\nyour_turn\n",
+			"line 4: view: sheet 5 was never filled",
+		},
+		"no such instance": {
+			"begin_batch 1\nswitch_to 9\nwake 1\nyour_turn\n",
+			"line 3: wake: instance 9 was not created",
+		},
+		"killed instance": {
+			opening + "kill\nwake 1\nyour_turn\n",
+			"line 5: wake: instance 3 was not created",
+		},
+		"cut batch": {
+			opening + "wake 1\n",
+			"line 5: the input ends inside a batch",
+		},
+		"cut sheet": {
+			opening + "sheet 0 2\n",
+			"sheet: the input ends inside it",
+		},
+		"too few values": {
+			opening + "wake\nyour_turn\n",
+			"line 4: wake: too few values",
+		},
+		"too many values": {
+			opening + "wake 1 2\nyour_turn\n",
+			"line 4: wake: too many values",
+		},
+		"unknown class": {
+			opening + "demand 1 t lead 1 - - - 10 0\nyour_turn\n",
+			`line 4: demand: unknown class "lead"`,
+		},
+		"unknown outcome": {
+			opening + "result 1 0 m 299 1 0 0 -\nyour_turn\n",
+			`line 4: result: unknown outcome "299"`,
+		},
+		"bad report": {
+			opening + "sampled 1 m 200 x0\nyour_turn\n",
+			`line 4: sampled: report value "x0"`,
+		},
+		"missing settings": {
+			"begin_batch 1\nswitch_to 0\ncreate 1 {}\nyour_turn\n",
+			"line 3: create: settings lack Balancers, Services",
+		},
+		"settings not JSON": {
+			"begin_batch 1\nswitch_to 0\ncreate 1 {\nyour_turn\n",
+			"line 3: create: settings:",
+		},
+		"unknown word": {
+			strings.Replace(opening, `"refuse"`, `"argue"`, 1) + "your_turn\n",
+			`unknown word "argue"`,
+		},
+		"create to nobody": {
+			"begin_batch 1\ncreate 1 {}\nyour_turn\n",
+			"line 2: create: no switch_to",
+		},
+		"negative time mark": {
+			opening + "result 1 0 m 200 1 0 -4 -\nyour_turn\n",
+			"line 4: result: a mark below 0",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := decodeAll(t, test.input)
--- a/internal/protocol/simulator/fields.go
+++ b/internal/protocol/simulator/fields.go
@@ -55,8 +55,8 @@
 	return f.err
 }
 
-// word reads one value as it stands.
-func (f *fields) word() string {
+// value reads one value as it stands.
+func (f *fields) value() string {
 	if !f.more {
 		f.fail(errTooFewValues)
 		return ""
@@ -77,7 +77,7 @@
 
 // optional reads a value, "" when it is absent.
 func (f *fields) optional() string {
-	if value := f.word(); value != absent {
+	if value := f.value(); value != absent {
 		return value
 	}
 	return ""
@@ -118,7 +118,7 @@
 
 // integer reads a whole number from 0 to limit.
 func (f *fields) integer(limit int) int {
-	text := f.word()
+	text := f.value()
 	value, err := strconv.Atoi(text)
 	if err != nil || value < 0 || value > limit {
 		f.fail(fmt.Errorf("%q is not a whole number from 0 to %d", text, limit))
@@ -128,7 +128,7 @@
 }
 
 func (f *fields) unsigned() uint64 {
-	text := f.word()
+	text := f.value()
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		f.fail(fmt.Errorf("%q is not a whole number", text))
@@ -147,7 +147,7 @@
 func (f *fields) flag() bool { return f.integer(1) == 1 }
 
 func (f *fields) outcome() routing.Outcome {
-	code := f.word()
+	code := f.value()
 	outcome, known := outcomes[code]
 	if !known {
 		f.fail(fmt.Errorf("unknown outcome %q", code))
--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -55,9 +55,9 @@
 var ErrClassListLength = errors.New(
 	"settings: FamilyInfo.NeedsByClass or FamilyInfo.MaxAgeMs doesn't name each class")
 
-// DecodeSettings decodes the platform's settings object, which a create line and a gateway's configuration have. An error
-// is one line that names the key: a *SettingError, *MissingSettingsError, ErrClassListLength or an error of package
-// json.
+// DecodeSettings decodes the platform's settings object, which a create line and a gateway's configuration have. An
+// error is one line that names the key: a *SettingError, *MissingSettingsError, ErrClassListLength or an error of
+// package json.
 func DecodeSettings(text string) (routing.Settings, error) {
 	var p profile
 	var settings routing.Settings
--- a/internal/protocol/simulator/sheet.go
+++ b/internal/protocol/simulator/sheet.go
@@ -62,16 +62,16 @@
 }
 
 func decodeMember(f *fields) (routing.Endpoint, error) {
-	if name := f.word(); name != "member" {
+	if name := f.value(); name != "member" {
 		return routing.Endpoint{}, fmt.Errorf("sheet: expected member, not %q", name)
 	}
 	endpoint := routing.Endpoint{ID: f.text()}
-	endpoint.Zone = f.word()
-	f.word() // kind of machine
+	endpoint.Zone = f.value()
+	f.value() // kind of machine
 	endpoint.Primary = f.optional() == "1"
 	endpoint.Group = f.integer(math.MaxInt32)
 	endpoint.State = endpointStates[f.integer(len(endpointStates)-1)]
-	f.word() // weight
+	f.value() // weight
 	endpoint.StartedAt = f.milliseconds()
 	if err := f.end(); err != nil {
 		return routing.Endpoint{}, fmt.Errorf("member: %w", err)
