--- a/internal/frontend/extended/execute.go
+++ b/internal/frontend/extended/execute.go
@@ -90,7 +90,7 @@
 	s.submit(st.rule.Class, sessionName, command, onSuccess)
 }
 
-// submit hands a request to the core. Its answer goes to the session's responder methods.
+// submit hands a request to the core. The core calls the session's responder methods with its answer.
 func (s *session) submit(class int, sessionName string, command any, onSuccess func(answer []byte)) {
 	request := proxy.Request{
 		Class: class, Tenant: -1, Group: s.group, Session: sessionName, Command: command, Responder: s,
--- a/internal/frontend/extended/responder.go
+++ b/internal/frontend/extended/responder.go
@@ -39,8 +39,8 @@
 	return true
 }
 
-// StreamPart forwards as much as the client can take, after the output of earlier statements. It returns the number of
-// bytes that were forwarded.
+// StreamPart forwards as much as the client's window allows, after the output of earlier statements. It returns the
+// number of bytes that were forwarded.
 func (s *session) StreamPart(part []byte) int {
 	if !s.inFlight {
 		return 0
@@ -49,14 +49,14 @@
 	return s.client.SendPart(part)
 }
 
-// Flushed resumes a streamed answer once the client has taken all that was written.
+// Flushed resumes a streamed answer once all output has been sent to the client.
 func (s *session) Flushed() {
 	if s.resumeStream != nil {
 		s.resumeStream()
 	}
 }
 
-// AbortStream closes the connection: an error in the middle of a row could not be told from the row.
+// AbortStream closes the connection: an error in the middle of a row could not be distinguished from the row's data.
 func (s *session) AbortStream() {
 	s.inFlight, s.resumeStream = false, nil
 	s.client.Abort()
--- a/internal/frontend/extended/session.go
+++ b/internal/frontend/extended/session.go
@@ -29,7 +29,7 @@
 
 	output           []byte // not yet sent to the client
 	simpleQuery      bool   // the current message is a simple query, or answered like one: ReadyForQuery follows
-	inPipeline       bool   // a message of the extended protocol came, and no Sync since
+	inPipeline       bool   // a message of the extended protocol was received, and no Sync since
 	discardUntilSync bool   // an error was reported in this pipeline
 
 	inFlight     bool // a request is in the core
@@ -45,7 +45,7 @@
 // Accepts reports whether the next message can be handled now.
 func (s *session) Accepts(byte) bool { return !s.inFlight }
 
-// InPipeline reports whether a pipeline has begun whose Sync hasn't come.
+// InPipeline reports whether a pipeline has begun whose Sync hasn't been received.
 func (s *session) InPipeline() bool { return s.inPipeline }
 
 // ClientGone releases the session's memory and cancels its request.
--- a/internal/frontend/platform/command.go
+++ b/internal/frontend/platform/command.go
@@ -23,7 +23,7 @@
 	return kind == pg.MsgRowDescription || kind == pg.MsgDataRow || kind == pg.MsgComplete
 }
 
-// CanStream requires that only the RowDescription comes before the row, and that both have one column.
+// CanStream requires that only the RowDescription precedes the row, and that both have one column.
 func (st *statement) CanStream(answer []byte, columns int) bool {
 	return pg.MessageTypes(answer) == "T" && pg.ColumnCount(answer) == 1 && columns == 1
 }
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -49,7 +49,7 @@
 // newRequest validates a statement against the settings and returns the request to the core.
 //
 // It rejects what a host would answer with SQLSTATE 08P01 or by closing the connection. It also rejects an ID that is
-// already open: the answer to one of the two requests could be taken for the answer to the other.
+// already open: the answers to the two requests could be confused.
 func (f *Frontend) newRequest(st *statement) (proxy.Request, error) {
 	classIndex, classKnown := f.classIndexes[st.class]
 	tenantIndex, tenantKnown := f.tenantIndexes[st.tenant]
--- a/internal/frontend/platform/pending_response.go
+++ b/internal/frontend/platform/pending_response.go
@@ -56,7 +56,7 @@
 	r.body = pg.AppendReadyForQuery(body)
 }
 
-// closeRequestID lets other requests use the ID.
+// closeRequestID makes the ID available to other requests.
 func (r *pendingResponse) closeRequestID() {
 	delete(r.session.frontend.openRequests, r.statement.id)
 }
@@ -78,8 +78,8 @@
 	return true
 }
 
-// StreamPart forwards as much as the client can take, once all earlier responses are sent. It returns the number of
-// bytes that were forwarded.
+// StreamPart forwards as much as the client's window allows, once all earlier responses are sent. It returns the number
+// of bytes that were forwarded.
 func (r *pendingResponse) StreamPart(part []byte) int {
 	s := r.session
 	if len(s.responses) == 0 || s.responses[0] != r {
@@ -88,7 +88,7 @@
 	return s.client.SendPart(part)
 }
 
-// AbortStream closes the connection: otherwise the client could not tell a truncated answer from a complete one.
+// AbortStream closes the connection: otherwise the client could not distinguish a truncated answer from a complete one.
 func (r *pendingResponse) AbortStream() {
 	r.closeRequestID()
 	r.session.client.Abort()
--- a/internal/frontend/platform/session.go
+++ b/internal/frontend/platform/session.go
@@ -26,12 +26,12 @@
 // Busy reports whether responses are outstanding.
 func (s *session) Busy() bool { return len(s.responses) > 0 }
 
-// Accepts lets queries be pipelined up to a limit. Every other message waits until nothing is outstanding.
+// Accepts allows pipelined queries up to a limit. Every other message waits until nothing is outstanding.
 func (s *session) Accepts(kind byte) bool {
 	return len(s.responses) == 0 || kind == pg.MsgQuery && len(s.responses) < maxPipelinedQueries
 }
 
-// InPipeline is always false: each query stands alone.
+// InPipeline is always false: each query is complete in itself.
 func (s *session) InPipeline() bool { return false }
 
 // ClientGone cancels the requests that have no answer yet.
--- a/internal/frontend/platform/statement_test.go
+++ b/internal/frontend/platform/statement_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// The query goes to the host as it came, but for the time that is left.
+// The query is forwarded unchanged except for the time that is left.
 func TestStatementIsForwardedWithItsTimeLeft(t *testing.T) {
 	st, err := parseStatement(readSQL + "/*id=1,c=read,cluster=0, d=250.5 ,x=y*/")
 	if err != nil {
--- a/internal/protocol/pg/client.go
+++ b/internal/protocol/pg/client.go
@@ -24,10 +24,10 @@
 	// User and Database are those of the startup message.
 	User, Database string
 
-	cancelKey uint64 // lets another connection cancel the statement in flight
+	cancelKey uint64 // with which another connection may cancel the statement in flight
 	pool      *ClientPool
 	conn      *eventloop.Conn
-	session   Session // nil until the startup message has come
+	session   Session // nil until the startup message is complete
 
 	closing       bool             // the last message is sent; further input is discarded
 	lingerTimer   *eventloop.Timer // while it is closing
@@ -36,7 +36,7 @@
 
 	processing        bool    // its messages are being processed by a caller further up
 	sentMessage       bool    // it has sent a message after the startup
-	lastActiveMs      float64 // when a message was complete, or some output was taken
+	lastActiveMs      float64 // when a message was last received, or some output acknowledged
 	messageDueSinceMs float64 // since when its first message, or the rest of one, is outstanding; 0 when none is
 	unacknowledged    int     // bytes of output that it had not acknowledged at the last sweep
 
@@ -174,7 +174,7 @@
 		if c.closing || !c.conn.IsOpen() || c.busy() || c.conn.Pending() > 0 {
 			return
 		}
-		if c.halfClosed { // the rest of an incomplete message will never come
+		if c.halfClosed { // an incomplete message can't be completed any more
 			c.closeGracefully()
 			return
 		}
@@ -185,7 +185,7 @@
 }
 
 // drain closes the connection when the pool is draining and the client has nothing outstanding. It returns true when a
-// message has come instead, which is processed first.
+// message was received instead, which is processed first.
 func (c *Client) drain() (newInput bool) {
 	if !c.pool.draining || c.session == nil || c.session.InPipeline() {
 		return false
--- a/internal/protocol/pg/client_idle.go
+++ b/internal/protocol/pg/client_idle.go
@@ -3,7 +3,7 @@
 const (
 	// stalledTimeoutMs is how long a client may leave a message incomplete, or its answers unread.
 	stalledTimeoutMs = 2400.0
-	// firstMessageTimeoutMs is how long a client has for a message before its place may go to another.
+	// firstMessageTimeoutMs is how long a client has for a message before its connection may be evicted.
 	firstMessageTimeoutMs = 250.0
 )
 
@@ -13,7 +13,7 @@
 		c.messageDueSinceMs == 0 && len(c.conn.In()) == 0 && c.conn.Pending() == 0
 }
 
-// evictable reports whether the connection may be closed to make place for another: its message is overdue, or it has
+// evictable reports whether the connection may be closed in favor of a new one: its message is overdue, or it has
 // been idle for some time.
 func (c *Client) evictable(now, minIdleMs float64) bool {
 	if c.closing {
@@ -32,8 +32,8 @@
 	return other.messageDueSinceMs == 0 && c.lastActiveMs < other.lastActiveMs
 }
 
-// hasNewInput reads once more before a connection is closed, and reports whether something has come. A request that
-// has been read in part counts as accepted, and must not be lost.
+// hasNewInput reads once more before a connection is closed, and reports whether there was new input. A request
+// that has been read in part counts as accepted, and must not be lost.
 func (c *Client) hasNewInput() bool {
 	inputBefore, startedBefore := len(c.conn.In()), c.session != nil
 	c.conn.ReadNow()
@@ -43,7 +43,7 @@
 	return c.session != nil && (c.session.Busy() || !startedBefore)
 }
 
-// closeIfStalled closes a connection that holds its place without using it: it is idle for too long, its answers are
+// closeIfStalled closes a connection that occupies its slot without using it: it is idle for too long, its answers are
 // not read, or its message stays incomplete.
 func (c *Client) closeIfStalled(now float64) {
 	if c.closing || c.busy() {
@@ -67,8 +67,8 @@
 	}
 }
 
-// updateActivity counts output that the client has taken as activity. It goes by what the client's system has
-// acknowledged: the operating system may buffer megabytes, and take nothing more for a long time.
+// updateActivity counts output that the client has read as activity. It is measured by what the client's TCP stack has
+// acknowledged: the gateway's socket may buffer megabytes, and accept nothing more for a long time.
 func (c *Client) updateActivity(now float64) {
 	unacknowledged := 0
 	if c.conn.Pending() > 0 {
--- a/internal/protocol/pg/client_liveness.go
+++ b/internal/protocol/pg/client_liveness.go
@@ -11,8 +11,8 @@
 }
 
 // needsLivenessCheck reports whether a client with an outstanding answer can't be read from: it has half-closed its
-// connection, which looks the same as closing it, or its input buffer is full, behind which no end is noticed. The
-// check spares hosts work that nobody waits for.
+// connection, which looks the same as closing it, or its input buffer is full, so that the end of input isn't seen. The
+// check avoids work on hosts whose answer has no recipient.
 func (c *Client) needsLivenessCheck() bool {
 	readBlocked := c.halfClosed || len(c.conn.In()) >= maxInputBytes
 	return c.conn.IsOpen() && !c.closing && c.busy() && readBlocked
--- a/internal/protocol/pg/client_pool.go
+++ b/internal/protocol/pg/client_pool.go
@@ -28,7 +28,7 @@
 	draining     bool
 }
 
-// Accept takes over a descriptor of the listener. When all places are taken it evicts a connection, or else rejects the
+// Accept takes over a descriptor of the listener. When all slots are in use it evicts a connection, or else rejects the
 // new one.
 func (p *ClientPool) Accept(fd int) {
 	if p.clients == nil {
@@ -42,15 +42,15 @@
 	now := p.Loop.Clock.Now()
 	client := &Client{pool: p, conn: conn, lastActiveMs: now, messageDueSinceMs: now}
 	conn.SetHandler(client)
-	admitted := p.makePlace()
+	admitted := p.ensureSlot()
 	p.clients[client] = struct{}{}
 	if !admitted {
 		client.Fatal(StateTooManyConnections, "too many connections")
 	}
 }
 
-// makePlace reports whether there is a place for one more connection, and evicts one where that is needed.
-func (p *ClientPool) makePlace() bool {
+// ensureSlot reports whether there is a slot for one more connection, and evicts one where that is needed.
+func (p *ClientPool) ensureSlot() bool {
 	open := len(p.clients) - p.closingCount
 	if open < p.MaxClients*earlyEvictionPercent/100 {
 		return true
@@ -61,7 +61,7 @@
 // Count is the number of connections.
 func (p *ClientPool) Count() int { return len(p.clients) }
 
-// CloseIdle closes one connection to make place for another: the one whose message has been due longest, or else the
+// CloseIdle closes one connection in favor of a new one: the one whose message has been due longest, or else the
 // one that has been idle longest. It returns false when there is none. A connection that has only just been accepted is
 // not closed, because its first message is on the way.
 //
@@ -85,7 +85,7 @@
 	return true
 }
 
-// sweep closes the connections that hold a place without using it.
+// sweep closes the connections that occupy a slot without using it.
 func (p *ClientPool) sweep() {
 	now := p.Loop.Clock.Now()
 	for client := range p.clients {
--- a/internal/protocol/pg/client_pool_test.go
+++ b/internal/protocol/pg/client_pool_test.go
@@ -9,7 +9,7 @@
 	"merlinjunction/internal/eventloop"
 )
 
-// stubSession takes every message and answers none.
+// stubSession accepts every message and answers none.
 type stubSession struct{ busy bool }
 
 func (s *stubSession) Busy() bool                 { return s.busy }
@@ -81,8 +81,8 @@
 	client.messageDueSinceMs = 0
 }
 
-// Clients that have sent one request and stay must not hold all places: otherwise each new client is closed for the
-// next one before its first request has come.
+// Clients that have sent one request and stay must not occupy all slots: otherwise each new client is evicted
+// for the next one before its first request has been received.
 func TestEvictionOrder(t *testing.T) {
 	h := newPoolHarness(t, &ClientPool{MaxClients: 2})
 	idle, first := h.accept(), h.accept()
@@ -122,7 +122,7 @@
 		h.send(client, AppendStrings(nil, MsgQuery, ""))
 	}
 	if h.accept(); !h.open(first) {
-		t.Error("a connection whose message has just come was evicted")
+		t.Error("a connection whose message was just received was evicted")
 	}
 	for client := range h.clients {
 		client.session = &stubSession{}
@@ -134,8 +134,8 @@
 	}
 }
 
-// An idle connection whose time is up must not be closed when the first part of a query has just come: a request that
-// was read in part would be lost.
+// An idle connection whose time is up must not be closed when the first part of a query has just been received: a
+// request that was read in part would be lost.
 func TestIdleConnectionWithNewInputStaysOpen(t *testing.T) {
 	h := newPoolHarness(t, &ClientPool{MaxClients: 10, IdleTimeoutMs: 2000})
 	client := h.accept()
--- a/internal/protocol/pg/client_stream.go
+++ b/internal/protocol/pg/client_stream.go
@@ -21,7 +21,7 @@
 		windowBytes = scarceStreamWindowBytes
 	}
 	sent := 0
-	for sent < len(part) { // what the operating system takes at once leaves space, and no Flushed follows for it
+	for sent < len(part) { // what the socket accepts at once doesn't use the window, and no Flushed follows for it
 		chunkBytes := min(len(part)-sent, windowBytes-c.conn.Pending())
 		if chunkBytes <= 0 {
 			break
--- a/internal/protocol/pg/command.go
+++ b/internal/protocol/pg/command.go
@@ -10,10 +10,10 @@
 	IsComplete(answer []byte) bool
 }
 
-// A StreamingCommand is a Command that lets a large row be forwarded before its answer is complete.
+// A StreamingCommand is a Command whose large rows may be forwarded before its answer is complete.
 type StreamingCommand interface {
 	Command
-	// CanStream reports whether a row with a number of columns may follow the messages that came since the last
+	// CanStream reports whether a row with a number of columns may follow the messages received since the last
 	// streamed row.
 	CanStream(answer []byte, columns int) bool
 	// IsStreamComplete reports whether the messages after the last streamed row complete the answer.
--- a/internal/protocol/pg/host_conn.go
+++ b/internal/protocol/pg/host_conn.go
@@ -43,7 +43,7 @@
 	c.notifyWritten()
 }
 
-// notifyWritten notifies the handler once the operating system has taken the last byte of the command.
+// notifyWritten notifies the handler once the last byte of the command has been sent.
 func (c *hostConn) notifyWritten() {
 	if c.command != nil && !c.written && c.conn.Pending() == 0 && c.conn.IsOpen() {
 		c.written = true
@@ -96,7 +96,7 @@
 }
 
 // processNext processes the next message or part of a streamed row. It returns false when it has to wait for more
-// input, or for the client to take more of a streamed row.
+// input, or for the client to read more of a streamed row.
 func (c *hostConn) processNext() (progress bool, err error) {
 	if c.stream.pending() {
 		return c.forwardStream()
@@ -161,7 +161,7 @@
 	return false, c.handleResult(kind, body, raw)
 }
 
-// handleParameterStatus takes the host's role or position from a parameter. Values that can't be parsed are ignored.
+// handleParameterStatus reads the host's role or position from a parameter. Values that can't be parsed are ignored.
 func (c *hostConn) handleParameterStatus(body []byte) {
 	fields := NewFieldReader(body)
 	name, value := fields.Text(), fields.Text()
@@ -226,8 +226,8 @@
 	return nil
 }
 
-// finishResponse hands a complete answer to the handler. When there is more input after it the connection takes no more
-// commands: that input could be taken for the next command's answer.
+// finishResponse hands a complete answer to the handler. When there is more input after it the connection accepts no
+// more commands: that input could be mistaken for the next command's answer.
 func (c *hostConn) finishResponse() error {
 	if !c.responseComplete() {
 		return errInvalidAnswer
--- a/internal/protocol/pg/host_dialer.go
+++ b/internal/protocol/pg/host_dialer.go
@@ -48,7 +48,7 @@
 	return EndMessage(buf, mark)
 }
 
-// roleOf returns the role that a value of RoleParameter stands for.
+// roleOf returns the role for a value of RoleParameter.
 func (d *HostDialer) roleOf(value string) routing.Role {
 	switch value {
 	case d.ReplicaValue:
--- a/internal/protocol/pg/row_stream.go
+++ b/internal/protocol/pg/row_stream.go
@@ -7,7 +7,7 @@
 	minStreamedRowBytes = 64<<10 + 64
 	// maxStreamedRowBytes is the length above which a row is rejected.
 	maxStreamedRowBytes = 4<<20 + 64
-	// streamReadAheadBytes bounds what is read from the host before the client has taken it.
+	// streamReadAheadBytes bounds what is read from the host ahead of the client.
 	streamReadAheadBytes = 32 << 10
 )
 
@@ -56,8 +56,8 @@
 	return true, nil
 }
 
-// forwardStream forwards as much as the client takes. It returns false when there is no more input, the client takes no
-// more now, or the connection was closed.
+// forwardStream forwards as much as the client's window allows. It returns false when there is no more input, the
+// window is full, or the connection was closed.
 func (c *hostConn) forwardStream() (progress bool, err error) {
 	stream := &c.stream
 	if len(stream.buffered) > 0 {
@@ -67,7 +67,7 @@
 	part := c.conn.In()
 	part = part[:min(len(part), stream.rowBytesLeft)]
 	forwarded := c.handler.StreamPart(part)
-	if !c.conn.IsOpen() { // the client has gone
+	if !c.conn.IsOpen() { // closed by the handler, because the client is gone
 		return false, nil
 	}
 	stream.validator.add(part[:forwarded])
--- a/internal/protocol/pg/session.go
+++ b/internal/protocol/pg/session.go
@@ -18,5 +18,5 @@
 // A Canceler is a Session whose statement in flight can be canceled by a CancelRequest on another connection.
 type Canceler interface{ Cancel() }
 
-// A Flusher is a Session that is notified when its client has taken all that was written.
+// A Flusher is a Session that is notified when all output to its client has been sent.
 type Flusher interface{ Flushed() }
--- a/internal/protocol/pg/startup.go
+++ b/internal/protocol/pg/startup.go
@@ -9,7 +9,7 @@
 // Version3 is the version of the protocol in a startup message: major version 3, minor version 0.
 const Version3 = 3 << 16
 
-// Request codes in the place of a startup message's version.
+// Request codes, sent instead of a startup message's version.
 const (
 	codeCancel = 80877102
 	codeSSL    = 80877103
@@ -36,7 +36,7 @@
 	unknownOptions []string // protocol options that the gateway doesn't support
 }
 
-// processStartup processes the startup message, or a request that a client may send in its place. It returns false when
+// processStartup processes the startup message, or a request that a client may send before it. It returns false when
 // the message is incomplete or the connection ends.
 func (c *Client) processStartup() bool {
 	input := c.conn.In()
--- a/internal/protocol/simulator/decoder.go
+++ b/internal/protocol/simulator/decoder.go
@@ -1,5 +1,5 @@
 // Package simulator implements the simulator's text protocol: it decodes batches of events for package routing and
-// encodes the actions that answer them. It takes no decisions.
+// encodes the actions that answer them. It makes no decisions.
 package simulator
 
 import (
@@ -35,7 +35,7 @@
 
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Batch is what has come in at one time of the simulator's clock.
+// Batch is the input at one time of the simulator's clock.
 type Batch struct {
 	Clock    time.Duration
 	Messages []Message
--- a/internal/protocol/simulator/event.go
+++ b/internal/protocol/simulator/event.go
@@ -20,7 +20,7 @@
 // clientRetryAttribute is a bit in the attributes of a demand event.
 const clientRetryAttribute = 2
 
-// noTenant in a demand event stands for a site without tenants.
+// noTenant is the tenant in a demand event of a site without tenants.
 const noTenant = "0"
 
 // The mark of a result is markRoles times the position in milliseconds, plus the role.
--- a/internal/protocol/simulator/fields.go
+++ b/internal/protocol/simulator/fields.go
@@ -55,7 +55,7 @@
 	return f.err
 }
 
-// value reads one value as it stands.
+// value reads one value unchanged.
 func (f *fields) value() string {
 	if !f.more {
 		f.fail(errTooFewValues)
--- a/internal/protocol/simulator/profile.go
+++ b/internal/protocol/simulator/profile.go
@@ -1,6 +1,6 @@
 package simulator
 
-// profile is the platform's settings object, as it stands in a create line and in a gateway's configuration. Its tags
+// profile is the platform's settings object, which is part of a create line and of a gateway's configuration. Its tags
 // have the platform's names. Other keys are ignored. A pointer is nil when a required key is absent.
 type profile struct {
 	GatewayCount *int `json:"Balancers"`
--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -176,7 +176,7 @@
 	settings.OverloadWindow = duration(p.Rules.OverloadWindowMs)
 }
 
-// lookup returns the value that the platform's word in a setting stands for.
+// lookup returns the value for the platform's word in a setting.
 func lookup[V any](values map[string]V, word, key string) (V, error) {
 	value, known := values[word]
 	if !known {
