--- a/internal/protocol/pg/client_liveness.go
+++ b/internal/protocol/pg/client_liveness.go
@@ -11,15 +11,15 @@
 }
 
 // needsLivenessCheck reports whether a client with an outstanding answer can't be read from: it has half-closed its
-// connection, which looks the same as closing it, or its input buffer is full, behind which no end is noticed. The
-// check spares hosts work that nobody waits for.
+// connection, which looks the same as closing it, or its input buffer is full, so that the end of input isn't seen. The
+// check avoids work on hosts whose answer has no recipient.
 func (c *Client) needsLivenessCheck() bool {
 	readBlocked := c.halfClosed || len(c.conn.In()) >= maxInputBytes
 	return c.conn.IsOpen() && !c.closing && c.busy() && readBlocked
 }
 
-// checkLiveness sends a message without effect. The protocol allows a ParameterStatus at any time, so that a client that
-// still reads ignores it; the system of one that has closed the connection answers with a reset.
+// checkLiveness sends a message without effect. The protocol allows a ParameterStatus at any time, so that a client
+// that still reads ignores it; the system of one that has closed the connection answers with a reset.
 func (c *Client) checkLiveness() {
 	c.livenessTimer = nil
 	if !c.needsLivenessCheck() {
--- a/internal/protocol/simulator/decoder.go
+++ b/internal/protocol/simulator/decoder.go
@@ -1,5 +1,5 @@
 // Package simulator implements the simulator's text protocol: it decodes batches of events for package routing and
-// encodes the actions that answer them. It takes no decisions.
+// encodes the actions that answer them. It makes no decisions.
 package simulator
 
 import (
@@ -35,7 +35,7 @@
 
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Batch is what has come in at one time of the simulator's clock.
+// Batch is the input at one time of the simulator's clock.
 type Batch struct {
 	Clock    time.Duration
 	Messages []Message
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	f := newFields(line)
-	if f.word() != "begin_batch" {
+	if f.value() != "begin_batch" {
 		return nil, d.lines.fault(errNoBatch)
 	}
 	batch := &Batch{Clock: f.milliseconds()}
@@ -121,7 +121,7 @@
 // decodeMessage decodes one line of a batch, and the lines of a sheet. It returns nil for a line that is no message to
 // an instance.
 func (d *Decoder) decodeMessage(f *fields) (*Message, error) {
-	name := f.word()
+	name := f.value()
 	switch name {
 	case "switch_to":
 		d.current = f.integer(math.MaxInt32)
