--- a/internal/faultsim/emulate.go
+++ b/internal/faultsim/emulate.go
@@ -214,15 +214,15 @@
 			if of, ok := em.byName[a.Member.Name]; ok && !n.duplicate {
 				before := em.oracle.FalseDeaths
 				em.oracle.ObserveBelief(n.index, of, a.New, a.Cause, em.now)
-				em.options.Log.Info("sees", zap.Float64("ms", em.now), zap.String("who", n.name), zap.String("of", a.Member.Name),
-					zap.String("state", a.New.String()), zap.String("was", a.Old.String()), zap.Uint64("incarnation", a.Member.Incarnation),
-					zap.String("cause", a.Cause), zap.Bool("false death", em.oracle.FalseDeaths > before))
+				em.options.Log.Info("belief changed", zap.Float64("ms", em.now), zap.String("gateway", n.name), zap.String("member", a.Member.Name),
+					zap.String("state", a.New.String()), zap.String("previous_state", a.Old.String()), zap.Uint64("incarnation", a.Member.Incarnation),
+					zap.String("reason", a.Cause), zap.Bool("false_death", em.oracle.FalseDeaths > before))
 			}
 		case membership.StatusChanged:
 			em.trace(uint64(n.index), uint64(a.Status)+100, 0)
 			em.oracle.ObserveStatus(n.index, a.Status)
-			em.options.Log.Info("stands", zap.Float64("ms", em.now), zap.String("who", n.name), zap.String("standing", a.Status.String()),
-				zap.String("cause", a.Cause))
+			em.options.Log.Info("status changed", zap.Float64("ms", em.now), zap.String("gateway", n.name), zap.String("status", a.Status.String()),
+				zap.String("reason", a.Cause))
 		}
 	}
 	n.inbox = n.inbox[:0]
--- a/internal/faultsim/emulate_steps.go
+++ b/internal/faultsim/emulate_steps.go
@@ -31,7 +31,7 @@
 	var n *emulatedGateway
 	if s.Do >= HostDrain {
 		if em.requests != nil {
-			em.options.Log.Info("step", zap.Float64("ms", em.now), zap.String("do", s.Do.String()), zap.Int("who", s.Who), zap.Bool("undo", s.Undo))
+			em.options.Log.Info("step", zap.Float64("ms", em.now), zap.String("operation", s.Do.String()), zap.Int("target", s.Who), zap.Bool("undo", s.Undo))
 			em.requests.step(s)
 		}
 		return
@@ -45,7 +45,7 @@
 	if s.Do == Term && n.node != nil {
 		em.run(n, []membership.Event{membership.Leave{}})
 	}
-	em.options.Log.Info("step", zap.Float64("ms", em.now), zap.String("do", s.Do.String()), zap.Int("who", s.Who), zap.Bool("undo", s.Undo))
+	em.options.Log.Info("step", zap.Float64("ms", em.now), zap.String("operation", s.Do.String()), zap.Int("target", s.Who), zap.Bool("undo", s.Undo))
 	em.network.Apply(s)
 	em.oracle.Apply(s, em.now)
 	switch s.Do {
--- a/internal/faultsim/process_log.go
+++ b/internal/faultsim/process_log.go
@@ -24,9 +24,9 @@
 	Listen    string  `json:"listen"`
 	Member    string  `json:"member"`
 	State     string  `json:"state"`
-	Cause     string  `json:"cause"`
-	Status    string  `json:"standing"`
-	Partial   bool    `json:"part"`
+	Reason    string  `json:"reason"`
+	Status    string  `json:"status"`
+	Partial   bool    `json:"partial"`
 }
 
 func (r *processRun) lastOutput(g *gateway) string {
@@ -42,7 +42,7 @@
 		var line logLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
 			_ = os.WriteFile(filepath.Join(r.dir, g.name+".last"), lines.Bytes(), 0o600)
-			r.options.Log.Info("says", zap.String("who", g.name), zap.ByteString("text", lines.Bytes()))
+			r.options.Log.Info("gateway log line", zap.String("gateway", g.name), zap.ByteString("text", lines.Bytes()))
 			continue
 		}
 		if line.Message == "serving" {
@@ -59,23 +59,23 @@
 	ms := line.Timestamp - float64(r.startedAt.UnixMicro())/1000
 	switch line.Message {
 	case "serving":
-	case "fleet: member":
+	case "fleet: member state changed":
 		var member int
 		if _, err := fmt.Sscanf(line.Member, "g%d", &member); err == nil && !g.duplicate {
-			r.oracle.ObserveBelief(g.index, member, stateOf(line.State), line.Cause, max(ms, -1000*(r.experiment.Fleet.Spread+r.experiment.Fleet.Settle)))
+			r.oracle.ObserveBelief(g.index, member, stateOf(line.State), line.Reason, max(ms, -1000*(r.experiment.Fleet.Spread+r.experiment.Fleet.Settle)))
 		}
-		r.options.Log.Info("sees", zap.Float64("ms", ms), zap.String("who", g.name), zap.String("of", line.Member),
-			zap.String("state", line.State), zap.String("cause", line.Cause))
-	case "fleet: standing":
+		r.options.Log.Info("belief changed", zap.Float64("ms", ms), zap.String("gateway", g.name), zap.String("member", line.Member),
+			zap.String("state", line.State), zap.String("reason", line.Reason))
+	case "fleet: status changed":
 		r.oracle.ObserveStatus(g.index, statusOf(line.Status))
-		r.options.Log.Info("stands", zap.Float64("ms", ms), zap.String("who", g.name), zap.String("standing", line.Status),
-			zap.String("cause", line.Cause))
-	case "fleet: only a part is seen":
+		r.options.Log.Info("status changed", zap.Float64("ms", ms), zap.String("gateway", g.name), zap.String("status", line.Status),
+			zap.String("reason", line.Reason))
+	case "fleet: partial view changed":
 		if line.Partial {
 			r.oracle.ObservePartialView(g.index)
 		}
 	default:
-		r.options.Log.Info("says", zap.Float64("ms", ms), zap.String("who", g.name), zap.ByteString("text", text))
+		r.options.Log.Info("gateway log line", zap.Float64("ms", ms), zap.String("gateway", g.name), zap.ByteString("text", text))
 	}
 }
 
--- a/internal/faultsim/process_steps.go
+++ b/internal/faultsim/process_steps.go
@@ -10,7 +10,7 @@
 
 // step carries out one step of the timeline. What takes time goes on by itself; ends counts it.
 func (r *processRun) step(program string, s *Step, ends *sync.WaitGroup) error {
-	r.options.Log.Info("step", zap.Float64("ms", r.now()), zap.String("do", s.Do.String()), zap.Int("who", s.Who), zap.Bool("undo", s.Undo))
+	r.options.Log.Info("step", zap.Float64("ms", r.now()), zap.String("operation", s.Do.String()), zap.Int("target", s.Who), zap.Bool("undo", s.Undo))
 	switch s.Do {
 	case HostDrain, HostKill, HostStart, HostCut:
 		return r.stepHost(s)
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -146,7 +146,8 @@
 	case routing.SetTimer:
 		c.scheduleStep(toMs(action.After))
 	case routing.Log:
-		c.log.Info("routing decision", zap.String("decision", action.Text))
+		c.log.Info("routing decision", zap.String("decision", action.Text), zap.Int("group", action.Group),
+			zap.String("host", action.Host))
 	}
 }
 
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -74,7 +74,7 @@
 	c.replyCounts[req.Class].Error++
 	c.log.Warn("streamed answer was aborted",
 		zap.String("host", attempt.host.ID),
-		zap.Int("outcome", int(outcome)),
+		zap.Stringer("outcome", outcome),
 		zap.Float64("idle_ms", c.Now()-req.lastPartMs))
 	req.stream.AbortStream()
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -217,11 +217,11 @@
 	} else {
 		t.counters.memberChanges[action.New].Inc()
 	}
-	t.log.Info("fleet: member",
+	t.log.Info("fleet: member state changed",
 		zap.String("member", member.Name),
 		zap.String("state", stateName(action.New)),
-		zap.String("was", stateName(action.Old)),
-		zap.String("cause", action.Cause),
+		zap.String("previous_state", stateName(action.Old)),
+		zap.String("reason", action.Cause),
 		zap.Stringer("address", member.Addr),
 		zap.String("zone", member.Zone),
 		zap.Uint64("incarnation", member.Incarnation))
@@ -237,7 +237,7 @@
 
 // statusChanged logs that this gateway's own status in the fleet changed.
 func (t *Transport) statusChanged(action *membership.StatusChanged) {
-	t.log.Info("fleet: standing", zap.Stringer("standing", action.Status), zap.String("cause", action.Cause))
+	t.log.Info("fleet: status changed", zap.Stringer("status", action.Status), zap.String("reason", action.Cause))
 }
 
 // checkPartial logs when the view begins or ceases to see only a part of the fleet.
@@ -247,8 +247,8 @@
 		return
 	}
 	t.partial = summary.Partial
-	t.log.Warn("fleet: only a part is seen",
-		zap.Bool("part", summary.Partial),
+	t.log.Warn("fleet: partial view changed",
+		zap.Bool("partial", summary.Partial),
 		zap.Int("alive", summary.Alive),
 		zap.Int("dead", summary.Dead),
 		zap.Int("unreachable", summary.Unreachable))
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -156,7 +156,7 @@
 		return stateOf(first, "b") == membership.Alive && stateOf(second, "a") == membership.Alive
 	})
 	second.Leave()
-	if changes := logs.FilterMessage("fleet: member").Len(); changes != 1 {
+	if changes := logs.FilterMessage("fleet: member state changed").Len(); changes != 1 {
 		t.Errorf("b logged %d changes", changes)
 	}
 	if second.view.Wake() < loop.Clock.Now()+1000 {
--- a/routing/events.go
+++ b/routing/events.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"fmt"
 	"time"
 
 	"merlinjunction/fleet"
@@ -54,6 +55,31 @@
 	OutcomeCancelled              // cancelled by CancelAttempt
 )
 
+// String returns the outcome's name, as it stands in logs.
+func (o Outcome) String() string {
+	switch o {
+	case OutcomeOK:
+		return "ok"
+	case OutcomeMisdirected:
+		return "misdirected"
+	case OutcomeRejected:
+		return "rejected"
+	case OutcomeNoConnection:
+		return "no_connection"
+	case OutcomeNotSent:
+		return "not_sent"
+	case OutcomeError:
+		return "error"
+	case OutcomeTimeout:
+		return "timeout"
+	case OutcomeConnectionLost:
+		return "connection_lost"
+	case OutcomeCancelled:
+		return "cancelled"
+	}
+	return fmt.Sprintf("outcome %d", int(o))
+}
+
 // provesNotRun reports whether the outcome proves that the request had no effect at the host.
 func (o Outcome) provesNotRun() bool {
 	switch o {
