--- a/fleet/poll_policy.go
+++ b/fleet/poll_policy.go
@@ -82,12 +82,12 @@
 	firstResponseTimeoutMs = 4000.0
 )
 
-// NextCall is how long the next poll may wait for an update, and after which time without an answer it times out. watch
+// NextPoll is how long the next poll may wait for an update, and after which time without an answer it times out. watch
 // says that the poll is for updates of a known version.
 //
 // The poll after one that timed out may not wait for long: what that one missed counts as notified
 // unansweredPollNotifiedMs after it was made, and two long ones in a row would take longer.
-func (p *PollPolicy) NextCall(watch bool) (wait, timeout float64) {
+func (p *PollPolicy) NextPoll(watch bool) (wait, timeout float64) {
 	switch {
 	case !watch:
 	case p.answered && !p.lastTimedOut:
--- a/fleet/poll_policy_test.go
+++ b/fleet/poll_policy_test.go
@@ -18,7 +18,7 @@
 			if first, move := policy.FirstDelay(true, 0.99), policy.MoveDelay(0.99); first != 0 || move != 0 {
 				t.Errorf("the first poll comes after %v ms, after a move %v ms", first, move)
 			}
-			if _, timeout := policy.NextCall(true); timeout > 1500 {
+			if _, timeout := policy.NextPoll(true); timeout > 1500 {
 				t.Errorf("the first poll may take %v ms", timeout)
 			}
 			for range 12 {
@@ -46,7 +46,7 @@
 			policy := PollPolicy{SlotSchedule: SlotSchedule{300, -1}, DrainGraceMs: grace}
 			now, polledAt, timeouts := 0.0, 0.0, 0
 			for now < unansweredPollNotifiedMs+grace {
-				_, timeout := policy.NextCall(true)
+				_, timeout := policy.NextPoll(true)
 				polledAt = now
 				now += timeout
 				now += policy.TimedOut(polledAt, now, 0.999)
@@ -82,7 +82,7 @@
 		now += policy.FirstDelay(true, draw())
 		received := false
 		for range rapid.IntRange(0, 8).Draw(t, "polls") {
-			wait, timeout := policy.NextCall(true)
+			wait, timeout := policy.NextPoll(true)
 			polledAt := now
 			switch rapid.IntRange(0, 4).Draw(t, "outcome") {
 			case 0: // answered, with the update if there is one by the end of the wait
@@ -195,7 +195,7 @@
 // Watches of a fleet that knows its slots get longer with its size, so that their sum does not grow; others don't.
 func TestPollPolicySharedDiscovery(t *testing.T) {
 	policy := PollPolicy{SlotSchedule: SlotSchedule{300, -1}, DrainGraceMs: 2000}
-	if wait, timeout := policy.NextCall(false); wait != 0 || timeout != 4000 {
+	if wait, timeout := policy.NextPoll(false); wait != 0 || timeout != 4000 {
 		t.Errorf("first poll: %.0f, %.0f", wait, timeout)
 	}
 	if policy.FirstDelay(false, 0.5) != 0 || policy.FirstDelay(true, 0.5) != 600 || policy.MoveDelay(0.5) != 500 {
@@ -205,11 +205,11 @@
 	if second, _ := policy.Answered(2); !first || second || !policy.HasAnswer() {
 		t.Error("which answer is the first")
 	}
-	if wait, timeout := policy.NextCall(true); wait != 2000 || timeout != 3000 {
+	if wait, timeout := policy.NextPoll(true); wait != 2000 || timeout != 3000 {
 		t.Errorf("watch: %.0f, %.0f", wait, timeout)
 	}
 	policy.Slot = 5
-	if wait, _ := policy.NextCall(true); wait != 6000 {
+	if wait, _ := policy.NextPoll(true); wait != 6000 {
 		t.Errorf("watch of a gateway that knows its slot: %.0f", wait)
 	}
 	if backoff := policy.Failed(3, 0.5); backoff != 100 {
--- a/internal/faultsim/database_session.go
+++ b/internal/faultsim/database_session.go
@@ -27,7 +27,7 @@
 	for s.sendReady() {
 		for {
 			kind, body, err := stubserver.ReadMessage(s.conn, maxMessageBody)
-			if err != nil || kind == pg.MsgEnd {
+			if err != nil || kind == pg.MsgTerminate {
 				return
 			}
 			if s.handle(kind, body) {
@@ -70,7 +70,7 @@
 	case kind == pg.MsgQuery:
 		s.statement.ReadQuery(body)
 		if s.statement.Text == "" {
-			s.out = pg.AppendMessage(s.out, pg.MsgEmptyQuery)
+			s.out = pg.AppendMessage(s.out, pg.MsgEmptyQueryResponse)
 		} else {
 			s.execute(true)
 		}
@@ -88,7 +88,7 @@
 }
 
 func (s *databaseSession) fail(sqlstate string) {
-	s.out = pg.ErrorResponse{State: sqlstate, Text: "stub"}.Append(s.out)
+	s.out = pg.ErrorResponse{SQLState: sqlstate, Message: "stub"}.AppendTo(s.out)
 	s.failed = true
 }
 
@@ -107,13 +107,13 @@
 		}
 		value, _ := strconv.Atoi(values[2])
 		all.write(values[0], values[1], value, now)
-		s.out = pg.AppendStrings(s.out, pg.MsgComplete, "INSERT 0 1")
+		s.out = pg.AppendStrings(s.out, pg.MsgCommandComplete, "INSERT 0 1")
 	case strings.HasPrefix(text, "SELECT") && len(values) == 1:
 		if simple {
 			s.out = stubserver.AppendColumnDescription(s.out)
 		}
 		s.out = stubserver.AppendRow(s.out, strconv.Itoa(host.read(values[0], now)))
-		s.out = pg.AppendStrings(s.out, pg.MsgComplete, "SELECT 1")
+		s.out = pg.AppendStrings(s.out, pg.MsgCommandComplete, "SELECT 1")
 	default:
 		s.fail(pg.StateSyntax)
 	}
--- a/internal/faultsim/emulate.go
+++ b/internal/faultsim/emulate.go
@@ -248,15 +248,15 @@
 
 func (em *Emulation) send(n *emulatedGateway, a *membership.Send) {
 	text, err := transport.Encode(em.buffer[:0], &a.Message)
-	if err == nil && len(text)+transport.SealSize > membership.MaxDatagramBytes {
-		err = fmt.Errorf("a %s of %d bytes is too large", a.Message.Kind, len(text)+transport.SealSize)
+	if err == nil && len(text)+transport.SealBytes > membership.MaxDatagramBytes {
+		err = fmt.Errorf("a %s of %d bytes is too large", a.Message.Kind, len(text)+transport.SealBytes)
 	}
 	if err != nil {
 		em.err = err
 		return
 	}
 	em.buffer = text
-	n.sentBytes += len(text) + transport.SealSize + headerBytes
+	n.sentBytes += len(text) + transport.SealBytes + headerBytes
 	em.Result.Datagrams++
 	to := em.byAddr[a.To]
 	if to == nil {
--- a/internal/faultsim/load.go
+++ b/internal/faultsim/load.go
@@ -159,15 +159,15 @@
 			return r, err
 		}
 		switch kind {
-		case pg.MsgReady:
+		case pg.MsgReadyForQuery:
 			return r, nil
-		case pg.MsgComplete:
+		case pg.MsgCommandComplete:
 			r.completed = true
 		case pg.MsgDataRow:
 			f := pg.NewFieldReader(body)
 			f.Int16()
 			r.value, _ = strconv.Atoi(string(f.Value()))
-		case pg.MsgError:
+		case pg.MsgErrorResponse:
 			f := pg.NewFieldReader(body)
 			for field := f.Byte(); field != 0 && !f.Malformed; field = f.Byte() {
 				if text := f.Text(); field == 'C' {
--- a/internal/faultsim/model/discovery.go
+++ b/internal/faultsim/model/discovery.go
@@ -82,7 +82,7 @@
 
 func (w *Watch) ask() {
 	d := w.d
-	wait, patience := w.calls.NextCall(w.since >= 0)
+	wait, patience := w.calls.NextPoll(w.since >= 0)
 	w.turn++
 	turn, asked := w.turn, d.world.Now()
 	d.world.Counters.Polls++
--- a/internal/frontend/extended/close.go
+++ b/internal/frontend/extended/close.go
@@ -15,7 +15,7 @@
 // handleClose handles Close: the kind of object, its name. Closing an unknown name is no error.
 func (s *session) handleClose(fields *pg.FieldReader) error {
 	kind, name := fields.Byte(), fields.Text()
-	if !fields.End() || !isObjectKind(kind) {
+	if !fields.AtEnd() || !isObjectKind(kind) {
 		return pg.ErrMalformed
 	}
 	if kind == kindStatement {
--- a/internal/frontend/extended/describe.go
+++ b/internal/frontend/extended/describe.go
@@ -16,7 +16,7 @@
 // description is cached with it.
 func (s *session) handleDescribe(fields *pg.FieldReader) error {
 	kind, name := fields.Byte(), fields.Text()
-	if !fields.End() || !isObjectKind(kind) {
+	if !fields.AtEnd() || !isObjectKind(kind) {
 		return pg.ErrMalformed
 	}
 	st, p := s.statements[name], s.portals[name]
@@ -51,7 +51,7 @@
 
 // emptyDescription describes a statement without parameters and columns.
 func emptyDescription() []byte {
-	return pg.AppendMessage(pg.AppendMessage(nil, pg.MsgParamDesc, 0, 0), pg.MsgNoData)
+	return pg.AppendMessage(pg.AppendMessage(nil, pg.MsgParameterDescription, 0, 0), pg.MsgNoData)
 }
 
 // sendDescription answers Describe from a statement's description. A portal has no ParameterDescription, and its
@@ -64,7 +64,7 @@
 			return
 		}
 		switch {
-		case objectKind == kindPortal && kind == pg.MsgParamDesc:
+		case objectKind == kindPortal && kind == pg.MsgParameterDescription:
 		case objectKind == kindPortal && kind == pg.MsgRowDescription:
 			s.output = pg.AppendMessage(s.output, kind, withFormatCodes(body, p.resultFormats)...)
 		default:
--- a/internal/frontend/extended/errors.go
+++ b/internal/frontend/extended/errors.go
@@ -10,64 +10,64 @@
 const stateNotInPrerequisiteState = "55000"
 
 var (
-	memoryLimitExceeded = pg.ErrorResponse{State: pg.StateTooLarge, Text: "too much is prepared or bound at a time"}
+	memoryLimitExceeded = pg.ErrorResponse{SQLState: pg.StateTooLarge, Message: "too much is prepared or bound at a time"}
 
 	multipleStatements = pg.ErrorResponse{
-		State: pg.StateNotSupported, Text: "several statements in one text are not taken here, as each commits singly",
+		SQLState: pg.StateNotSupported, Message: "several statements in one text are not taken here, as each commits singly",
 	}
 	transactionsNotSupported = pg.ErrorResponse{
-		State: pg.StateNotSupported, Text: "explicit transactions are not supported: each statement commits singly",
+		SQLState: pg.StateNotSupported, Message: "explicit transactions are not supported: each statement commits singly",
 	}
-	settingNotSupported = pg.ErrorResponse{State: pg.StateNotSupported, Text: "this setting can't be changed here"}
-	noMatchingRule      = pg.ErrorResponse{State: pg.StateNotSupported, Text: "no class is set up for this statement"}
+	settingNotSupported = pg.ErrorResponse{SQLState: pg.StateNotSupported, Message: "this setting can't be changed here"}
+	noMatchingRule      = pg.ErrorResponse{SQLState: pg.StateNotSupported, Message: "no class is set up for this statement"}
 
-	functionCallsNotSupported = pg.ErrorResponse{State: pg.StateNotSupported, Text: "function calls are not taken here"}
+	functionCallsNotSupported = pg.ErrorResponse{SQLState: pg.StateNotSupported, Message: "function calls are not taken here"}
 
-	noReachableHost = pg.ErrorResponse{State: pg.StateCannotConnectNow, Text: "no database host can be reached"}
+	noReachableHost = pg.ErrorResponse{SQLState: pg.StateCannotConnectNow, Message: "no database host can be reached"}
 
 	canceledByClient = pg.ErrorResponse{
-		State: pg.StateCanceled, Text: "called off by the client; the statement may have run",
+		SQLState: pg.StateCanceled, Message: "called off by the client; the statement may have run",
 	}
 )
 
 func unknownDatabase(name string) pg.ErrorResponse {
 	return pg.ErrorResponse{
-		State: pg.StateNoDatabase, Text: "no database of the name " + strconv.Quote(name) + " is set up",
+		SQLState: pg.StateNoDatabase, Message: "no database of the name " + strconv.Quote(name) + " is set up",
 	}
 }
 
 func unknownStatement(name string) pg.ErrorResponse {
-	return pg.ErrorResponse{State: pg.StateNoStatement, Text: "no prepared statement " + strconv.Quote(name)}
+	return pg.ErrorResponse{SQLState: pg.StateNoStatement, Message: "no prepared statement " + strconv.Quote(name)}
 }
 
 func duplicateStatement(name string) pg.ErrorResponse {
 	return pg.ErrorResponse{
-		State: pg.StateDuplicateStatement, Text: "prepared statement " + strconv.Quote(name) + " exists",
+		SQLState: pg.StateDuplicateStatement, Message: "prepared statement " + strconv.Quote(name) + " exists",
 	}
 }
 
 func unknownPortal(name string) pg.ErrorResponse {
-	return pg.ErrorResponse{State: pg.StateNoPortal, Text: "no portal " + strconv.Quote(name)}
+	return pg.ErrorResponse{SQLState: pg.StateNoPortal, Message: "no portal " + strconv.Quote(name)}
 }
 
 func duplicatePortal(name string) pg.ErrorResponse {
-	return pg.ErrorResponse{State: pg.StateDuplicatePortal, Text: "portal " + strconv.Quote(name) + " exists"}
+	return pg.ErrorResponse{SQLState: pg.StateDuplicatePortal, Message: "portal " + strconv.Quote(name) + " exists"}
 }
 
 func portalAlreadyExecuted(name string) pg.ErrorResponse {
 	return pg.ErrorResponse{
-		State: stateNotInPrerequisiteState, Text: "portal " + strconv.Quote(name) + " has been run",
+		SQLState: stateNotInPrerequisiteState, Message: "portal " + strconv.Quote(name) + " has been run",
 	}
 }
 
 func dedicatedHostNeeded(command string) pg.ErrorResponse {
 	return pg.ErrorResponse{
-		State: pg.StateNotSupported, Text: command + " needs a host of its own, which nobody has here",
+		SQLState: pg.StateNotSupported, Message: command + " needs a host of its own, which nobody has here",
 	}
 }
 
 func idempotencyKeyNeeded(class string) pg.ErrorResponse {
 	return pg.ErrorResponse{
-		State: pg.StateBadParameter, Text: "the class " + class + " needs an idempotency key",
+		SQLState: pg.StateBadParameter, Message: "the class " + class + " needs an idempotency key",
 	}
 }
--- a/internal/frontend/extended/execute.go
+++ b/internal/frontend/extended/execute.go
@@ -12,7 +12,7 @@
 // statement; later ones fetch the rows that the row limit has left.
 func (s *session) handleExecute(fields *pg.FieldReader) error {
 	name, maxRows := fields.Text(), fields.Int32()
-	if !fields.End() {
+	if !fields.AtEnd() {
 		return pg.ErrMalformed
 	}
 	p := s.portals[name]
@@ -27,7 +27,7 @@
 		p.executed = true
 		s.runLocalCommand(p.statement)
 	case p.statement.rule == nil:
-		s.output = pg.AppendMessage(s.output, pg.MsgEmptyQuery)
+		s.output = pg.AppendMessage(s.output, pg.MsgEmptyQueryResponse)
 	default:
 		p.executed = true
 		s.rowLimited = maxRows > 0
@@ -50,7 +50,7 @@
 // handleQuery handles a simple query.
 func (s *session) handleQuery(fields *pg.FieldReader) error {
 	text := fields.Text()
-	if !fields.End() {
+	if !fields.AtEnd() {
 		return pg.ErrMalformed
 	}
 	s.dropStatement("") // PostgreSQL's protocol: a simple query closes the unnamed statement and portal
@@ -68,7 +68,7 @@
 			s.finishSimpleQuery()
 		})
 	case s.frontend.Ready():
-		s.output = pg.AppendMessage(s.output, pg.MsgEmptyQuery)
+		s.output = pg.AppendMessage(s.output, pg.MsgEmptyQueryResponse)
 		s.finishSimpleQuery()
 	default:
 		s.fail(noReachableHost)
--- a/internal/frontend/extended/host_command.go
+++ b/internal/frontend/extended/host_command.go
@@ -32,7 +32,7 @@
 
 // Forwards accepts the messages that may answer an Execute.
 func (executeCommand) Forwards(kind byte) bool {
-	return kind == pg.MsgDataRow || kind == pg.MsgComplete || kind == pg.MsgEmptyQuery
+	return kind == pg.MsgDataRow || kind == pg.MsgCommandComplete || kind == pg.MsgEmptyQueryResponse
 }
 
 // IsComplete requires rows and a CommandComplete, or the answer to an empty statement.
@@ -62,7 +62,7 @@
 
 // Forwards accepts the messages that may answer a Describe.
 func (describeCommand) Forwards(kind byte) bool {
-	return kind == pg.MsgParamDesc || kind == pg.MsgRowDescription || kind == pg.MsgNoData
+	return kind == pg.MsgParameterDescription || kind == pg.MsgRowDescription || kind == pg.MsgNoData
 }
 
 // IsComplete requires the parameters, and the columns or NoData.
--- a/internal/frontend/extended/local_command.go
+++ b/internal/frontend/extended/local_command.go
@@ -79,6 +79,6 @@
 		s.fail(*rejection)
 		return
 	}
-	s.output = pg.AppendStrings(s.output, pg.MsgComplete, st.commandTag)
+	s.output = pg.AppendStrings(s.output, pg.MsgCommandComplete, st.commandTag)
 	s.finishSimpleQuery()
 }
--- a/internal/frontend/extended/portal.go
+++ b/internal/frontend/extended/portal.go
@@ -64,7 +64,7 @@
 		}
 	}
 	resultFormats, ok := readFormatCodes(fields)
-	if !ok || !fields.End() || len(formats) > 1 && len(formats) != count {
+	if !ok || !fields.AtEnd() || len(formats) > 1 && len(formats) != count {
 		return nil, false
 	}
 	return &portal{parameters: parameters, resultFormats: resultFormats}, true
--- a/internal/frontend/extended/responder.go
+++ b/internal/frontend/extended/responder.go
@@ -20,7 +20,7 @@
 
 // Reject responds that nothing was done, so that the client may retry.
 func (s *session) Reject(retryAfterMs float64) {
-	s.Fail(pg.RejectionResponse(retryAfterMs).Append(nil))
+	s.Fail(pg.RejectionResponse(retryAfterMs).AppendTo(nil))
 }
 
 // Fail forwards the error of a host; without one the outcome of the statement is unknown.
@@ -69,5 +69,5 @@
 		s.AbortStream()
 		return
 	}
-	s.Fail(canceledByClient.Append(nil))
+	s.Fail(canceledByClient.AppendTo(nil))
 }
--- a/internal/frontend/extended/session.go
+++ b/internal/frontend/extended/session.go
@@ -129,7 +129,7 @@
 }
 
 func (s *session) handleFlush(fields *pg.FieldReader) error {
-	if !fields.End() {
+	if !fields.AtEnd() {
 		return pg.ErrMalformed
 	}
 	s.flush()
@@ -138,7 +138,7 @@
 
 // handleSync ends a pipeline: it closes all portals and forgets the pipeline's error.
 func (s *session) handleSync(fields *pg.FieldReader) error {
-	if !fields.End() {
+	if !fields.AtEnd() {
 		return pg.ErrMalformed
 	}
 	s.discardUntilSync = false
@@ -152,7 +152,7 @@
 
 // fail reports an error to the client. The rest of the pipeline is discarded, so that no host sees what follows a
 // failed statement.
-func (s *session) fail(response pg.ErrorResponse) { s.failWith(response.Append(nil)) }
+func (s *session) fail(response pg.ErrorResponse) { s.failWith(response.AppendTo(nil)) }
 
 // failWith is fail for an ErrorResponse message that is already encoded.
 func (s *session) failWith(errorMessage []byte) {
--- a/internal/frontend/extended/statement.go
+++ b/internal/frontend/extended/statement.go
@@ -43,7 +43,7 @@
 func (s *session) handleParse(fields *pg.FieldReader) error {
 	name, text := fields.Text(), fields.Text()
 	parameterTypes := fields.Bytes(parameterTypeSize * fields.Int16())
-	if !fields.End() {
+	if !fields.AtEnd() {
 		return pg.ErrMalformed
 	}
 	if name == "" {
--- a/internal/frontend/platform/command.go
+++ b/internal/frontend/platform/command.go
@@ -20,7 +20,7 @@
 
 // Forwards accepts the messages of a query result.
 func (st *statement) Forwards(kind byte) bool {
-	return kind == pg.MsgRowDescription || kind == pg.MsgDataRow || kind == pg.MsgComplete
+	return kind == pg.MsgRowDescription || kind == pg.MsgDataRow || kind == pg.MsgCommandComplete
 }
 
 // CanStream requires that only the RowDescription precedes the row, and that both have one column.
--- a/internal/frontend/platform/pending_response.go
+++ b/internal/frontend/platform/pending_response.go
@@ -46,7 +46,7 @@
 	requestID, accepted := core.Submit(r.request)
 	r.requestID = requestID
 	if !accepted {
-		r.complete(pg.RejectionResponse(0).Append(nil))
+		r.complete(pg.RejectionResponse(0).AppendTo(nil))
 	}
 }
 
@@ -102,7 +102,7 @@
 
 // Reject responds that nothing was done, so that the client may retry.
 func (r *pendingResponse) Reject(retryAfterMs float64) {
-	r.Succeed(pg.RejectionResponse(retryAfterMs).Append(nil))
+	r.Succeed(pg.RejectionResponse(retryAfterMs).AppendTo(nil))
 }
 
 // Fail forwards the error of a host; without one the outcome of the statement is unknown.
--- a/internal/frontend/platform/session.go
+++ b/internal/frontend/platform/session.go
@@ -77,14 +77,14 @@
 		return
 	}
 	s.discardUntilSync = true
-	rejection := pg.ErrorResponse{State: pg.StateNotSupported, Text: "only simple queries are taken here"}
-	s.respond(rejection.Append(nil))
+	rejection := pg.ErrorResponse{SQLState: pg.StateNotSupported, Message: "only simple queries are taken here"}
+	s.respond(rejection.AppendTo(nil))
 }
 
 func (s *session) handleQuery(body []byte) {
 	fields := pg.NewFieldReader(body)
 	text := fields.Text()
-	if !fields.End() {
+	if !fields.AtEnd() {
 		s.client.Fatal(pg.StateProtocol, "the query is no text")
 		return
 	}
@@ -93,7 +93,7 @@
 		return
 	}
 	if tag, ok := connectionCommand(text); ok {
-		s.respond(pg.AppendReadyForQuery(pg.AppendStrings(nil, pg.MsgComplete, tag)))
+		s.respond(pg.AppendReadyForQuery(pg.AppendStrings(nil, pg.MsgCommandComplete, tag)))
 		return
 	}
 	st, err := parseStatement(text)
@@ -118,7 +118,7 @@
 		s.respondWithError(pg.StateCannotConnectNow, "no clients are taken now")
 		return
 	}
-	s.respond(pg.AppendReadyForQuery(pg.AppendMessage(nil, pg.MsgEmptyQuery)))
+	s.respond(pg.AppendReadyForQuery(pg.AppendMessage(nil, pg.MsgEmptyQueryResponse)))
 }
 
 // connectionCommand recognizes the commands that only change the connection. The gateway answers them itself, with the
@@ -133,7 +133,7 @@
 }
 
 func (s *session) respondWithError(sqlstate, text string) {
-	s.respond(pg.AppendReadyForQuery(pg.ErrorResponse{State: sqlstate, Text: text}.Append(nil)))
+	s.respond(pg.AppendReadyForQuery(pg.ErrorResponse{SQLState: sqlstate, Message: text}.AppendTo(nil)))
 }
 
 // respond enqueues a response whose body is complete.
--- a/internal/protocol/discovery/watcher.go
+++ b/internal/protocol/discovery/watcher.go
@@ -119,7 +119,7 @@
 		}
 	}
 	isWatch := w.revision >= 0
-	watchMs, timeoutMs := w.policy.NextCall(isWatch)
+	watchMs, timeoutMs := w.policy.NextPoll(isWatch)
 	path := listPath
 	if isWatch {
 		path += fmt.Sprintf("?since=%d&timeout_ms=%d", w.revision, int(watchMs))
--- a/internal/protocol/pg/client.go
+++ b/internal/protocol/pg/client.go
@@ -60,13 +60,13 @@
 
 // Fatal sends a fatal error response and closes the connection.
 func (c *Client) Fatal(sqlstate, text string) {
-	c.FatalError(ErrorResponse{State: sqlstate, Text: text})
+	c.FatalError(ErrorResponse{SQLState: sqlstate, Message: text})
 }
 
 // FatalError is Fatal with an error response, which becomes fatal.
 func (c *Client) FatalError(response ErrorResponse) {
 	response.Fatal = true
-	c.Send(response.Append(nil))
+	c.Send(response.AppendTo(nil))
 	c.closeGracefully()
 }
 
@@ -225,7 +225,7 @@
 		return false
 	case size == 0:
 		return false
-	case kind == MsgEnd:
+	case kind == MsgTerminate:
 		c.close()
 		return false
 	}
--- a/internal/protocol/pg/client_pool.go
+++ b/internal/protocol/pg/client_pool.go
@@ -55,19 +55,19 @@
 	if open < p.MaxClients*earlyEvictionPercent/100 {
 		return true
 	}
-	return p.evict(minIdleMs) || open < p.MaxClients || p.CloseIdle()
+	return p.evict(minIdleMs) || open < p.MaxClients || p.EvictIdle()
 }
 
 // Count is the number of connections.
 func (p *ClientPool) Count() int { return len(p.clients) }
 
-// CloseIdle closes one connection in favor of a new one: the one whose message has been due longest, or else the
+// EvictIdle closes one connection in favor of a new one: the one whose message has been due longest, or else the
 // one that has been idle longest. It returns false when there is none. A connection that has only just been accepted is
 // not closed, because its first message is on the way.
 //
 // This protects clients against others that open hundreds of connections and send nothing, an incomplete message, or
 // one request only.
-func (p *ClientPool) CloseIdle() bool { return p.evict(0) }
+func (p *ClientPool) EvictIdle() bool { return p.evict(0) }
 
 // evict is CloseIdle among the connections that are idle for at least some time.
 func (p *ClientPool) evict(minIdleMs float64) bool {
--- a/internal/protocol/pg/error_response.go
+++ b/internal/protocol/pg/error_response.go
@@ -38,23 +38,23 @@
 
 // ErrorResponse is an ErrorResponse message.
 type ErrorResponse struct {
-	Fatal  bool // the connection ends
-	State  string
-	Text   string
-	Detail string // optional
+	Fatal    bool // the connection ends
+	SQLState string
+	Message  string
+	Detail   string // optional
 }
 
-// Append appends the message.
-func (e ErrorResponse) Append(buf []byte) []byte {
+// AppendTo appends the message.
+func (e ErrorResponse) AppendTo(buf []byte) []byte {
 	severity := "ERROR"
 	if e.Fatal {
 		severity = "FATAL"
 	}
-	buf, mark := BeginMessage(buf, MsgError)
+	buf, mark := BeginMessage(buf, MsgErrorResponse)
 	buf = appendErrorField(buf, fieldSeverity, severity)
 	buf = appendErrorField(buf, fieldSeverityNonlocalized, severity)
-	buf = appendErrorField(buf, fieldSQLState, e.State)
-	buf = appendErrorField(buf, fieldMessage, e.Text)
+	buf = appendErrorField(buf, fieldSQLState, e.SQLState)
+	buf = appendErrorField(buf, fieldMessage, e.Message)
 	buf = appendErrorField(buf, fieldDetail, e.Detail)
 	return EndMessage(append(buf, 0), mark)
 }
@@ -85,7 +85,7 @@
 // hint in whole milliseconds, absent when retryAfterMs is 0.
 func RejectionResponse(retryAfterMs float64) ErrorResponse {
 	response := ErrorResponse{
-		State: StateTooManyConnections, Text: "refused, nothing was done; trying again is harmless",
+		SQLState: StateTooManyConnections, Message: "refused, nothing was done; trying again is harmless",
 	}
 	if retryAfterMs > 0 {
 		response.Detail = strconv.Itoa(int(retryAfterMs))
@@ -95,14 +95,14 @@
 
 // UnknownOutcomeResponse is the response to a request that may or may not have run.
 func UnknownOutcomeResponse() ErrorResponse {
-	return ErrorResponse{State: StateUnknownOutcome, Text: "no answer from the database; the statement may have run"}
+	return ErrorResponse{SQLState: StateUnknownOutcome, Message: "no answer from the database; the statement may have run"}
 }
 
 // FailureBody is the response to a request that has failed: the error of a host, or where that is nil
 // UnknownOutcomeResponse.
 func FailureBody(hostError []byte) []byte {
 	if hostError == nil {
-		return UnknownOutcomeResponse().Append(nil)
+		return UnknownOutcomeResponse().AppendTo(nil)
 	}
 	return hostError
 }
--- a/internal/protocol/pg/field_reader.go
+++ b/internal/protocol/pg/field_reader.go
@@ -83,5 +83,5 @@
 	return []byte{}
 }
 
-// End reports whether the body was well-formed and has been read to its end.
-func (f *FieldReader) End() bool { return !f.Malformed && len(f.rest) == 0 }
+// AtEnd reports whether the body was well-formed and has been read to its end.
+func (f *FieldReader) AtEnd() bool { return !f.Malformed && len(f.rest) == 0 }
--- a/internal/protocol/pg/health_check.go
+++ b/internal/protocol/pg/health_check.go
@@ -31,7 +31,7 @@
 
 // Forwards accepts the messages of a query result, for ParseLoadReport.
 func (LoadReportQuery) Forwards(kind byte) bool {
-	return kind == MsgRowDescription || kind == MsgDataRow || kind == MsgComplete
+	return kind == MsgRowDescription || kind == MsgDataRow || kind == MsgCommandComplete
 }
 
 // IsComplete requires one row.
@@ -45,7 +45,7 @@
 func (EmptyQuery) AppendTo(buf []byte, _ float64) []byte { return AppendStrings(buf, MsgQuery, "") }
 
 // Forwards accepts the answer to an empty query.
-func (EmptyQuery) Forwards(kind byte) bool { return kind == MsgEmptyQuery }
+func (EmptyQuery) Forwards(kind byte) bool { return kind == MsgEmptyQueryResponse }
 
 // IsComplete requires the answer to an empty query.
 func (EmptyQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "I" }
--- a/internal/protocol/pg/health_check_test.go
+++ b/internal/protocol/pg/health_check_test.go
@@ -10,7 +10,7 @@
 func reportRow(text string) []byte {
 	value := append([]byte{0, 1, 0, 0, 0, byte(len(text))}, text...)
 	row := AppendMessage(AppendMessage(nil, MsgRowDescription, 0, 0), MsgDataRow, value...)
-	return AppendStrings(row, MsgComplete, "SHOW")
+	return AppendStrings(row, MsgCommandComplete, "SHOW")
 }
 
 func TestParseLoadReport(t *testing.T) {
--- a/internal/protocol/pg/host_conn.go
+++ b/internal/protocol/pg/host_conn.go
@@ -145,7 +145,7 @@
 		return false, errInvalidAnswer
 	}
 	switch kind {
-	case MsgReady:
+	case MsgReadyForQuery:
 		if c.established && c.command == nil {
 			return false, errUnsolicitedMessage
 		}
@@ -153,9 +153,9 @@
 	case MsgParameterStatus:
 		c.handleParameterStatus(body)
 		return false, nil
-	case MsgNotice, MsgNotificationResponse:
+	case MsgNoticeResponse, MsgNotificationResponse:
 		return false, nil
-	case MsgError:
+	case MsgErrorResponse:
 		return false, c.handleError(body, raw)
 	}
 	return false, c.handleResult(kind, body, raw)
--- a/internal/protocol/pg/host_message.go
+++ b/internal/protocol/pg/host_message.go
@@ -15,12 +15,12 @@
 // to a gateway. A length is checked as soon as the header is there, so that the gateway never waits for gigabytes.
 func maxHostMessageSize(kind byte) int {
 	switch kind {
-	case MsgReady, MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQuery, MsgPortalSuspended:
+	case MsgReadyForQuery, MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQueryResponse, MsgPortalSuspended:
 		return emptyMessageLength
 	case MsgDataRow:
 		return MaxMessage
 	case MsgAuthentication, MsgBackendKeyData, MsgNegotiateProtocolVersion, MsgParameterStatus,
-		MsgComplete, MsgError, MsgNotice, MsgNotificationResponse, MsgParamDesc, MsgRowDescription:
+		MsgCommandComplete, MsgErrorResponse, MsgNoticeResponse, MsgNotificationResponse, MsgParameterDescription, MsgRowDescription:
 		return maxHostMessageBytes
 	}
 	return 0
@@ -30,20 +30,20 @@
 func isWellFormed(kind byte, body []byte) bool {
 	fields := NewFieldReader(body)
 	switch kind {
-	case MsgReady:
+	case MsgReadyForQuery:
 		return len(body) == 1 && isTransactionStatus(body[0])
 	case MsgParameterStatus:
 		fields.Text()
 		fields.Text()
-	case MsgComplete:
+	case MsgCommandComplete:
 		if fields.Text() == "" {
 			return false
 		}
-	case MsgError, MsgNotice:
+	case MsgErrorResponse, MsgNoticeResponse:
 		for field := fields.Byte(); field != 0; field = fields.Byte() {
 			fields.Text()
 		}
-		return fields.End() && (kind == MsgNotice || len(sqlStateOf(body)) == sqlStateLen)
+		return fields.AtEnd() && (kind == MsgNoticeResponse || len(sqlStateOf(body)) == sqlStateLen)
 	case MsgRowDescription:
 		for range fields.Int16() {
 			fields.Text()
@@ -53,13 +53,13 @@
 		for range fields.Int16() {
 			fields.Value()
 		}
-	case MsgParamDesc:
+	case MsgParameterDescription:
 		fields.Bytes(parameterTypeSize * fields.Int16())
-	case MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQuery, MsgPortalSuspended:
+	case MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQueryResponse, MsgPortalSuspended:
 	default:
 		return true
 	}
-	return fields.End()
+	return fields.AtEnd()
 }
 
 // isTransactionStatus reports whether a byte is a status of ReadyForQuery: idle, in a transaction, in a failed one.
--- a/internal/protocol/pg/message.go
+++ b/internal/protocol/pg/message.go
@@ -14,7 +14,7 @@
 	MsgCopyDone     = 'c'
 	MsgCopyFail     = 'f'
 	MsgDescribe     = 'D'
-	MsgEnd          = 'X' // Terminate
+	MsgTerminate    = 'X' // Terminate
 	MsgExecute      = 'E'
 	MsgFlush        = 'H'
 	MsgFunctionCall = 'F'
@@ -29,18 +29,18 @@
 	MsgBackendKeyData           = 'K'
 	MsgBindComplete             = '2'
 	MsgCloseComplete            = '3'
-	MsgComplete                 = 'C' // CommandComplete
+	MsgCommandComplete          = 'C' // CommandComplete
 	MsgDataRow                  = 'D'
-	MsgEmptyQuery               = 'I' // EmptyQueryResponse
-	MsgError                    = 'E' // ErrorResponse
+	MsgEmptyQueryResponse       = 'I' // EmptyQueryResponse
+	MsgErrorResponse            = 'E' // ErrorResponse
 	MsgNegotiateProtocolVersion = 'v' // NegotiateProtocolVersion
 	MsgNoData                   = 'n'
-	MsgNotice                   = 'N' // NoticeResponse
+	MsgNoticeResponse           = 'N' // NoticeResponse
 	MsgNotificationResponse     = 'A' // NotificationResponse
-	MsgParamDesc                = 't' // ParameterDescription
+	MsgParameterDescription     = 't' // ParameterDescription
 	MsgParameterStatus          = 'S'
 	MsgParseComplete            = '1'
-	MsgReady                    = 'Z' // ReadyForQuery
+	MsgReadyForQuery            = 'Z' // ReadyForQuery
 	MsgRowDescription           = 'T'
 	MsgPortalSuspended          = 's' // PortalSuspended
 )
@@ -110,4 +110,6 @@
 }
 
 // AppendReadyForQuery appends a ReadyForQuery message outside a transaction block.
-func AppendReadyForQuery(buf []byte) []byte { return AppendMessage(buf, MsgReady, transactionIdle) }
+func AppendReadyForQuery(buf []byte) []byte {
+	return AppendMessage(buf, MsgReadyForQuery, transactionIdle)
+}
--- a/internal/protocol/pg/message_test.go
+++ b/internal/protocol/pg/message_test.go
@@ -11,9 +11,9 @@
 func TestMessageEncoding(t *testing.T) {
 	for want, got := range map[string][]byte{
 		"5a 00000005 49":                     AppendReadyForQuery(nil),
-		"43 0000000f 494e534552542030203100": AppendStrings(nil, MsgComplete, "INSERT 0 1"),
+		"43 0000000f 494e534552542030203100": AppendStrings(nil, MsgCommandComplete, "INSERT 0 1"),
 		"45 00000024 534552524f5200 564552524f5200 43353333303000 4d6e6f00 443730303000 00": ErrorResponse{
-			State: StateTooManyConnections, Text: "no", Detail: "7000"}.Append(nil),
+			SQLState: StateTooManyConnections, Message: "no", Detail: "7000"}.AppendTo(nil),
 	} {
 		encoded := bytes.ReplaceAll([]byte(want), []byte(" "), nil)
 		if b, err := hex.DecodeString(string(encoded)); err != nil || !bytes.Equal(b, got) {
@@ -46,7 +46,7 @@
 		func(f *FieldReader) { f.Int32(); f.Byte() },
 	} {
 		fields := NewFieldReader([]byte{0x7f, 1, 1, 1})
-		if read(fields); !fields.Malformed || fields.End() {
+		if read(fields); !fields.Malformed || fields.AtEnd() {
 			t.Error("a read past the end goes unnoticed")
 		}
 	}
--- a/internal/protocol/pg/startup.go
+++ b/internal/protocol/pg/startup.go
@@ -108,7 +108,7 @@
 			startup.unknownOptions = append(startup.unknownOptions, name)
 		}
 	}
-	if !fields.End() || startup.user == "" {
+	if !fields.AtEnd() || startup.user == "" {
 		return nil, ErrMalformed
 	}
 	if startup.database == "" {
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -127,5 +127,5 @@
 // onAcceptError disconnects idle clients when no descriptor is free for a new connection.
 func (s *Server) onAcceptError(err error) {
 	s.log.Warn("accepting a connection failed, closing idle clients", zap.Error(err))
-	s.clients.CloseIdle()
+	s.clients.EvictIdle()
 }
--- a/internal/server/management.go
+++ b/internal/server/management.go
@@ -55,7 +55,7 @@
 	}
 	members, summary := s.transport.Members()
 	view := &management.Fleet{
-		Name:        s.config.Operator.Fleet.Fleet,
+		Name:        s.config.Operator.Fleet.FleetName,
 		Self:        s.config.Name,
 		Status:      summary.Status.String(),
 		Partial:     summary.Partial,
--- a/internal/testkit/client_message.go
+++ b/internal/testkit/client_message.go
@@ -57,7 +57,7 @@
 	case "flush":
 		return pg.AppendMessage(out, pg.MsgFlush), nil
 	case "terminate":
-		return pg.AppendMessage(out, pg.MsgEnd), nil
+		return pg.AppendMessage(out, pg.MsgTerminate), nil
 	}
 	return nil, fmt.Errorf("unknown message %q", m.kind)
 }
@@ -117,16 +117,16 @@
 		}
 		fields := pg.NewFieldReader(body)
 		switch kind {
-		case pg.MsgParameterStatus, pg.MsgNotice:
+		case pg.MsgParameterStatus, pg.MsgNoticeResponse:
 			continue
 		case pg.MsgBackendKeyData:
 			return "K:" + hex.EncodeToString(body), nil
-		case pg.MsgComplete:
+		case pg.MsgCommandComplete:
 			return "C:" + strings.ReplaceAll(fields.Text(), " ", "_"), nil
 		case pg.MsgDataRow:
 			fields.Int16()
 			return "D:" + string(fields.Value()), nil
-		case pg.MsgError:
+		case pg.MsgErrorResponse:
 			return errorName(fields), nil
 		}
 		return string(kind), nil
--- a/internal/testkit/execute.go
+++ b/internal/testkit/execute.go
@@ -96,7 +96,7 @@
 	if strings.Contains(s.statement.Text, "RETURNING") {
 		s.out = stubserver.AppendRow(s.out, "v")
 	}
-	s.out = pg.AppendStrings(s.out, pg.MsgComplete, "INSERT 0 1")
+	s.out = pg.AppendStrings(s.out, pg.MsgCommandComplete, "INSERT 0 1")
 }
 
 // answerRead writes the rows of a SELECT; false where the connection is to end.
@@ -112,7 +112,7 @@
 	for i := range rows {
 		s.out = stubserver.AppendRow(s.out, fmt.Sprintf("%s%d", s.host.Name, i))
 	}
-	s.out = pg.AppendStrings(s.out, pg.MsgComplete, "SELECT "+strconv.Itoa(rows))
+	s.out = pg.AppendStrings(s.out, pg.MsgCommandComplete, "SELECT "+strconv.Itoa(rows))
 	return true
 }
 
@@ -139,7 +139,7 @@
 	if cut || noise {
 		return false
 	}
-	s.out = pg.AppendStrings(s.out, pg.MsgComplete, "SELECT 1")
+	s.out = pg.AppendStrings(s.out, pg.MsgCommandComplete, "SELECT 1")
 	return true
 }
 
--- a/internal/testkit/host.go
+++ b/internal/testkit/host.go
@@ -46,7 +46,7 @@
 	session.sendReady()
 	for {
 		kind, body, err := stubserver.ReadMessage(conn, maxMessageBody)
-		if err != nil || kind == pg.MsgEnd || !session.handle(kind, body) {
+		if err != nil || kind == pg.MsgTerminate || !session.handle(kind, body) {
 			return
 		}
 	}
@@ -89,7 +89,7 @@
 
 // fail answers with an error; it returns true, as the connection goes on.
 func (s *hostSession) fail(sqlstate string) bool {
-	s.out = pg.ErrorResponse{State: sqlstate, Text: "stub"}.Append(s.out)
+	s.out = pg.ErrorResponse{SQLState: sqlstate, Message: "stub"}.AppendTo(s.out)
 	s.failed = true
 	return true
 }
@@ -129,7 +129,7 @@
 		s.out = stubserver.AppendColumnDescription(s.out)
 	}
 	if text == "" {
-		s.out = pg.AppendMessage(s.out, pg.MsgEmptyQuery)
+		s.out = pg.AppendMessage(s.out, pg.MsgEmptyQueryResponse)
 	} else if !s.execute() {
 		return false
 	}
@@ -147,7 +147,7 @@
 	cluster.mutex.Unlock()
 	parameters := byte(strings.Count(s.statement.Text, "$"))
 	description := append([]byte{0, parameters}, make([]byte, typeOIDSize*int(parameters))...)
-	s.out = pg.AppendMessage(s.out, pg.MsgParamDesc, description...)
+	s.out = pg.AppendMessage(s.out, pg.MsgParameterDescription, description...)
 	if strings.HasPrefix(s.statement.Text, "SELECT") {
 		s.out = stubserver.AppendColumnDescription(s.out)
 	} else {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -18,7 +18,7 @@
 // Config says how this gateway takes part in a fleet.
 type Config struct {
 	Name      string           // of the gateway
-	Fleet     string           // of the fleet: datagrams of other fleets are dropped
+	FleetName string           // of the fleet: datagrams of other fleets are dropped
 	Listen    string           // the address to receive on
 	Advertise netip.AddrPort   // the address that the other members send to; not valid: the address listened on
 	Zone      string           // of the gateway
@@ -53,7 +53,7 @@
 // New opens the socket and creates the View, which the first Step starts. The errors name the configuration key that is
 // wrong.
 func New(loop *eventloop.Loop, log *zap.Logger, config Config) (*Transport, error) {
-	sealer, err := NewSealer(config.Fleet, config.Keys)
+	sealer, err := NewSealer(config.FleetName, config.Keys)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.keys: %w", err)
 	}
