--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -26,9 +26,9 @@
 
 // dispatch sends an attempt on an idle connection, or lets it wait for the next one that is free.
 //
-// Known fault, see docs/capacity.md: where attempts wait already, a connection that takeSettled returned is in no list any
-// more; it stays open and unused, and counts in openConns, until its host closes it. That happens to an attempt that
-// arrives after the end of a settle period and before the timer that then calls serveWaiting.
+// Known fault (TestSettledConnectionStaysInThePool): where attempts wait already, a connection that takeSettled returned is
+// in no list any more; it stays open and unused, and counts in openConns, until its host closes it. That happens to an
+// attempt that arrives after the end of a settle period and before the timer that then calls serveWaiting.
 func (c *Core) dispatch(attempt *hostAttempt) {
 	h := attempt.host
 	if conn := h.takeSettled(); conn != nil && len(h.waiting) == 0 {
