--- a/fleet/aperture_test.go
+++ b/fleet/aperture_test.go
@@ -51,8 +51,8 @@
 	wantInUse(40_000, order[0], order[1])
 }
 
-// Warming hosts count by their warmth: two with a fifth of their capacity are not a subset.
-func TestApertureCountsWarmth(t *testing.T) {
+// Warming hosts count by their capacity shares: two with a fifth of their capacity are not a subset.
+func TestApertureCountsCapacityShares(t *testing.T) {
 	aperture, order := newAperture()
 	capacity := func(host int) float64 {
 		if host == order[0] || host == order[1] {
@@ -67,6 +67,6 @@
 		}
 	}
 	if count != 4 {
-		t.Errorf("%d hosts in use, want both warming ones and two warm ones", count)
+		t.Errorf("%d hosts in use, want both warming ones and two healthy ones", count)
 	}
 }
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -8,5 +8,6 @@
 // Subsets use rendezvous hashing (Thaler and Ravishankar 1998) with the bound of consistent hashing with bounded loads
 // (Mirrokni, Thorup, Zadimoghaddam 2016). docs/fleet.md compares them with other methods.
 //
-// All times and durations are milliseconds on the caller's clock, all rates are per second.
+// All times and durations are milliseconds on the caller's clock where their names give no other unit, all rates are
+// per second.
 package fleet
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -47,16 +47,18 @@
 
 // FleetShare is the share of the group's traffic that a host gets from the whole fleet while it gets ownShare of this
 // gateway's traffic. If ownShare is more than the assignment explains, the other gateways are assumed to exceed their
-// shares by the same factor, for the same cause. warmth is the warmth of each host (0 to 1), zoneWeight as in
-// TrafficShares.
-func (g *Group) FleetShare(now float64, host int, ownShare, zoneWeight float64, warmth func(host int) float64) float64 {
-	if g.fleetShares == nil || now >= g.sharesComputedAtMs+sharesCacheMs {
-		warmths := make([]float64, len(g.assignment.hosts))
-		for i := range warmths {
-			warmths[i] = warmth(i)
+// shares by the same factor, for the same cause. capacityShare is the share of its capacity that each host has (0 to 1:
+// below 1 it is warming up), zoneWeight as in TrafficShares.
+func (g *Group) FleetShare(
+	nowMs float64, host int, ownShare, zoneWeight float64, capacityShare func(host int) float64,
+) float64 {
+	if g.fleetShares == nil || nowMs >= g.sharesComputedAtMs+sharesCacheMs {
+		capacityShares := make([]float64, len(g.assignment.hosts))
+		for i := range capacityShares {
+			capacityShares[i] = capacityShare(i)
 		}
-		g.fleetShares, g.ownShares = g.assignment.TrafficShares(warmths, zoneWeight)
-		g.sharesComputedAtMs = now
+		g.fleetShares, g.ownShares = g.assignment.TrafficShares(capacityShares, zoneWeight)
+		g.sharesComputedAtMs = nowMs
 	}
 	if g.ownShares[host] <= 0 {
 		return max(g.fleetShares[host], ownShare)
--- a/fleet/group_test.go
+++ b/fleet/group_test.go
@@ -9,16 +9,16 @@
 func TestFleetShareBeyondExpectation(t *testing.T) {
 	var group Group
 	group.Update(NewNamedRoster(Gateway{Name: "g0"}, newGateways(30, 0, nil)), newHosts(6, 0), 2)
-	warm := func(int) float64 { return 1 }
+	fullCapacity := func(int) float64 { return 1 }
 	order := group.assignment.PreferenceOrder()
-	if share := group.FleetShare(0, order[0], 0.5, 1, warm); share > 0.25 {
+	if share := group.FleetShare(0, order[0], 0.5, 1, fullCapacity); share > 0.25 {
 		t.Errorf("a share of %.2f where a third of the fleet sends half", share)
 	}
-	half, whole := group.FleetShare(0, order[0], 0.5, 1, warm), group.FleetShare(0, order[0], 1, 1, warm)
+	half, whole := group.FleetShare(0, order[0], 0.5, 1, fullCapacity), group.FleetShare(0, order[0], 1, 1, fullCapacity)
 	if math.Abs(whole-2*half) > 1e-9 {
 		t.Errorf("shares of %.2f for half of the traffic and %.2f for all", half, whole)
 	}
-	if share := group.FleetShare(0, order[5], 0.4, 1, warm); share < 0.4 {
+	if share := group.FleetShare(0, order[5], 0.4, 1, fullCapacity); share < 0.4 {
 		t.Errorf("a share of %.2f at a host that this gateway is not expected to use", share)
 	}
 }
@@ -28,10 +28,10 @@
 	var group Group
 	gateways := newGateways(30, 2, func(int) float64 { return 10 })
 	update := func() { group.Update(NewNamedRoster(gateways[0], gateways), newHosts(6, 2), 2) }
-	warmth := func(int) float64 { return 0.5 }
+	capacityShare := func(int) float64 { return 0.5 }
 	update()
 	subsets, host := &group.assignment.subsets[0], group.assignment.PreferenceOrder()[0]
-	before := group.FleetShare(0, host, 0.5, 1, warmth)
+	before := group.FleetShare(0, host, 0.5, 1, capacityShare)
 	for i := range gateways[1:] {
 		gateways[i+1].Load = 1
 	}
@@ -39,7 +39,7 @@
 	if &group.assignment.subsets[0] != subsets {
 		t.Error("other loads made a new assignment")
 	}
-	if after := group.FleetShare(0, host, 0.5, 1, warmth); after == before {
+	if after := group.FleetShare(0, host, 0.5, 1, capacityShare); after == before {
 		t.Error("other loads changed nothing")
 	}
 	gateways[3].Zone = "z"
--- a/fleet/load_estimator.go
+++ b/fleet/load_estimator.go
@@ -17,7 +17,7 @@
 type LoadEstimator struct {
 	arrivals     decayingRate
 	served       decayingRate
-	baselineRate float64 // served requests a second while all hosts were warm; a slowly decaying maximum
+	baselineRate float64 // served requests a second while no host was warming up; a slowly decaying maximum
 	baselineAt   float64 // time of the last baseline update
 	firstEventAt float64 // 0: no event yet
 }
@@ -56,10 +56,11 @@
 	}
 }
 
-// UpdateBaseline takes the served rate into the baseline, once a second. It does so only while all hosts are warm: what
-// is served while hosts warm up was limited by the gateways, and a baseline that followed it would shrink ever further.
-func (e *LoadEstimator) UpdateBaseline(now float64, allWarm bool) {
-	if !allWarm || e.firstEventAt == 0 || now < e.firstEventAt+servedWindowMs {
+// UpdateBaseline takes the served rate into the baseline, once a second. It does so only while no host is warming up:
+// what is served while hosts warm up was limited by the gateways, and a baseline that followed it would shrink ever
+// further.
+func (e *LoadEstimator) UpdateBaseline(now float64, allWarmedUp bool) {
+	if !allWarmedUp || e.firstEventAt == 0 || now < e.firstEventAt+servedWindowMs {
 		e.baselineAt = now
 		return
 	}
--- a/fleet/load_estimator_test.go
+++ b/fleet/load_estimator_test.go
@@ -5,12 +5,12 @@
 // Twenty requests a second are served; then three times as many arrive and none is served.
 func TestLoadEstimator(t *testing.T) {
 	var estimator LoadEstimator
-	nextSecond, allWarm := 1000.0, true
+	nextSecond, allWarmedUp := 1000.0, true
 	repeat := func(from, to, every float64, event func(now float64)) {
 		for now := from; now < to; now += every {
 			event(now)
 			if now >= nextSecond {
-				estimator.UpdateBaseline(now, allWarm)
+				estimator.UpdateBaseline(now, allWarmedUp)
 				nextSecond += 1000
 			}
 		}
@@ -26,7 +26,7 @@
 	if factor := estimator.Factor(6000); factor > 1.2 {
 		t.Errorf("normal traffic has a factor of %.2f", factor)
 	}
-	allWarm = false
+	allWarmedUp = false
 	repeat(6000, 9000, 50.0/3, estimator.RequestArrived)
 	if factor := estimator.Factor(9000); factor < 2.4 || factor > 3.5 {
 		t.Errorf("three times the traffic has a factor of %.2f", factor)
--- a/fleet/poll_policy.go
+++ b/fleet/poll_policy.go
@@ -72,9 +72,9 @@
 }
 
 const (
-	watchWaitMs           = 2000.0   // for which a watch waits for an update
-	watchWaitPerGatewayMs = 20.0     // or this for each gateway of the fleet, if gateways know their slots
-	maxWatchWaitMs        = 20_000.0 // but no longer
+	watchWaitMs           = 2000.0   // least time for which a watch waits for an update
+	watchWaitPerGatewayMs = 20.0     // that time for each gateway of the fleet, if this one knows its slot
+	maxWatchWaitMs        = 20_000.0 // greatest time that the size of the fleet leads to
 	firstWatchWaitMs      = 100.0    // of the first watch: the program waits for its answer
 	responseTimeoutMs     = 1000.0   // beyond the time for which the poll may wait
 	// firstResponseTimeoutMs is for the first poll: the polls of a whole fleet queue in discovery, and a repeated poll
@@ -85,8 +85,8 @@
 // NextPoll is how long the next poll may wait for an update, and after which time without an answer it times out. watch
 // says that the poll is for updates of a known version.
 //
-// The poll after one that timed out may not wait for long: what that one missed counts as notified
-// unansweredPollNotifiedMs after it was made, and two long ones in a row would take longer.
+// A poll that follows a time-out waits only firstWatchWaitMs. Updates that the earlier poll missed count as notified
+// unansweredPollNotifiedMs after it was made, and a second long wait would end later than that.
 func (p *PollPolicy) NextPoll(watch bool) (wait, timeout float64) {
 	switch {
 	case !watch:
--- a/fleet/slow_start_limit_test.go
+++ b/fleet/slow_start_limit_test.go
@@ -24,33 +24,34 @@
 		"alone":                    func(i int) *Roster { return NewNamedRoster(gateways[i], nil) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			warmths := []float64{0.2, 1, 1, 0.2, 1, 0.2}
-			warmthOf := func(host int) float64 { return warmths[host] }
+			capacityShares := []float64{0.2, 1, 1, 0.2, 1, 0.2}
+			capacityShareOf := func(host int) float64 { return capacityShares[host] }
 			rates := make([]float64, hostCount)
 			for i := range gatewayCount {
 				var group Group
 				group.Update(rosterOf(i), newHosts(hostCount, 0), 2)
-				inUse := group.InUse(0, warmthOf)
+				inUse := group.InUse(0, capacityShareOf)
 				weights := 0.0
 				for host, used := range inUse {
 					if used {
-						weights += warmths[host]
+						weights += capacityShares[host]
 					}
 				}
 				for host, used := range inUse {
 					if !used {
 						continue
 					}
-					share := warmths[host] / weights
+					share := capacityShares[host] / weights
 					probability := 1.0
-					if warmths[host] < 1 {
-						probability = limit.AdmitProbability(warmths[host], group.FleetShare(0, host, share, 4, warmthOf), 0)
+					if capacityShares[host] < 1 {
+						fleetShare := group.FleetShare(0, host, share, 4, capacityShareOf)
+						probability = limit.AdmitProbability(capacityShares[host], fleetShare, 0)
 					}
 					rates[host] += groupRate / gatewayCount * share * probability
 				}
 			}
 			for host, rate := range rates {
-				if most := 2.5 * warmths[host] * groupRate / hostCount; warmths[host] < 1 && rate > most {
+				if most := 2.5 * capacityShares[host] * groupRate / hostCount; capacityShares[host] < 1 && rate > most {
 					t.Errorf("host %d gets %.0f requests a second and is overloaded at %.0f", host, rate, most)
 				}
 			}
--- a/fleet/subset_assignment.go
+++ b/fleet/subset_assignment.go
@@ -94,7 +94,8 @@
 	return hostScore > otherScore || hostScore == otherScore && host < other
 }
 
-// sameZone reports whether a gateway and a host are known to be in one zone.
+// sameZone reports whether a gateway and a host are known to be in one zone. Two unknown zones aren't, unlike in the
+// selection weights of package routing.
 func (s *SubsetAssignment) sameZone(gateway, host int) bool {
 	zone := s.roster.gateways[gateway].Zone
 	return zone != "" && zone == s.hosts[host].Zone
--- a/fleet/token_bucket.go
+++ b/fleet/token_bucket.go
@@ -2,15 +2,15 @@
 
 // TokenBucket is a rate limiter. The zero value is empty.
 type TokenBucket struct {
-	tokens     float64
-	refilledAt float64
+	tokens       float64
+	refilledAtMs float64
 }
 
-// Take removes one token and reports whether there was one. The bucket fills at rate tokens a second and holds one
-// token more than burst seconds add.
-func (b *TokenBucket) Take(now, rate, burst float64) bool {
-	b.tokens = min(1+rate*burst, b.tokens+rate*(now-b.refilledAt)/1000)
-	b.refilledAt = now
+// Take removes one token and reports whether there was one. The bucket fills at ratePerSecond and holds one token more
+// than burstSeconds add.
+func (b *TokenBucket) Take(nowMs, ratePerSecond, burstSeconds float64) bool {
+	b.tokens = min(1+ratePerSecond*burstSeconds, b.tokens+ratePerSecond*(nowMs-b.refilledAtMs)/1000)
+	b.refilledAtMs = nowMs
 	if b.tokens < 1 {
 		return false
 	}
--- a/fleet/traffic_shares.go
+++ b/fleet/traffic_shares.go
@@ -1,30 +1,32 @@
 package fleet
 
 // TrafficShares computes, by host, the share of the group's traffic that comes from the whole fleet and the share of
-// this gateway's own traffic, from facts that all gateways have alike: the assignment, the hosts' warmth (0 to 1) and
-// the gateways' loads. Each gateway is assumed to use the hosts that its Aperture opens for warmth alone, and to
-// distribute its requests over them by warmth; a host in its own zone counts zoneWeight times. Each result sums to 1 if
-// any host has capacity.
+// this gateway's own traffic, from facts that all gateways have alike: the assignment, the hosts' capacity shares (0
+// to 1) and the gateways' loads. Each gateway is assumed to use the hosts that its Aperture opens for warming hosts
+// alone, and to distribute its requests over them by capacity share; a host in its own zone counts zoneWeight times.
+// Each result sums to 1 if any host has capacity.
 //
 // A host in few subsets gets little traffic in all, even if it gets most of those gateways' requests. If each gateway
 // scales its own requests by a limit divided by the host's fleet share, the fleet's sum meets the limit.
-func (s *SubsetAssignment) TrafficShares(warmth []float64, zoneWeight float64) (fleetShares, ownShares []float64) {
+func (s *SubsetAssignment) TrafficShares(
+	capacityShares []float64, zoneWeight float64,
+) (fleetShares, ownShares []float64) {
 	fleetShares, ownShares = make([]float64, len(s.hosts)), make([]float64, len(s.hosts))
 	if s.preferenceOrders == nil { // every gateway uses all hosts
 		sum := 0.0
-		for _, w := range warmth {
-			sum += w
+		for _, share := range capacityShares {
+			sum += share
 		}
-		for host, w := range warmth {
-			if w > 0 {
-				fleetShares[host], ownShares[host] = w/sum, w/sum
+		for host, share := range capacityShares {
+			if share > 0 {
+				fleetShares[host], ownShares[host] = share/sum, share/sum
 			}
 		}
 		return fleetShares, ownShares
 	}
 	weights := make([]float64, len(s.hosts))
 	for gateway := range s.roster.gateways {
-		sum := s.expectedWeights(gateway, warmth, zoneWeight, weights)
+		sum := s.expectedWeights(gateway, capacityShares, zoneWeight, weights)
 		for host, weight := range weights {
 			if weight > 0 {
 				fleetShares[host] += weight / sum * s.roster.loads[gateway] / s.roster.totalLoad
@@ -40,13 +42,13 @@
 // expectedWeights sets the weights with which a gateway is expected to distribute its requests, 0 for hosts that it is
 // not expected to use, and returns their sum.
 func (s *SubsetAssignment) expectedWeights(
-	gateway int, warmth []float64, zoneWeight float64, weights []float64,
+	gateway int, capacityShares []float64, zoneWeight float64, weights []float64,
 ) float64 {
 	capacity, sum := 0.0, 0.0
 	clear(weights)
 	use := func(host int) {
-		capacity += warmth[host]
-		weights[host] = warmth[host]
+		capacity += capacityShares[host]
+		weights[host] = capacityShares[host]
 		if s.sameZone(gateway, host) {
 			weights[host] *= zoneWeight
 		}
--- a/fleet/traffic_shares_test.go
+++ b/fleet/traffic_shares_test.go
@@ -15,16 +15,16 @@
 		gatewayCount, hostCount := rapid.IntRange(1, 40).Draw(t, "gateways"), rapid.IntRange(1, 12).Draw(t, "hosts")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		gateways := newGateways(gatewayCount, 2, func(int) float64 { return rng.ExpFloat64() + 0.1 })
-		warmth := make([]float64, hostCount)
-		for i := range warmth {
-			warmth[i] = max(0.2, rng.Float64())
+		capacityShares := make([]float64, hostCount)
+		for i := range capacityShares {
+			capacityShares[i] = max(0.2, rng.Float64())
 		}
 		hosts := newHosts(hostCount, 2)
 		ownSum := make([]float64, hostCount)
 		totalLoad := 0.0
 		var expected []float64
 		for _, self := range gateways {
-			fleetShares, ownShares := AssignSubsets(NewNamedRoster(self, gateways), hosts, 2).TrafficShares(warmth, 4)
+			fleetShares, ownShares := AssignSubsets(NewNamedRoster(self, gateways), hosts, 2).TrafficShares(capacityShares, 4)
 			if expected == nil {
 				expected = fleetShares
 			}
--- a/routing/actions.go
+++ b/routing/actions.go
@@ -7,9 +7,11 @@
 
 // Attempt sends a request to a host. The attempts of a request count from 0.
 type Attempt struct {
-	Request  uint64
-	Host     string
-	GiveUpAt time.Duration // clock time at which it ends with OutcomeTimeout; 0: when the client gives up
+	Request uint64
+	Host    string
+	// GiveUpAt is the clock time at which the attempt ends with OutcomeTimeout; 0: when the client gives up. The
+	// Router leaves it at 0.
+	GiveUpAt time.Duration
 	// SendBefore is the clock time until which the request must be written, else it must not be sent at all:
 	// the deduplication window may be over by then. 0: no such limit.
 	SendBefore time.Duration
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -8,7 +8,8 @@
 // sheds a part of its requests.
 
 const (
-	// maxAdmissionGate is how far a gate opens. It is above 1, so that a few late answers don't shed anything.
+	// maxAdmissionGate is how far a gate opens. It is above 1, so that after answers in time a late one doesn't
+	// shed anything. A gate starts at 1, where the first late answer sheds.
 	maxAdmissionGate = 1.6
 	// admissionGateIncrease is added to a gate by an answer in time.
 	admissionGateIncrease = 0.1
@@ -17,6 +18,8 @@
 	// otherGroupsGateStep is the part of each step that the gates of the other groups take: a gateway with
 	// little traffic gets too few answers from each group alone.
 	otherGroupsGateStep = 0.2
+	// weightRateGain is the weight of a new request in the mean weight rate.
+	weightRateGain = 0.05
 	// gateObjectiveShare is the part of its class's latency objective within which an answer is in time.
 	gateObjectiveShare = 0.6
 	// clientRetryWeightShare is the part of its priority weight that a client's retry has, where a late answer
--- a/routing/attempt_timeout.go
+++ b/routing/attempt_timeout.go
@@ -24,9 +24,8 @@
 	return max(r.scaleToObjective(minAttemptTimeout), secondsToDuration(mean+margin))
 }
 
-// checkOverdueAttempts finds the attempts at a host whose answers have become overdue. Each is a strike,
-// and is cancelled where the request may be sent elsewhere. A single request that runs very long is treated
-// alike.
+// checkOverdueAttempts finds the attempts at a host whose answers have become overdue. Each is a strike, and
+// is cancelled where mayRetryAfterCancel allows it. A single request that runs very long is treated alike.
 func (r *Router) checkOverdueAttempts(host *host) {
 	for _, open := range host.openAttempts {
 		request, age := open.request, r.now-open.sentAt
@@ -42,7 +41,11 @@
 	}
 }
 
-// mayRetryAfterCancel reports whether a request may be sent again after its open attempt is cancelled.
+// mayRetryAfterCancel reports whether the idempotency of a request allows a retry after its open attempt is
+// cancelled: it is idempotent, or its deduplication window, counted from the send of this attempt, isn't
+// over. It checks less than mayAttempt and mayRepeat, which decide on the retry itself. It ignores
+// MaxAttempts, the deadline, whether another host is free, earlier attempts that may have run
+// (uncertainSince), and dedupWindowMargin. So an attempt may be cancelled whose request is then given up.
 func (r *Router) mayRetryAfterCancel(open *attempt) bool {
 	class := open.request.class
 	insideWindow := class.Idempotency == IdempotentWithKey && r.now < open.sentAt+class.DedupWindow
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -10,7 +10,8 @@
 	// initialConcurrencyLimit is a host's limit until answers have moved it.
 	initialConcurrencyLimit = 3.0
 	// limitGrowthObjectiveShare is the part of its class's latency objective within which an answer raises the
-	// limit; a later one lowers it.
+	// limit; a later one lowers it. It is far below gateObjectiveShare: concurrency goes down before requests
+	// are shed.
 	limitGrowthObjectiveShare = 0.15
 	// concurrencyLimitDecrease is the factor by which the limit is lowered.
 	concurrencyLimitDecrease = 0.8
--- a/routing/consistency.go
+++ b/routing/consistency.go
@@ -60,10 +60,10 @@
 	r.raiseStamp(session, committed)
 }
 
-// abandonWrite takes a write that is finished from its session's dirty set, if it is still there. One that
-// may have run may have been committed at any time until now, so the session's reads need the current
-// position.
-func (r *Router) abandonWrite(request *request) {
+// removeDirtyWrite takes a write that is finished, with or without success, from its session's dirty set, if
+// it is still there. One that may have run may have been committed at any time until now, so the session's
+// reads need the current position.
+func (r *Router) removeDirtyWrite(request *request) {
 	session := r.sessions[request.Session]
 	if session == nil || request.Session == "" {
 		return
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -7,7 +7,7 @@
 
 // Dispatching: the way of a request from its group's queue to a host. Each step is a rule of a file of its
 // own: mayAttempt and giveUp (retry.go), requiredPosition (consistency.go), selectForRead (replica.go),
-// selectForWrite (primary.go), admitSlowStart (slowstart.go), passesAdmissionGate (admission.go).
+// selectForWrite (primary.go), acquireSlowStart (slowstart.go), passesAdmissionGate (admission.go).
 
 // dispatchWaiting dispatches a group's waiting requests: those of the greatest weight rate first, and of
 // these the newest first. In a queue that lasts, oldest first would answer every request just too late.
@@ -33,7 +33,7 @@
 	}
 	required, primaryOnly := r.requiredPosition(request)
 	target := r.selectHost(request, required, primaryOnly)
-	if target != nil && target.receivesAsPrimary(request) && !r.admitToPrimary(target, request) {
+	if target != nil && target.receivesAsPrimary(request) && !r.acquireSlowStartAsPrimary(target, request) {
 		request.shed = r.isAdmittedByChance(target)
 		target = nil
 	}
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -12,8 +12,8 @@
 const (
 	// subscribeRetryInterval is how long after a failed poll the endpoint list is asked for again.
 	subscribeRetryInterval = 500 * time.Millisecond
-	// goneHostRetention is how long a host that is gone is kept, so that rolling replacements don't fill the
-	// tables.
+	// goneHostRetention is how long a host that is gone is kept, counted from when it was notified that it
+	// drains or, without a drain, that it is gone. Rolling replacements must not fill the tables.
 	goneHostRetention = 30 * time.Second
 )
 
@@ -29,6 +29,8 @@
 		r.applyEndpoint(endpoint, update)
 	}
 	isFirst := r.largestGroupSize == 0
+	// Each group's traffic is taken to be made for as many hosts as the largest group has had: a gateway that
+	// starts late may see one group at its smallest.
 	for _, group := range r.sortedGroups {
 		if update.Full {
 			r.removeUnlisted(group, listed, update)
@@ -46,9 +48,8 @@
 	}
 }
 
-// settledHostCount is the number of a group's ready hosts. After the first list those that warm up don't
-// count: they replace others that are still listed. The greatest count of all groups is what each group's
-// traffic is taken to be made for, since a gateway that starts late may see one group at its smallest.
+// settledHostCount is the number of a group's ready hosts. In a list that isn't the first, hosts that warm up
+// don't count: they may replace others that are still listed.
 func (r *Router) settledHostCount(group *group, isFirst bool) int {
 	count := 0
 	for _, host := range group.hosts {
@@ -102,22 +103,26 @@
 	if state != StateReady && host.State == StateReady {
 		host.drainNotifiedAt = update.effectiveNotifiedAt(r.now)
 	}
-	host.listedAsDraining = host.listedAsDraining && state == StateGone || state == StateDraining
+	if state != StateGone { // a host that is gone stays listed as draining if it was
+		host.listedAsDraining = state == StateDraining
+	}
 	host.State = state
 	r.topologyVersion++
 }
 
 // inService reports whether the endpoint list and the exclusions by hand allow requests to a host. A
 // primary that drains or is excluded is used until the end of the drain grace period, since only it accepts
-// writes.
+// writes. The period ends here two ticks early; package proxy checks again, with a margin of its own, when it
+// writes the request (drainGraceMarginMs).
 func (r *Router) inService(host *host) bool {
-	drainingSince, excluded := r.excludedSince[host.ID]
+	excludedSince, excluded := r.excludedSince[host.ID]
+	drainingSince := excludedSince
 	switch {
 	case host.State == StateGone:
 		return r.settings.RemovalNotBinding && !host.listedAsDraining && !excluded
 	case host.State == StateReady && !excluded:
 		return true
-	case host.State == StateDraining && (!excluded || host.drainNotifiedAt < drainingSince):
+	case host.State == StateDraining && (!excluded || host.drainNotifiedAt < excludedSince):
 		drainingSince = host.drainNotifiedAt
 	}
 	// An attempt may be written up to two ticks after it is decided.
@@ -125,7 +130,7 @@
 	return host.role() == primaryRole && inGracePeriod
 }
 
-// removeGoneHost removes a host from the tables that has been gone for goneHostRetention, and reports
+// removeGoneHost removes a host that is gone, after goneHostRetention, from the table of hosts, and reports
 // whether it did.
 func (r *Router) removeGoneHost(host *host) bool {
 	isUsed := len(host.openAttempts) > 0 || host.role() == primaryRole
--- a/routing/events.go
+++ b/routing/events.go
@@ -47,7 +47,7 @@
 	OutcomeOK             Outcome = iota
 	OutcomeMisdirected            // a write at a replica, or a read that the replica is too far behind for
 	OutcomeRejected               // rejected by the host, which has no capacity left
-	OutcomeNoConnection           // no connection in time
+	OutcomeNoConnection           // no connection in time, or it broke before the request was written
 	OutcomeNotSent                // the attempt ended before the request was written
 	OutcomeError                  // the host answered with an error
 	OutcomeTimeout                // the time of the request was over
@@ -114,7 +114,7 @@
 	Tenant         int           // index in Settings.Tenants, or -1
 	Group          int           // the only group whose hosts may serve it
 	Session        string        // "" where it has none
-	SinceLastWrite time.Duration // age of the session's last write as the client gives it; 0: not given
+	SinceLastWrite time.Duration // age of the session's last write, on the simulator's wire only; 0: not given
 	TimeLeft       time.Duration // until the client gives up
 	ClientRetry    bool          // the client sends a rejected or failed request again
 }
@@ -122,8 +122,8 @@
 // AttemptResult ends an attempt.
 type AttemptResult struct {
 	Request     uint64
-	Attempt     int // number of the attempt, from 0
-	Host        string
+	Attempt     int    // number of the attempt, from 0
+	Host        string // not read: the Router knows the attempt's host
 	Outcome     Outcome
 	RequestDone bool // the client has its answer, or needs none any more
 	Role        Role
--- a/routing/exclusion.go
+++ b/routing/exclusion.go
@@ -34,8 +34,9 @@
 	host.concurrencyLimit = max(host.concurrencyLimit, initialConcurrencyLimit)
 }
 
-// UnavailableHosts returns the number of listed hosts that get no new requests at a clock time: they are
-// draining, excluded, ejected or unresponsive.
+// UnavailableHosts returns the number of listed hosts that are draining, excluded, ejected or unresponsive.
+// Unresponsive hosts are counted although they get reads. Ejections are taken at the clock time now, drain
+// grace periods at the time of the last Step.
 func (r *Router) UnavailableHosts(now time.Duration) int {
 	count := 0
 	for _, host := range r.hosts {
--- a/routing/host.go
+++ b/routing/host.go
@@ -7,7 +7,12 @@
 	"merlinjunction/fleet"
 )
 
-// A host is what the Router knows of one database host.
+// A host is what the Router knows of one database host. These methods say what it may be used for:
+//
+//	inService     the endpoint list and the exclusions by hand allow requests to it
+//	isResponsive  inService and not unresponsive: writes wait for such a primary, else they search another
+//	eligible      inService, not ejected, and without an open attempt if it has a strike
+//	mayReceive    eligible and below its concurrency limit (hasCapacity)
 type host struct {
 	Endpoint
 	group *group
@@ -15,15 +20,15 @@
 	drainNotifiedAt  time.Duration // when it became known that it drains or is gone
 	listedAsDraining bool          // the list has named it as draining, and not as ready since
 
-	position      Position      // it has applied all commits up to here: a lower bound, never lowered
-	lag           time.Duration // where replicas check: how far behind it was last known to be; 0: not behind
-	lagKnownAt    time.Duration // when that became known
-	demotedAt     Position      // position at the time when it last answered as replica
-	lastOutcomeAt time.Duration // when something last came from it
+	position            Position      // it has applied all commits up to here: a lower bound, never lowered
+	lag                 time.Duration // last known lag, where replicas check; 0: not behind
+	lagKnownAt          time.Duration // when that became known
+	answeredAsReplicaAt Position      // position at the time when it last answered as replica; 0: never
+	lastOutcomeAt       time.Duration // when an attempt last had a result from it; at first, when it was added
 
 	openAttempts []*attempt // oldest first
-	strikes      float64    // overdue answers and refused connections; they fade; see addStrike
-	unresponsive bool       // nothing comes from it, or it refuses connections; see outlier.go
+	strikes      float64    // overdue answers and failed connections; they fade; see addStrike
+	unresponsive bool       // nothing comes from it, or connections to it fail; see outlier.go
 	ejectedUntil time.Duration
 
 	concurrencyLimit  float64       // open attempts that it may have from this gateway
--- a/routing/lag.go
+++ b/routing/lag.go
@@ -51,8 +51,9 @@
 	r.emit(HealthCheck{host.ID})
 }
 
-// onHealthCheckResult handles a load report. It may be older than other evidence: a primary's position is
-// the time of its report, and the report counts for the role only if it is the newest evidence.
+// onHealthCheckResult handles a load report. A report of RolePrimary makes the host the primary if it is
+// newer than the other evidence; a primary's position is the time of its report. A report of RoleReplica
+// changes no role. No report ends an ejection, strikes or unresponsiveness.
 func (r *Router) onHealthCheckResult(event HealthCheckResult) {
 	host := r.hosts[event.Host]
 	if host == nil {
@@ -65,7 +66,7 @@
 	r.observePosition(host, event.Position)
 	reportedAt := event.Position + r.settings.PositionEpoch
 	newest := host.group.primary == nil || reportedAt > host.group.primarySeenAt
-	if event.Role == RolePrimary && event.Position > host.demotedAt && newest {
+	if event.Role == RolePrimary && event.Position > host.answeredAsReplicaAt && newest {
 		r.observeRole(host, RolePrimary)
 	}
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -4,15 +4,21 @@
 
 // Outlier detection and ejection, by symptom rather than by cause. A host can be
 //
-//   - struck: it gets a strike for each overdue answer, for each refused connection, and for a time-out
+//   - struck: it gets a strike for each overdue answer, for each failed connection, and for a time-out
 //     during which nothing came from it. Each strike halves how often it is picked, and with a whole strike
 //     it gets one request at a time. Strikes fade by a tenth a second; an answer that isn't overdue ends
 //     them.
-//   - ejected: it gets nothing until ejectedUntil. That is rejectionEjectionTime after it rejected a request,
-//     and connectFailureEjectionTime, or with strikes longer, after it refused a connection.
-//   - unresponsive: it has a strike, and nothing came from it during one more attempt; or it refuses
-//     connections although they aren't scarce. While a primary is unresponsive, writes search another (see
-//     primary.go). Anything that comes from it ends it.
+//   - ejected: it gets nothing until ejectedUntil. That is rejectionEjectionTime after it rejected a request.
+//     After a failed connection it is the same where the host has responded lately and has no recent strike,
+//     else connectFailureEjectionTime, doubled by each whole strike: 12.8 s at maxStrikes.
+//   - unresponsive: it has a strike, and nothing came from it during one more attempt; or a connection to it
+//     fails although connections aren't scarce. While a primary is unresponsive, writes search another (see
+//     primary.go); reads are still sent to an unresponsive host. An answer, an error, a rejection or a lost
+//     connection ends it. The result of a health check doesn't.
+//
+// A failed connection is OutcomeNoConnection, whatever its cause: the host refused it, the connect time-out
+// passed, this gateway's own limit of connections was reached, the address is invalid, or it broke before the
+// whole request was written.
 //
 // A restart in the endpoint list ends strikes and unresponsiveness, IncludeHost ends all three.
 
@@ -26,17 +32,22 @@
 	strikeRetentionPerSecond = 0.9
 	// rejectionEjectionTime is how long a host is ejected after it rejected a request for lack of capacity.
 	rejectionEjectionTime = 50 * time.Millisecond
-	// connectFailureEjectionTime is how long a host without strikes is ejected after it refused a connection;
-	// each strike doubles it. A time-out sooner than this after the send doesn't count against the host.
+	// connectFailureEjectionTime is how long a host without strikes is ejected after a failed connection; each
+	// whole strike doubles it.
 	connectFailureEjectionTime = 200 * time.Millisecond
+	// minConclusiveTimeout is the least time after the send from which a time-out counts against the host.
+	minConclusiveTimeout = 200 * time.Millisecond
+	// recentResponseTime is how long after an attempt's result from it a host has responded lately: a failed
+	// connection in that time is taken for a single loss.
+	recentResponseTime = 200 * time.Millisecond
 	// quickErrorLatencyShare is the part of its class's mean answer time within which an error counts as
 	// quick.
 	quickErrorLatencyShare = 0.4
 	// requestCausedErrorThreshold is the share of quick errors above which they are taken to be the requests'
 	// own.
 	requestCausedErrorThreshold = 0.1
-	// connectionScarcityThreshold is the share of refused connections above which connections are taken to be
-	// scarce, and hosts that refuse them to be well.
+	// connectionScarcityThreshold is the share of failed connections from which connections are taken to be
+	// scarce, and the hosts to be well.
 	connectionScarcityThreshold = 0.2
 	// failureShareGain is the weight of a failure or a success in a movingFailureShare.
 	failureShareGain = 0.1
@@ -60,7 +71,8 @@
 // succeeded counts an answer.
 func (f *movingFailureShare) succeeded() { f.share *= 1 - failureShareGain }
 
-// recordOutcome counts the end of an attempt for or against its host.
+// recordOutcome counts the end of an attempt for or against its host. OutcomeConnectionLost shows that the
+// host is up, and nothing more.
 func (r *Router) recordOutcome(ended *attempt, outcome Outcome) {
 	if r.isInconclusive(ended, outcome) {
 		return
@@ -74,30 +86,24 @@
 	}
 	r.adjustAdmissionGates(ended, outcome)
 	switch outcome {
-	case OutcomeOK, OutcomeMisdirected:
-		if !ended.overdue {
-			host.strikes = 0
-		}
-		if outcome == OutcomeOK {
-			r.recordAnswer(ended)
-		}
+	case OutcomeOK:
+		ended.endStrikes()
+		r.recordAnswer(ended)
+	case OutcomeMisdirected:
+		ended.endStrikes()
 	case OutcomeRejected:
-		ejection := r.scaleToObjective(rejectionEjectionTime)
-		r.lowerConcurrencyLimit(host, ejection)
-		host.ejectedUntil = r.now + ejection
+		r.recordRejection(host)
 	case OutcomeNoConnection:
 		r.recordConnectFailure(host)
-	case OutcomeError, OutcomeTimeout:
+	case OutcomeError:
 		r.lowerConcurrencyLimit(host, r.now-ended.sentAt)
-		if outcome == OutcomeTimeout && !ended.overdue && ended.nothingReceivedSince() {
-			r.addStrike(host, true)
-		}
+	case OutcomeTimeout:
+		r.recordTimeout(ended)
 	}
 }
 
 // isInconclusive reports whether the end of an attempt shows nothing about its host: the answer had
 // begun already, nothing was sent, the gateway cancelled it, or its time was nearly over when it was sent.
-// A lost connection shows that the host is up, and no more: recordOutcome counts it for nothing else.
 func (r *Router) isInconclusive(ended *attempt, outcome Outcome) bool {
 	if ended.streaming {
 		return true
@@ -106,11 +112,34 @@
 	case OutcomeNotSent, OutcomeCancelled:
 		return true
 	case OutcomeTimeout:
-		return ended.sentAt+r.scaleToObjective(connectFailureEjectionTime) > r.now
+		return ended.sentAt+r.scaleToObjective(minConclusiveTimeout) > r.now
 	}
 	return false
 }
 
+// endStrikes ends the strikes of the attempt's host, unless its answer came late.
+func (a *attempt) endStrikes() {
+	if !a.overdue {
+		a.host.strikes = 0
+	}
+}
+
+// recordRejection ejects a host that rejected a request for a short time, and lowers its concurrency limit.
+func (r *Router) recordRejection(host *host) {
+	ejection := r.scaleToObjective(rejectionEjectionTime)
+	r.lowerConcurrencyLimit(host, ejection)
+	host.ejectedUntil = r.now + ejection
+}
+
+// recordTimeout counts a time-out: a strike, where nothing came from the host and the attempt has not got one
+// already for being overdue.
+func (r *Router) recordTimeout(ended *attempt) {
+	r.lowerConcurrencyLimit(ended.host, r.now-ended.sentAt)
+	if !ended.overdue && ended.nothingReceivedSince() {
+		r.addStrike(ended.host, true)
+	}
+}
+
 // recordAnswer counts an answer: its latency, and that its host serves.
 func (r *Router) recordAnswer(ended *attempt) {
 	latency := r.now - ended.sentAt
@@ -137,13 +166,13 @@
 	return ended.request.causedError
 }
 
-// recordConnectFailure counts a refused connection and ejects the host, the longer the more strikes it has.
-// Where one host after another refuses while others answer, connections are scarce and the hosts are well:
-// none becomes unresponsive, so writes don't search another primary. Many hosts that are really down at the
-// same time look alike.
+// recordConnectFailure counts a failed connection and ejects the host, the longer the more strikes it has.
+// Where connections to one host after another fail while others answer, connections are scarce and the hosts
+// are well: none becomes unresponsive, so writes don't search another primary. Many hosts that are really
+// down at the same time look alike. A host that becomes unresponsive here is not logged, unlike in addStrike.
 func (r *Router) recordConnectFailure(host *host) {
 	r.connectFailures.failed(host)
-	respondedLately := r.now < host.lastOutcomeAt+r.scaleToObjective(connectFailureEjectionTime)
+	respondedLately := r.now < host.lastOutcomeAt+r.scaleToObjective(recentResponseTime)
 	if respondedLately && !host.hasRecentStrike() { // it is up: a single connection was lost
 		host.ejectedUntil = r.now + r.scaleToObjective(rejectionEjectionTime)
 	} else {
@@ -158,8 +187,8 @@
 // sent.
 func (a *attempt) nothingReceivedSince() bool { return a.host.lastOutcomeAt < a.sentAt }
 
-// addStrike counts an overdue answer or a refused connection. nothingReceived means that nothing has come
-// from the host since it got the request: if that happens again soon, it is unresponsive.
+// addStrike counts an overdue answer, a time-out or a failed connection. nothingReceived means that nothing
+// has come from the host since it got the request: if that happens again soon, it is unresponsive.
 func (r *Router) addStrike(host *host, nothingReceived bool) {
 	isRepeated := host.hasRecentStrike()
 	host.strikes = min(host.strikes+1, maxStrikes)
@@ -181,8 +210,8 @@
 	return host.strikes < 1 || len(host.openAttempts) == 0
 }
 
-// mayReceive reports whether a host may get a request now and has capacity left.
+// mayReceive reports whether a host is eligible and has capacity left.
 func (r *Router) mayReceive(host *host) bool { return r.eligible(host) && host.hasCapacity() }
 
-// isResponsive reports whether a host is in service and not unresponsive. It may be ejected for a while.
+// isResponsive reports whether a host is in service and not unresponsive. It may be ejected at the moment.
 func (r *Router) isResponsive(host *host) bool { return r.inService(host) && !host.unresponsive }
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -7,7 +7,7 @@
 // list, since a host that isn't primary any more would answer them with old data.
 
 const (
-	// primarySearchPause is how long writes wait after all hosts of a group have been tried in vain.
+	// primarySearchPause is how long writes wait after a round of a search, which comes to each host once.
 	primarySearchPause = 50 * time.Millisecond
 	// gatewaySlotGap is the least time between the slots of two gateways that do the same: the ends of two
 	// pauses in a search, or two health checks of one lagging replica.
@@ -17,7 +17,7 @@
 // A primarySearch tries the hosts of a group in turn with writes.
 type primarySearch struct {
 	nextHost     int // index in group.hosts, modulo their number
-	triedInRound int
+	triedInRound int // hosts that this round has come to, those that got no write included
 	pausedUntil  time.Duration
 }
 
@@ -31,7 +31,7 @@
 		}
 		group.primary, group.primarySeenAt, group.search.triedInRound = host, r.now, 0
 	case RoleReplica:
-		host.demotedAt = r.currentPosition()
+		host.answeredAsReplicaAt = r.currentPosition()
 		if group.primary == host {
 			group.primary = nil
 			r.log(host, "is no longer the primary")
@@ -39,7 +39,9 @@
 	}
 }
 
-// availablePrimary returns the primary, or nil where it is unknown or may not get a request now.
+// availablePrimary returns the primary, or nil where it is unknown or may not get a request now. It may be
+// unresponsive: a read that comes to the primary has no other host that may answer it, and its answer ends
+// the unresponsiveness. Only writes search another primary (selectForWrite).
 func (r *Router) availablePrimary(group *group) *host {
 	if group.primary != nil && r.mayReceive(group.primary) {
 		return group.primary
@@ -68,14 +70,16 @@
 // has answered as a replica since. A search in its place would send several writes of each gateway to
 // replicas.
 func (g *group) credibleListedPrimary() *host {
-	if g.listedPrimary != nil && g.listedPrimary.demotedAt < g.listedPrimaryAt {
+	if g.listedPrimary != nil && g.listedPrimary.answeredAsReplicaAt < g.listedPrimaryAt {
 		return g.listedPrimary
 	}
 	return nil
 }
 
-// searchPrimary returns the next host of the group's search that may get a write, or nil during the pause
-// after a round. It keeps the request's last attempt for a primary that is found in time.
+// searchPrimary returns the next host of the group's search that may get a write, or nil where there is none
+// and during the pause after a round. A call looks at each host at most once. Where the round ends during a
+// call, the call goes on with the next round, and the pause holds from the next call on. It keeps the
+// request's last attempt for a primary that is found in time.
 func (r *Router) searchPrimary(request *request) *host {
 	group := request.group
 	lastAttempt := request.attemptCount > 0 && request.attemptCount >= r.settings.MaxAttempts-1
@@ -85,7 +89,7 @@
 	for range group.hosts {
 		candidate := r.nextSearchHost(group)
 		// A warming host that rejects a write has had the load of it all the same.
-		if r.mayReceive(candidate) && r.admitSlowStart(candidate, 1, r.now-request.arrivedAt) {
+		if r.mayReceive(candidate) && r.acquireSlowStart(candidate, 1, r.now-request.arrivedAt) {
 			return candidate
 		}
 	}
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -29,39 +29,57 @@
 	replicaFarBehind                        // known to be so far behind it that it would reject the read
 )
 
+// readCandidates are the replicas that suit a read.
+type readCandidates struct {
+	upToDate []*host // replicaUpToDate
+	lagging  []*host // replicaLagging
+	anyFull  bool    // there is one that is replicaFull
+}
+
 // selectForRead returns a random replica among those at or past the required position. If there is none, it
 // returns the most advanced replica where replicas check, else the primary. It returns nil where the read
 // has to wait, or is to be shed (request.shed).
 func (r *Router) selectForRead(request *request, required Position) *host {
-	var upToDate, lagging []*host
-	anyFull := false
+	candidates := r.findReadCandidates(request, required)
+	replica := r.pickReplica(request, r.preferSubset(request.group, candidates.upToDate))
+	if replica != nil || request.shed {
+		return replica
+	}
+	return r.fallbackForRead(request, candidates)
+}
+
+// findReadCandidates sorts the hosts of a read's group by their fitness, and sends health checks to those behind.
+func (r *Router) findReadCandidates(request *request, required Position) readCandidates {
+	var candidates readCandidates
 	for _, host := range request.group.hosts {
 		switch r.replicaFitness(host, request, required) {
 		case replicaUpToDate:
-			upToDate = append(upToDate, host)
+			candidates.upToDate = append(candidates.upToDate, host)
 		case replicaFull:
-			anyFull = true
+			candidates.anyFull = true
 		case replicaLagging:
 			r.healthCheckLagging(host)
-			lagging = append(lagging, host)
+			candidates.lagging = append(candidates.lagging, host)
 		case replicaFarBehind:
 			r.healthCheckLagging(host)
 		}
 	}
-	replica := r.pickReplica(request, r.preferSubset(request.group, upToDate))
-	if replica != nil || request.shed {
-		return replica
-	}
+	return candidates
+}
+
+// fallbackForRead returns the host for a read where no replica at or past its position may get it now, or nil
+// where the read waits.
+func (r *Router) fallbackForRead(request *request, candidates readCandidates) *host {
 	primary := request.group.primary
 	primaryBusy := primary == nil || len(primary.openAttempts) > 0
 	replicasCheck := r.settings.StalenessCheck != StalenessCheckNone
 	switch {
-	case anyFull && primaryBusy:
+	case candidates.anyFull && primaryBusy:
 		return nil // wait for a replica; only a primary without an attempt from here helps out
-	case !replicasCheck && r.awaitPosition(request, r.preferSubset(request.group, lagging)):
+	case !replicasCheck && r.awaitPosition(request, r.preferSubset(request.group, candidates.lagging)):
 		return nil
-	case replicasCheck && !anyFull:
-		if replica := r.mostAdvancedReplica(lagging); replica != nil {
+	case replicasCheck && !candidates.anyFull:
+		if replica := r.mostAdvancedReplica(candidates.lagging); replica != nil {
 			return replica
 		}
 	}
@@ -87,8 +105,8 @@
 }
 
 // pickReplica returns a random replica by selectionWeight, or nil where there is none. If the one drawn is
-// warming up and gets enough already, it returns nil, and the request is shed if requests are admitted to
-// it by chance.
+// warming up and gets enough already, it returns nil, whatever the others have free; the request is shed then
+// if requests are admitted to the one drawn by chance.
 func (r *Router) pickReplica(request *request, replicas []*host) *host {
 	sum := 0.0
 	for _, replica := range replicas {
@@ -103,7 +121,7 @@
 		return nil
 	}
 	picked := replicas[index]
-	if !r.admitSlowStart(picked, r.selectionWeight(picked)/sum, 0) {
+	if !r.acquireSlowStart(picked, r.selectionWeight(picked)/sum, 0) {
 		request.shed = r.isAdmittedByChance(picked)
 		return nil
 	}
@@ -111,7 +129,8 @@
 }
 
 // selectionWeight is how often a host is picked in comparison with others: by the share of its capacity
-// that it has for certain, half as often for each strike, and more often in the gateway's own zone.
+// that it has for certain, half as often for each strike, and more often in the gateway's own zone. Two
+// unknown zones ("") count as the same zone here, unlike in package fleet.
 func (r *Router) selectionWeight(host *host) float64 {
 	weight := r.capacityShare(host) * math.Exp2(-host.strikes)
 	if host.Zone == r.settings.Zone {
@@ -137,10 +156,11 @@
 }
 
 // mostAdvancedReplica returns the replica with the newest position among those that may get a request, or
-// nil.
+// nil. Each warming one with capacity uses up a token of its slow-start budget, or a random draw, though only
+// one gets the request.
 func (r *Router) mostAdvancedReplica(replicas []*host) *host {
 	replicas = slices.DeleteFunc(replicas, func(replica *host) bool {
-		return !replica.hasCapacity() || !r.admitSlowStart(replica, 1, 0)
+		return !replica.hasCapacity() || !r.acquireSlowStart(replica, 1, 0)
 	})
 	if len(replicas) == 0 {
 		return nil
--- a/routing/request.go
+++ b/routing/request.go
@@ -23,7 +23,7 @@
 	mayHaveRun     bool          // an attempt that has ended may have had its effect
 	uncertainSince time.Duration // when the first such attempt was sent
 
-	shed        bool            // the only hosts for it are warming up and get enough already
+	shed        bool            // a warming host didn't admit it by chance; other hosts may be free
 	gateDrawn   [hostRoles]bool // the admission gate of a role was drawn for it already
 	causedError bool            // any host answers it with a quick error; see recordRequestCausedError
 	finished    bool            // it has its final answer, or its client is gone
@@ -54,7 +54,7 @@
 	}
 	r.requests[event.ID] = arrived
 	r.loadEstimator.RequestArrived(durationToMillis(r.now))
-	r.meanWeightRate += latencyGain * (r.weightRate(arrived) - r.meanWeightRate)
+	r.meanWeightRate += weightRateGain * (r.weightRate(arrived) - r.meanWeightRate)
 	group.waiting = append(group.waiting, arrived)
 }
 
@@ -113,7 +113,7 @@
 		return
 	}
 	if request.writeNumber > 0 {
-		r.abandonWrite(request)
+		r.removeDirtyWrite(request)
 	}
 	delete(r.requests, request.ID)
 }
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -18,7 +18,8 @@
 	waitingCheckInterval = 10 * time.Millisecond
 )
 
-// mayAttempt reports whether a request that has no attempt in flight may be sent, now or later.
+// mayAttempt reports whether a request that has no attempt in flight may be sent, now or later. Where it may
+// not, the request gets its final answer now.
 func (r *Router) mayAttempt(request *request) bool {
 	switch {
 	case r.deadlineIsDue(request),
@@ -65,7 +66,7 @@
 	return earliestAnswer >= min(request.arrivedAt+request.class.LatencyObjective, request.deadline)
 }
 
-// mayRepeat reports whether it does no harm to send a request (again): it has not run, is idempotent, or
+// mayRepeat reports whether it does no harm to send a request (again): it can't have run, is idempotent, or
 // hosts drop its repeat.
 func (r *Router) mayRepeat(request *request) bool {
 	if !request.mayHaveRun {
@@ -82,16 +83,16 @@
 
 // retryBefore returns the clock time until which hosts drop the repeat of a request with an idempotency key
 // that may have run; 0 for any other request.
-func (q *request) retryBefore() time.Duration {
-	if !q.mayHaveRun || q.class.Idempotency != IdempotentWithKey {
+func (req *request) retryBefore() time.Duration {
+	if !req.mayHaveRun || req.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
-	window := q.class.DedupWindow
-	return q.uncertainSince + window - min(dedupWindowMargin, window/dedupWindowMarginDivisor)
+	window := req.class.DedupWindow
+	return req.uncertainSince + window - min(dedupWindowMargin, window/dedupWindowMarginDivisor)
 }
 
 // giveUp gives a request its final answer: Reject where the client may send it again without harm, else
-// Fail.
+// Fail. A rejected request may have run. Then it is idempotent, or every group drops the repeat of its key.
 func (r *Router) giveUp(request *request) {
 	droppedAnywhere := request.class.Idempotency == IdempotentWithKey && request.class.KeySharedByAllHosts
 	harmless := !request.mayHaveRun || request.class.Idempotency == Idempotent || droppedAnywhere
@@ -99,7 +100,7 @@
 	case !harmless:
 		r.emit(Fail{request.ID})
 	case r.settings.RetryAfterAllowed:
-		// The longest wait: most retries that come sooner would come too late for their objective all the same.
+		// Always the longest wait: of the retries that come sooner, most would miss their latency objective too.
 		r.emit(Reject{request.ID, r.settings.MaxRetryAfter})
 	default:
 		r.emit(Reject{Request: request.ID})
--- a/routing/router.go
+++ b/routing/router.go
@@ -38,7 +38,7 @@
 
 	latencies       []latencyEstimate   // by class
 	quickErrors     movingFailureShare  // quick errors, against answers
-	connectFailures movingFailureShare  // refused connections, against answers
+	connectFailures movingFailureShare  // failed connections, against answers
 	loadEstimator   fleet.LoadEstimator // arrivals over the rate that was lately served
 	meanWeightRate  float64             // mean weight rate of requests; see weightRate
 	totalLoadSent   float64             // seconds of answer time sent lately; fades
@@ -126,8 +126,8 @@
 // currentPosition is the position of a host that has applied everything up to now.
 func (r *Router) currentPosition() Position { return r.now - r.settings.PositionEpoch }
 
-// log writes a line for the operators: what has happened to a host. Lines within logInterval of the last
-// one are dropped.
+// log writes a line for the operators: what has happened to a host. Lines of any group within logInterval of
+// the last one are dropped, and not counted.
 func (r *Router) log(host *host, whatHappened string) {
 	if r.lastLogAt > 0 && r.now < r.lastLogAt+logInterval {
 		return
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -67,7 +67,7 @@
 type Settings struct {
 	Classes              []Class
 	Tenants              []Tenant
-	OverQuotaWeightShare float64       // share of its priority weight that a request over its tenant's quota has
+	OverQuotaWeightShare float64       // priority weight share of requests over quota; no rule of the Router reads it
 	GatewayCount         int           // number of gateways that share the hosts; RosterUpdate replaces it
 	GatewayNumber        int           // this gateway among them, from 1; 0: unknown
 	SubsetSize           int           // hosts of a group that this gateway prefers for reads; 0: all of them
@@ -75,14 +75,14 @@
 	TickInterval         time.Duration // shortest timer; an action may take effect this much later
 	PositionEpoch        time.Duration // clock time at which positions are 0
 	StalenessCheck       StalenessCheck
-	SessionTokensCarried bool          // session reads carry Request.SinceLastWrite
+	SessionTokensCarried bool          // session reads carry Request.SinceLastWrite (simulator only)
 	SubscribeToEndpoints bool          // the endpoint list comes only after SubscribeEndpoints
 	CancelAllowed        bool          // CancelAttempt may be used
 	HealthChecksAllowed  bool          // HealthCheck may be used
 	RetryAfterAllowed    bool          // Reject may carry RetryAfter
 	MaxRetryAfter        time.Duration // longest RetryAfter that clients follow
 	MaxAttempts          int           // per request
-	DrainGrace           time.Duration // how long a draining primary may still get requests
+	DrainGrace           time.Duration // how long a draining primary may still get requests; see inService
 	RemovalNotBinding    bool          // a host that the list drops, and never named as draining, may be used
 	SlowStartMinShare    float64       // share of its capacity that a host has for certain when it starts
 	SlowStartWindow      time.Duration // after which it has all of it; the share grows linearly
--- a/routing/settings_validation.go
+++ b/routing/settings_validation.go
@@ -5,7 +5,7 @@
 // SettingError says that New can't work with a setting.
 type SettingError struct {
 	Class   *Class // class at fault; nil where the setting belongs to no class
-	Setting string // name under which operators know the setting, or the settings that are checked together
+	Setting string // name of the setting, or of several that are checked together; see nameClasses
 	Problem string // what is wrong with it
 }
 
@@ -17,8 +17,8 @@
 	return fmt.Sprintf("routing: %s %s", e.Setting, e.Problem)
 }
 
-// The names under which the settings stand in the operator's file and in the platform's settings. Several
-// of them are older than the names of the fields.
+// The names of the settings in the texts of SettingErrors. Several (Routers, Subset, ColdShare, Aim, Need,
+// MaxAge) are spelled neither like the fields, which the comments give, nor like the keys of a file.
 const (
 	nameClasses             = "Classes"
 	nameAttemptsAndGateways = "MaxAttempts or Routers"           // MaxAttempts, GatewayCount
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -16,7 +16,8 @@
 	slowStartBurstSeconds = 0.3
 	// slowStartUsableShare is the part used of the load under which a warming host fails.
 	slowStartUsableShare = 0.8
-	// clientAttemptsPerRequest is how often clients send a request that is rejected, the first time included.
+	// clientAttemptsPerRequest is how often clients are assumed to send a request that is rejected, the first
+	// time included: no setting gives it.
 	clientAttemptsPerRequest = 1.5
 	// minBudgetRate is the number of sends per second from which a gateway keeps a budget for a host. Below it
 	// a budget of whole sends is too coarse over all gateways: requests are admitted by chance.
@@ -68,15 +69,17 @@
 // budget. One that is not admitted is shed then: to draw again for it later would undo the draw.
 func (r *Router) isAdmittedByChance(host *host) bool { return r.slowStartRate(host) < minBudgetRate }
 
-// admitToPrimary reports whether a host may get a request that comes to it as to the primary; see
-// admitSlowStart.
-func (r *Router) admitToPrimary(primary *host, request *request) bool {
-	return r.admitSlowStart(primary, r.primaryLoadSent/r.totalLoadSent, r.now-request.arrivedAt)
+// acquireSlowStartAsPrimary is acquireSlowStart for a request that comes to a host because it is the primary,
+// or is listed as such.
+func (r *Router) acquireSlowStartAsPrimary(primary *host, request *request) bool {
+	return r.acquireSlowStart(primary, r.primaryLoadSent/r.totalLoadSent, r.now-request.arrivedAt)
 }
 
-// admitSlowStart reports whether a host that may be warming up gets one more request. trafficShare is the
-// part of its group's traffic here that comes to the host, waited how long the request has waited.
-func (r *Router) admitSlowStart(host *host, trafficShare float64, waited time.Duration) bool {
+// acquireSlowStart acquires one more send to a host, and reports whether the host gets it: one that is
+// warming up may have enough already. It takes a token from the host's budget, or makes a random draw where
+// requests are admitted by chance. trafficShare is the part of its group's traffic here that comes to the
+// host, waited how long the request has waited.
+func (r *Router) acquireSlowStart(host *host, trafficShare float64, waited time.Duration) bool {
 	capacityShare := r.capacityShare(host)
 	if capacityShare >= 1 {
 		return true
--- a/routing/timer.go
+++ b/routing/timer.go
@@ -1,10 +1,15 @@
 package routing
 
+import "time"
+
+// timerHorizon is the time within which something must be due for a timer to be set.
+const timerHorizon = time.Minute
+
 // scheduleTimer asks for a Step at the time when something is due: the endpoint list, requests that wait,
-// or the first attempt that becomes overdue. It sets no timer where nothing is due within maxEvidenceAge,
-// or where the last timer comes soon enough.
+// or the first attempt that becomes overdue. It sets no timer where nothing is due within timerHorizon, or
+// where the last timer comes soon enough.
 func (r *Router) scheduleTimer() {
-	limit := r.now + maxEvidenceAge
+	limit := r.now + timerHorizon
 	due := limit
 	if r.subscribeAt > 0 {
 		due = r.subscribeAt
