--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -169,7 +169,7 @@
 // recordConnectFailure counts a failed connection and ejects the host, the longer the more strikes it has.
 // Where connections to one host after another fail while others answer, connections are scarce and the hosts
 // are well: none becomes unresponsive, so writes don't search another primary. Many hosts that are really
-// down at the same time look alike. A host that becomes unresponsive here is not logged, unlike in addStrike.
+// down at the same time look alike.
 func (r *Router) recordConnectFailure(host *host) {
 	r.connectFailures.failed(host)
 	respondedLately := r.now < host.lastOutcomeAt+r.scaleToObjective(recentResponseTime)
@@ -178,7 +178,7 @@
 	} else {
 		host.ejectedUntil = r.now + r.scaleToObjective(connectFailureEjectionTime)<<int(host.strikes)
 		connectionsAreScarce := r.connectFailures.share >= connectionScarcityThreshold
-		host.unresponsive = host.unresponsive || !connectionsAreScarce
+		host.unresponsive = host.unresponsive || !connectionsAreScarce // without a log line, unlike in addStrike
 	}
 	r.addStrike(host, false)
 }
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -48,7 +48,8 @@
 	return r.fallbackForRead(request, candidates)
 }
 
-// findReadCandidates sorts the hosts of a read's group by their fitness, and sends health checks to those behind.
+// findReadCandidates sorts the hosts of a read's group by their fitness, and sends health checks to those
+// behind.
 func (r *Router) findReadCandidates(request *request, required Position) readCandidates {
 	var candidates readCandidates
 	for _, host := range request.group.hosts {
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -67,7 +67,7 @@
 type Settings struct {
 	Classes              []Class
 	Tenants              []Tenant
-	OverQuotaWeightShare float64       // priority weight share of requests over quota; no rule of the Router reads it
+	OverQuotaWeightShare float64       // priority weight share of requests over quota; not read by any rule
 	GatewayCount         int           // number of gateways that share the hosts; RosterUpdate replaces it
 	GatewayNumber        int           // this gateway among them, from 1; 0: unknown
 	SubsetSize           int           // hosts of a group that this gateway prefers for reads; 0: all of them
