--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -81,7 +81,7 @@
 
 // addHost adds a host that the list names for the first time. Where its position is needed before it may
 // serve reads it gets a health check; with subsets, only when it is needed, since every gateway would check
-// every host.
+// every host. This check isn't recorded in healthCheckedAt: a read may send another at once.
 func (r *Router) addHost(endpoint Endpoint) *host {
 	group := r.groupFor(endpoint.Group)
 	added := &host{
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -13,8 +13,8 @@
 //     else connectFailureEjectionTime, doubled by each whole strike: 12.8 s at maxStrikes.
 //   - unresponsive: it has a strike, and nothing came from it during one more attempt; or a connection to it
 //     fails although connections aren't scarce. While a primary is unresponsive, writes search another (see
-//     primary.go); reads are still sent to an unresponsive host. An answer, an error, a rejection or a lost
-//     connection ends it. The result of a health check doesn't.
+//     primary.go); reads are still sent to an unresponsive host. An answer of any kind to an attempt, a
+//     rejection or a lost connection ends it. The result of a health check doesn't.
 //
 // A failed connection is OutcomeNoConnection, whatever its cause: the host refused it, the connect time-out
 // passed, this gateway's own limit of connections was reached, the address is invalid, or it broke before the
