--- a/membership/clock.go
+++ b/membership/clock.go
@@ -6,8 +6,18 @@
 	lateStepMs         = 100.0
 	resumeGraceMs      = 1000.0      // after a late step, in which nobody is accused
 	leftStepIntervalMs = 3_600_000.0 // of a member that has left and has nothing to do
+	longBeforeStartMs  = -1e9
 )
 
+// clock is the time of a View.
+type clock struct {
+	started   bool
+	driverMs  float64 // the driver's time of the last step
+	now       float64 // the View's own time, which stands still while the process doesn't run
+	wakeAt    float64 // when the next step is due
+	resumedAt float64 // when the process ran again after a late step
+}
+
 // advanceClock takes the driver's time. Time in which the process did not run doesn't count.
 func (v *View) advanceClock(driverMs float64) {
 	if !v.started {
@@ -42,13 +52,16 @@
 func (v *View) start() {
 	v.nextProbeAt = v.rng.Float64() * v.cfg.ProbeIntervalMs
 	v.nextReconnectAt = reconnectIntervalMs
-	v.resumedAt, v.lastRefutedAt = -resumeGraceMs, -1e9
+	v.resumedAt, v.lastRefutedAt = -resumeGraceMs, longBeforeStartMs
 	if v.isSeed() {
 		v.completeJoin()
 		v.setStatus(StatusHealthy, "a seed")
 	}
 }
 
+// jitter is a random factor from least to least+width, so that members don't act in step.
+func (v *View) jitter(least, width float64) float64 { return least + width*v.rng.Float64() }
+
 // setWake determines when the next step is due.
 func (v *View) setWake() {
 	v.wakeAt = min(v.nextProbeAt, v.nextReconnectAt, v.nextJoinAt, v.now+lateStepMs)
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -3,6 +3,13 @@
 // bucketCount is the number of buckets that members fall into by their ID. A sync sends a digest of each.
 const bucketCount = 64
 
+// digests are over the name, process and incarnation of all live members, this one included.
+type digests struct {
+	digest          uint64
+	buckets         [bucketCount]uint64
+	digestChangedAt float64
+}
+
 // toggleDigest adds a member to the digests, or removes it: they are sums by exclusive or.
 func (v *View) toggleDigest(m *member) {
 	hash := mix64(uint64(m.id)^mix64(m.Incarnation)) ^ mix64(m.BootID)
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -5,6 +5,12 @@
 	"slices"
 )
 
+// gossipState is the state of gossip.
+type gossipState struct {
+	rumors       rumorQueue
+	nextGossipAt float64
+}
+
 // queuedRumor is an update about a member that is still to be gossiped. Its content is determined when it is sent.
 type queuedRumor struct {
 	subject       *member
--- a/membership/health.go
+++ b/membership/health.go
@@ -8,6 +8,19 @@
 	maxLateStepPenalty      = 2
 )
 
+// selfAssessment is what this member knows of its own condition.
+type selfAssessment struct {
+	status         Status
+	health         localHealth
+	roundTrip      roundTripEstimator
+	lastReceivedAt float64   // any message
+	lastAckAt      float64   // a direct answer to this member's own probe
+	acksResumedAt  float64   // when such an answer came after a time without any
+	lastRefutedAt  float64   // when this member took its present incarnation
+	disputedAt     []float64 // when it was declared dead although it had refuted that; recent ones
+	failuresAt     []float64 // when members were accused or died; recent ones
+}
+
 // localHealth is Lifeguard's local health multiplier: a member that has reason to doubt itself stretches its time-outs.
 type localHealth struct {
 	score     int     // 0 is healthy
--- a/membership/join.go
+++ b/membership/join.go
@@ -14,6 +14,15 @@
 	joinRecords         = 16       // of other members in a JoinAccepted
 )
 
+// joinState is whether this member takes part in the fleet, and when it asks to.
+type joinState struct {
+	joined             bool
+	joinedAt           float64
+	nextJoinAt         float64
+	joinAttempts       int
+	lastUnknownReplyAt float64 // see replyToUnknown
+}
+
 // isSeed reports whether this member founds a fleet.
 func (v *View) isSeed() bool {
 	return len(v.cfg.Seeds) == 0 || slices.Contains(v.cfg.Seeds, v.cfg.Addr)
@@ -45,7 +54,7 @@
 	}
 }
 
-// scheduleJoin determines when the next Join is due, with jitter of 30 % either way.
+// scheduleJoin determines when the next Join is due.
 func (v *View) scheduleJoin() {
 	backoff := joinBackoffMs * float64(uint64(1)<<min(v.joinAttempts, maxJoinBackoffShift))
 	interval := min(backoff, maxJoinBackoffMs)
@@ -56,7 +65,7 @@
 	case v.joined && (len(v.live) > 0 || len(v.cfg.Seeds) < 2):
 		interval = seedCheckIntervalMs
 	}
-	v.nextJoinAt = v.now + interval*(0.7+0.6*v.rng.Float64())
+	v.nextJoinAt = v.now + interval*v.jitter(0.7, 0.6)
 }
 
 // handleJoin accepts a member, unless another process lives under its name at another address. There can be only one
--- a/membership/member.go
+++ b/membership/member.go
@@ -17,6 +17,18 @@
 	inProbeRound      bool       // in View.probeRound
 }
 
+// memberTable holds all members that are known.
+type memberTable struct {
+	members  map[ID]*member    // this member included
+	live     []*member         // Alive, Suspect and Unreachable without this member, in no order
+	dead     []*member         // in no order
+	left     []*member         // in no order
+	suspects []*member         // in the order in which they were accused
+	counts   [Left + 1]int     // by state, without this member
+	zones    map[string]string // interned
+	reapAt   float64
+}
+
 // rumor is a rumor about the member in a state.
 func (m *member) rumor(state State) Rumor {
 	return Rumor{Subject: m.id, BootTag: uint32(m.BootID), Incarnation: m.Incarnation, State: state}
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -37,6 +37,19 @@
 	seq    uint32  // of the PingRequest
 }
 
+// probeState holds the probes of this member and when the next ones are due.
+type probeState struct {
+	seq               uint32 // of the last probe
+	probes            []*probe
+	finished          [finishedProbeCount]finishedProbe // by seq
+	checks            []check                           // still to be started
+	probeRound        []*member                         // still to be visited by regular probes, the last one first
+	nextProbeAt       float64
+	nextReconnectAt   float64
+	pendingReconnects int // additional ones after a success
+	nextRecheckAt     float64
+}
+
 // deadline is when the probe fails. Indirect probes begin with the last attempt and take as long as the attempts.
 func (p *probe) deadline() float64 {
 	attempts := float64(p.maxAttempts)
--- a/membership/probe_schedule.go
+++ b/membership/probe_schedule.go
@@ -3,9 +3,6 @@
 const (
 	maxConcurrentRegularProbes = 16
 	maxConcurrentChecks        = 8
-	// The interval between regular probes is multiplied by a random factor.
-	minProbeJitter   = 0.9
-	probeJitterRange = 0.2
 )
 
 // startProbes starts the probes that are due.
@@ -28,7 +25,7 @@
 	if v.isFailureBurst() {
 		interval = v.cfg.ProbeRetryMs
 	}
-	v.nextProbeAt = v.now + interval*v.health.factor()*(minProbeJitter+probeJitterRange*v.rng.Float64())
+	v.nextProbeAt = v.now + interval*v.health.factor()*v.jitter(0.9, 0.2)
 	if v.countProbes(regularProbe) >= maxConcurrentRegularProbes {
 		return
 	}
@@ -156,9 +153,9 @@
 	case v.pendingReconnects > 0:
 		v.nextReconnectAt = v.now + fastReconnectIntervalMs
 	case v.counts[Unreachable] > 0 || v.hasRecentDeath():
-		v.nextReconnectAt = v.now + reconnectIntervalMs*(0.5+v.rng.Float64())
+		v.nextReconnectAt = v.now + reconnectIntervalMs*v.jitter(0.5, 1)
 	default:
-		v.nextReconnectAt = v.now + slowReconnectIntervalMs*(0.5+v.rng.Float64())
+		v.nextReconnectAt = v.now + slowReconnectIntervalMs*v.jitter(0.5, 1)
 	}
 }
 
--- a/membership/summary.go
+++ b/membership/summary.go
@@ -19,6 +19,9 @@
 	Syncs         uint64
 }
 
+// counters count since the start.
+type counters struct{ accusations, refutations, lateSteps, syncs uint64 }
+
 // Summary is the View in figures.
 func (v *View) Summary() Summary {
 	return Summary{
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -52,7 +52,8 @@
 	return true
 }
 
-func (v *View) nextSuspicionCheckAt() float64 { return v.now + suspicionCheckMs*(1+v.rng.Float64()) }
+// nextSuspicionCheckAt is when a suspicion without a quorum is checked next.
+func (v *View) nextSuspicionCheckAt() float64 { return v.now + suspicionCheckMs*v.jitter(1, 1) }
 
 // suspicionDueAt is when a suspicion has to be resolved or checked.
 func (v *View) suspicionDueAt(s *suspicion) float64 {
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -14,6 +14,11 @@
 	maxSyncResponses   = 8      // datagrams that answer one SyncRequest
 )
 
+// syncState is the state of anti-entropy.
+type syncState struct {
+	lastSyncAt float64
+}
+
 // compareDigests asks a member for what differs if its digest does and gossip has settled.
 func (v *View) compareDigests(from netip.AddrPort, sender *member, digest uint64) {
 	if digest == v.digest {
--- a/membership/view.go
+++ b/membership/view.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// View is what one gateway believes of the fleet.
+// View is what one gateway believes of the fleet. The parts of its state are declared beside the rules that use them.
 type View struct {
 	cfg     Config
 	rng     *rand.Rand
@@ -16,64 +16,15 @@
 	self    *member
 	actions []Action // of the current step
 
-	// The clock, see clock.go.
-	started  bool
-	driverMs float64 // the driver's time of the last step
-	now      float64 // the View's own time, which stands still while the process doesn't run
-	wakeAt   float64
-	// resumedAt is when the process ran again after a late step.
-	resumedAt float64
-
-	// The members, see member.go.
-	members  map[ID]*member
-	zones    map[string]string
-	live     []*member // Alive, Suspect and Unreachable without this member, in no order
-	dead     []*member
-	left     []*member
-	suspects []*member
-	counts   [Left + 1]int // by state, without this member
-	reapAt   float64
-
-	// Anti-entropy, see digest.go and sync.go.
-	digest          uint64
-	buckets         [bucketCount]uint64
-	digestChangedAt float64
-	lastSyncAt      float64
-
-	// Gossip, see gossip.go.
-	rumors       rumorQueue
-	nextGossipAt float64
-	failuresAt   []float64 // recent accusations and deaths, see isFailureBurst
-
-	// Probes, see probe.go and probe_schedule.go.
-	seq               uint32
-	probes            []*probe
-	finished          [finishedProbeCount]finishedProbe
-	checks            []check
-	probeRound        []*member // still to be visited by regular probes, in random order
-	nextProbeAt       float64
-	nextReconnectAt   float64
-	pendingReconnects int
-	nextRecheckAt     float64
-
-	// What this member knows of itself, see health.go, status.go and refutation.go.
-	status         Status
-	health         localHealth
-	roundTrip      roundTripEstimator
-	lastReceivedAt float64
-	lastAckAt      float64   // of a direct answer to this member's probe
-	acksResumedAt  float64   // when an answer came after a time without any
-	lastRefutedAt  float64   // when this member took its incarnation
-	disputedAt     []float64 // when it was declared dead although it had refuted that
-
-	// Joining, see join.go and unknown_sender.go.
-	joined             bool
-	joinedAt           float64
-	nextJoinAt         float64
-	joinAttempts       int
-	lastUnknownReplyAt float64
-
-	counters struct{ accusations, refutations, lateSteps, syncs uint64 }
+	clock
+	memberTable
+	digests
+	syncState
+	gossipState
+	probeState
+	selfAssessment
+	joinState
+	counters counters
 }
 
 // New returns a View that knows only itself. The error is a *ConfigError.
@@ -81,10 +32,8 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	v := &View{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.BootID)), id: IDOf(cfg.Name),
-		members: map[ID]*member{}, zones: map[string]string{}, rumors: newRumorQueue(),
-	}
+	v := &View{cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.BootID)), id: IDOf(cfg.Name)}
+	v.members, v.zones, v.rumors = map[ID]*member{}, map[string]string{}, newRumorQueue()
 	v.self = &member{id: v.id, Member: Member{
 		Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Version: cfg.Version, BootID: cfg.BootID, Incarnation: 1,
 		State: Alive, Payload: bytes.Clone(cfg.Payload),
