--- /dev/null
+++ b/membership/cause.go
@@ -0,0 +1,37 @@
+package membership
+
+// CauseNoAnswer begins the causes of changes that rest on this member's own failed probes.
+const CauseNoAnswer = "no answer here"
+
+// Causes of a change of a member's state.
+const (
+	causeJoined        = "joined"
+	causeRejoined      = "joined again"                   // a newer incarnation of the same process
+	causeRestarted     = "restarted"                      // another process of that name
+	causeIntroduced    = "introduced itself"              // in a SyncRequest
+	causeReported      = "reported by others"             // in a record
+	causeRefuted       = "refuted"                        // the member itself sent a newer incarnation
+	causeRefutedReport = "refuted, as others report"      // others gossip a newer incarnation
+	causeReaccused     = "accused in a newer incarnation" // than is known here
+	causeAccused       = "accused by others"              // and not refuted yet
+	causeUnconfirmed   = CauseNoAnswer + ", and nobody has confirmed it"
+	causeAnswered      = "answers again"
+	causeAnsweredLate  = "answers again, late"
+	causeDeclaredDead  = "declared dead by others"
+	causeLeft          = "announced that it leaves"
+	causeForgotten     = "forgotten" // it died or left long ago
+	causeQuorumFormat  = "no answer to %s observers"
+)
+
+// Causes of a change of this member's status.
+const (
+	causeIsSeed          = "is a seed"
+	causeNotAccepted     = "no member has accepted it"
+	causeAccepted        = "accepted by a member"
+	causeNameTakenFormat = "another process under this name lives at %s"
+	causeNoMessages      = "no messages arrive"
+	causeDisputed        = "others declare it dead despite its refutations"
+	causeSlow            = "answers or processor time come late"
+	causeHealthy         = "answers come in time"
+	causeLeaveRequested  = "leave requested"
+)
--- a/membership/clock.go
+++ b/membership/clock.go
@@ -55,7 +55,7 @@
 	v.resumedAt, v.lastRefutedAt = -resumeGraceMs, longBeforeStartMs
 	if v.isSeed() {
 		v.completeJoin()
-		v.setStatus(StatusHealthy, "a seed")
+		v.setStatus(StatusHealthy, causeIsSeed)
 	}
 }
 
--- a/membership/join.go
+++ b/membership/join.go
@@ -82,10 +82,10 @@
 	joiner := v.members[m.From]
 	switch {
 	case joiner == nil:
-		joiner = v.acceptMember(r, "joined")
+		joiner = v.acceptMember(r, causeJoined)
 	case joiner.BootID == r.BootID:
 		if r.Incarnation > joiner.Incarnation {
-			v.acceptIncarnation(joiner, r.Incarnation, "joined again")
+			v.acceptIncarnation(joiner, r.Incarnation, causeRejoined)
 		}
 	case joiner.Addr != r.Addr && joiner.isInUse():
 		v.scheduleCheck(joiner, nil)
@@ -110,7 +110,7 @@
 // replaceProcess takes a process that introduces itself for the present one of a member's name.
 func (v *View) replaceProcess(m *member, r *Record) {
 	v.updateFromRecord(m, r)
-	v.setState(m, Alive, max(r.Incarnation, m.Incarnation+1), "started anew")
+	v.setState(m, Alive, max(r.Incarnation, m.Incarnation+1), causeRestarted)
 	v.enqueueRumor(m, true)
 }
 
@@ -154,7 +154,7 @@
 		v.joinAttempts = 0
 		v.updateStatus()
 		if v.status == StatusNameTaken {
-			v.setStatus(StatusHealthy, "let in")
+			v.setStatus(StatusHealthy, causeAccepted)
 		}
 	}
 	for i := range m.Records {
--- a/membership/leave.go
+++ b/membership/leave.go
@@ -11,7 +11,7 @@
 	if v.joined {
 		v.announceLeave()
 	}
-	v.setStatus(StatusLeft, "told to leave")
+	v.setStatus(StatusLeft, causeLeaveRequested)
 }
 
 func (v *View) announceLeave() {
--- a/membership/member.go
+++ b/membership/member.go
@@ -160,7 +160,7 @@
 		}
 		v.removeFromList(m) // which puts another member at i
 		delete(v.members, m.id)
-		v.actions = append(v.actions, MemberChanged{Member: m.Member, Old: m.State, Cause: "forgotten"})
+		v.actions = append(v.actions, MemberChanged{Member: m.Member, Old: m.State, Cause: causeForgotten})
 	}
 }
 
--- a/membership/name_conflict.go
+++ b/membership/name_conflict.go
@@ -1,6 +1,9 @@
 package membership
 
-import "net/netip"
+import (
+	"fmt"
+	"net/netip"
+)
 
 // Parts of a fleet that were apart may have accepted two processes under one name. When the parts merge, the process
 // with the lower boot ID stays.
@@ -10,7 +13,7 @@
 	v.joined = false
 	v.nextJoinAt = v.now + nameRetryIntervalMs
 	v.dropProbes()
-	v.setStatus(StatusNameTaken, "another process under this name lives at "+to.String())
+	v.setStatus(StatusNameTaken, fmt.Sprintf(causeNameTakenFormat, to))
 }
 
 // keepName takes an incarnation above that of the other process of this name, and notifies it.
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -190,7 +190,7 @@
 	v.noteDirectAck()
 	sender.unconfirmedProbes = 0
 	if sender.State == Unreachable {
-		v.setState(sender, Alive, sender.Incarnation, "answers again, late")
+		v.setState(sender, Alive, sender.Incarnation, causeAnsweredLate)
 	}
 }
 
@@ -208,7 +208,7 @@
 		v.health.improve(v.now)
 	}
 	if target.State == Unreachable {
-		v.setState(target, Alive, target.Incarnation, "answers again")
+		v.setState(target, Alive, target.Incarnation, causeAnswered)
 		v.recheckUnreachable()
 	}
 }
@@ -230,7 +230,7 @@
 		return
 	}
 	v.counters.accusations++
-	v.suspect(p.target, append(p.confirmedBy, v.id), "no answer here")
+	v.suspect(p.target, append(p.confirmedBy, v.id), CauseNoAnswer)
 }
 
 // maxUnconfirmedProbes is how many probes in a row without a confirmation make a member unreachable.
@@ -251,6 +251,6 @@
 	}
 	target.unconfirmedProbes++
 	if target.unconfirmedProbes >= maxUnconfirmedProbes && target.State == Alive {
-		v.setState(target, Unreachable, target.Incarnation, "no answer here, and nobody has confirmed it")
+		v.setState(target, Unreachable, target.Incarnation, causeUnconfirmed)
 	}
 }
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -44,7 +44,7 @@
 // here: the others may be the ones that are cut off.
 func (v *View) receiveFromMember(from netip.AddrPort, sender *member, m *Message) {
 	if m.Incarnation > sender.Incarnation {
-		v.acceptIncarnation(sender, m.Incarnation, "it contradicts")
+		v.acceptIncarnation(sender, m.Incarnation, causeRefuted)
 	}
 	senderIsLive := sender.State.isLive()
 	for i := range m.Rumors {
--- a/membership/rumor.go
+++ b/membership/rumor.go
@@ -15,23 +15,23 @@
 	switch r.State {
 	case Alive:
 		if r.Incarnation > subject.Incarnation {
-			v.acceptIncarnation(subject, r.Incarnation, "contradicts")
+			v.acceptIncarnation(subject, r.Incarnation, causeRefutedReport)
 		}
 	case Suspect:
 		if !senderIsLive {
 			return
 		}
 		if r.Incarnation > subject.Incarnation {
-			v.setState(subject, Alive, r.Incarnation, "a newer accusation")
+			v.setState(subject, Alive, r.Incarnation, causeReaccused)
 		}
-		v.suspect(subject, r.Accusers, "accused by others")
+		v.suspect(subject, r.Accusers, causeAccused)
 	case Dead:
 		if senderIsLive {
-			v.setState(subject, Dead, r.Incarnation, "others found it dead")
+			v.setState(subject, Dead, r.Incarnation, causeDeclaredDead)
 			v.enqueueRumor(subject, false)
 		}
 	case Left:
-		v.setState(subject, Left, r.Incarnation, "said goodbye")
+		v.setState(subject, Left, r.Incarnation, causeLeft)
 		v.enqueueRumor(subject, false)
 	}
 }
@@ -78,17 +78,17 @@
 	switch {
 	case r.State == Alive && r.Incarnation > subject.Incarnation:
 		v.updateFromRecord(subject, r)
-		v.setState(subject, Alive, r.Incarnation, "told by others")
+		v.setState(subject, Alive, r.Incarnation, causeReported)
 		if gossip {
 			v.enqueueRumor(subject, true)
 		}
 	case r.State == Dead && subject.State == Suspect && r.Incarnation == subject.Incarnation && sameProcess:
-		v.setState(subject, Dead, r.Incarnation, "others found it dead")
+		v.setState(subject, Dead, r.Incarnation, causeDeclaredDead)
 	case r.State == Dead && subject.State.isLive() && r.Incarnation >= subject.Incarnation:
 		rumor := r.rumor()
 		v.scheduleCheck(subject, &rumor)
 	case r.State == Left && subject.State != Left && r.Incarnation >= subject.Incarnation:
-		v.setState(subject, Left, r.Incarnation, "said goodbye")
+		v.setState(subject, Left, r.Incarnation, causeLeft)
 	}
 }
 
@@ -97,7 +97,7 @@
 	if r.State != Alive || r.Name == "" || !r.Addr.IsValid() {
 		return
 	}
-	m := v.addMember(r, "told by others")
+	m := v.addMember(r, causeReported)
 	if gossip {
 		v.enqueueRumor(m, true)
 	}
--- a/membership/status.go
+++ b/membership/status.go
@@ -41,15 +41,15 @@
 	others := len(v.live) + len(v.dead)
 	switch {
 	case !v.joined:
-		v.setStatus(StatusJoining, "nobody has let it in")
+		v.setStatus(StatusJoining, causeNotAccepted)
 	case others > 0 && v.now-v.lastReceivedAt > isolatedAfterMs:
-		v.setStatus(StatusIsolated, "nobody is heard")
+		v.setStatus(StatusIsolated, causeNoMessages)
 	case len(v.disputedAt) >= disputeCount && v.now-v.lastAckAt > isolatedAfterMs:
-		v.setStatus(StatusDisputed, "others call it dead, whatever it answers")
+		v.setStatus(StatusDisputed, causeDisputed)
 	case v.health.score >= slowHealthScore || v.status == StatusSlow && v.health.score > 0:
-		v.setStatus(StatusSlow, "answers or processor time come late")
+		v.setStatus(StatusSlow, causeSlow)
 	default:
-		v.setStatus(StatusHealthy, "answers come in time")
+		v.setStatus(StatusHealthy, causeHealthy)
 	}
 }
 
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -1,6 +1,9 @@
 package membership
 
-import "slices"
+import (
+	"fmt"
+	"slices"
+)
 
 const (
 	maxAccusers           = 8      // that are kept of one suspicion
@@ -93,7 +96,7 @@
 		s.checked, s.quorumAt = true, v.now
 		v.scheduleCheck(m, nil)
 	default:
-		v.setState(m, Dead, m.Incarnation, "no answer to "+countWord(len(s.accusers))+" observers")
+		v.setState(m, Dead, m.Incarnation, fmt.Sprintf(causeQuorumFormat, countWord(len(s.accusers))))
 		v.enqueueRumor(m, false)
 	}
 }
--- a/membership/unknown_sender.go
+++ b/membership/unknown_sender.go
@@ -60,7 +60,7 @@
 func (v *View) handleIntroduction(from netip.AddrPort, old *member, m *Message) {
 	sender := old
 	if sender == nil {
-		sender = v.acceptMember(m.introduction(), "asked")
+		sender = v.acceptMember(m.introduction(), causeIntroduced)
 	} else {
 		v.replaceProcess(sender, m.introduction())
 	}
