--- a/fleet/roster.go
+++ b/fleet/roster.go
@@ -81,7 +81,7 @@
 	return r
 }
 
-// setLoads takes the gateways' loads; an unknown one is assumed to be the mean of the known ones.
+// setLoads sets the gateways' loads; an unknown one is assumed to be the mean of the known ones.
 func (r *Roster) setLoads() {
 	known, sum := 0, 0.0
 	for _, gateway := range r.gateways {
--- a/membership/cause.go
+++ b/membership/cause.go
@@ -27,7 +27,6 @@
 const (
 	causeIsSeed          = "is a seed"
 	causeNotAccepted     = "no member has accepted it"
-	causeAccepted        = "accepted by a member"
 	causeNameTakenFormat = "another process under this name lives at %s"
 	causeNoMessages      = "no messages arrive"
 	causeDisputed        = "others declare it dead despite its refutations"
--- a/membership/clock.go
+++ b/membership/clock.go
@@ -18,7 +18,7 @@
 	resumedAt float64 // when the process ran again after a late step
 }
 
-// advanceClock takes the driver's time. Time in which the process did not run doesn't count.
+// advanceClock moves the View's time on by the driver's. Time in which the process did not run doesn't count.
 func (v *View) advanceClock(driverMs float64) {
 	if !v.started {
 		v.started, v.driverMs = true, driverMs
--- a/membership/indirect_probe.go
+++ b/membership/indirect_probe.go
@@ -50,7 +50,7 @@
 	v.send(p.requester.addr, p.requester.member, reply, 0)
 }
 
-// handleNack takes a member's report that the target of a probe doesn't answer it.
+// handleNack handles a member's report that the target of a probe doesn't answer it.
 func (v *View) handleNack(sender *member, m *Message) {
 	p := v.findProbe(m.Seq)
 	if p == nil || p.target.id != m.Target || slices.Contains(p.confirmedBy, sender.id) {
--- a/membership/join.go
+++ b/membership/join.go
@@ -97,7 +97,7 @@
 	v.acceptJoin(from, joiner)
 }
 
-// isInUse reports whether the member is believed to be alive by this member, too.
+// isInUse reports whether the member is live and not unreachable.
 func (m *member) isInUse() bool { return m.State == Alive || m.State == Suspect }
 
 // acceptMember adds a member that introduces itself.
@@ -107,7 +107,7 @@
 	return m
 }
 
-// replaceProcess takes a process that introduces itself for the present one of a member's name.
+// replaceProcess replaces the process of a member's name by one that introduces itself.
 func (v *View) replaceProcess(m *member, r *Record) {
 	v.updateFromRecord(m, r)
 	v.setState(m, Alive, max(r.Incarnation, m.Incarnation+1), causeRestarted)
@@ -153,9 +153,6 @@
 		v.completeJoin()
 		v.joinAttempts = 0
 		v.updateStatus()
-		if v.status == StatusNameTaken {
-			v.setStatus(StatusHealthy, causeAccepted)
-		}
 	}
 	for i := range m.Records {
 		v.handleRecord(&m.Records[i], false)
--- a/membership/member.go
+++ b/membership/member.go
@@ -126,7 +126,7 @@
 	v.actions = append(v.actions, MemberChanged{Member: m.Member, Old: old, New: state, Cause: cause})
 }
 
-// updateFromRecord takes everything but state and incarnation from a record.
+// updateFromRecord copies everything but state and incarnation from a record.
 func (v *View) updateFromRecord(m *member, r *Record) {
 	if m.State.isLive() {
 		v.toggleDigest(m)
--- a/membership/name_conflict.go
+++ b/membership/name_conflict.go
@@ -16,7 +16,7 @@
 	v.setStatus(StatusNameTaken, fmt.Sprintf(causeNameTakenFormat, to))
 }
 
-// keepName takes an incarnation above that of the other process of this name, and notifies it.
+// keepName raises this member's incarnation above that of the other process of its name, and notifies that process.
 func (v *View) keepName(other netip.AddrPort, incarnation uint64) {
 	v.advanceIncarnation(incarnation)
 	v.rejectJoin(other, v.cfg.Addr)
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -143,7 +143,7 @@
 	v.probes = v.probes[:0]
 }
 
-// findProbe is the unanswered probe of a number, or nil.
+// findProbe is the unanswered probe with a sequence number, or nil.
 func (v *View) findProbe(seq uint32) *probe {
 	for _, p := range v.probes {
 		if p.seq == seq {
@@ -165,7 +165,7 @@
 	v.send(from, sender, ack, pingUpdateBytes)
 }
 
-// handleAck takes an answer of the target itself, or of a member that probed the target for this one.
+// handleAck handles an answer of the target itself, or of a member that probed the target for this one.
 func (v *View) handleAck(sender *member, m *Message) {
 	p := v.findProbe(m.Seq)
 	switch {
@@ -180,7 +180,7 @@
 	}
 }
 
-// handleLateAck takes an answer of the target itself after the probe has ended.
+// handleLateAck handles an answer of the target itself after the probe has ended.
 func (v *View) handleLateAck(sender *member, m *Message) {
 	p := &v.finished[m.Seq%finishedProbeCount]
 	if p.seq != m.Seq || p.target != sender || m.Target != 0 {
@@ -236,7 +236,7 @@
 // maxUnconfirmedProbes is how many probes in a row without a confirmation make a member unreachable.
 const maxUnconfirmedProbes = 2
 
-// probeUnconfirmed takes a probe that failed without any confirmation by others: this member may well be at fault.
+// probeUnconfirmed handles a probe that failed without any confirmation by others: this member may well be at fault.
 func (v *View) probeUnconfirmed(p *probe) {
 	target := p.target
 	if p.indirectRequests > 0 && !v.isFailureBurst() { // in a burst the members that were asked are dead as well
--- a/membership/refutation.go
+++ b/membership/refutation.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// advanceIncarnation takes an incarnation above the present one and above another one.
+// advanceIncarnation raises this member's incarnation above its present one and above another one.
 func (v *View) advanceIncarnation(above uint64) {
 	v.toggleDigest(v.self)
 	v.self.Incarnation = max(above, v.self.Incarnation) + 1
--- a/membership/round_trip.go
+++ b/membership/round_trip.go
@@ -58,8 +58,8 @@
 	return v.roundTrip.timeoutMs(v.cfg.ProbeRetryMs) * v.health.factor()
 }
 
-// recordRoundTrip takes the round trip of an answer to an attempt of a probe that started at some time. countLoss says
-// that the probe counts towards the loss rate.
+// recordRoundTrip records the round trip of an answer to an attempt of a probe that started at some time. countLoss
+// says that the probe counts towards the loss rate.
 func (v *View) recordRoundTrip(startedAt, attemptIntervalMs float64, attempt uint8, countLoss bool) {
 	roundTripMs := v.now - startedAt - float64(attempt)*attemptIntervalMs
 	if roundTripMs < 0 {
--- a/membership/rumor.go
+++ b/membership/rumor.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// handleRumor takes a rumor. senderIsLive says whether the sender may accuse members and declare them dead.
+// handleRumor handles a rumor. senderIsLive says whether the sender may accuse members and declare them dead.
 func (v *View) handleRumor(r *Rumor, senderIsLive bool) {
 	if r.Subject == v.id {
 		v.handleRumorAboutSelf(r)
@@ -43,7 +43,7 @@
 		r.Incarnation == m.Incarnation && !m.State.isLive()
 }
 
-// acceptIncarnation takes a newer incarnation of a live member. One that doesn't answer this member stays unreachable
+// acceptIncarnation records a newer incarnation of a live member. One that doesn't answer this member stays unreachable
 // until it does, and is checked.
 func (v *View) acceptIncarnation(m *member, incarnation uint64, cause string) {
 	state := Alive
@@ -55,7 +55,7 @@
 	v.enqueueRumor(m, false)
 }
 
-// handleRecord takes a record. A death in a record may be an old one, so it is verified unless the member is suspect
+// handleRecord handles a record. A death in a record may be an old one, so it is verified unless the member is suspect
 // here as well. gossip says whether what is new is gossiped.
 func (v *View) handleRecord(r *Record, gossip bool) {
 	id := IDOf(r.Name)
@@ -92,7 +92,7 @@
 	}
 }
 
-// handleNewRecord takes a record of a member that is not known.
+// handleNewRecord handles a record of a member that is not known.
 func (v *View) handleNewRecord(r *Record, gossip bool) {
 	if r.State != Alive || r.Name == "" || !r.Addr.IsValid() {
 		return
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -23,7 +23,7 @@
 // quorum is how many accusers make a member dead.
 func (v *View) quorum() int { return min(v.cfg.DeathQuorum, v.counts[Alive]+1) }
 
-// suspect takes an accusation. It is gossiped if it adds anything.
+// suspect records an accusation. It is gossiped if it adds anything.
 func (v *View) suspect(m *member, accusers []ID, cause string) {
 	changed := false
 	if m.State != Suspect {
