--- a/membership/join.go
+++ b/membership/join.go
@@ -14,6 +14,15 @@
 	joinRecords         = 16       // of other members in a JoinAccepted
 )
 
+// joinState is whether this member takes part in the fleet, and when it asks to.
+type joinState struct {
+	joined             bool
+	joinedAt           float64
+	nextJoinAt         float64
+	joinAttempts       int
+	lastUnknownReplyAt float64 // see replyToUnknown
+}
+
 // isSeed reports whether this member founds a fleet.
 func (v *View) isSeed() bool {
 	return len(v.cfg.Seeds) == 0 || slices.Contains(v.cfg.Seeds, v.cfg.Addr)
@@ -45,7 +54,7 @@
 	}
 }
 
-// scheduleJoin determines when the next Join is due, with jitter of 30 % either way.
+// scheduleJoin determines when the next Join is due.
 func (v *View) scheduleJoin() {
 	backoff := joinBackoffMs * float64(uint64(1)<<min(v.joinAttempts, maxJoinBackoffShift))
 	interval := min(backoff, maxJoinBackoffMs)
@@ -56,7 +65,7 @@
 	case v.joined && (len(v.live) > 0 || len(v.cfg.Seeds) < 2):
 		interval = seedCheckIntervalMs
 	}
-	v.nextJoinAt = v.now + interval*(0.7+0.6*v.rng.Float64())
+	v.nextJoinAt = v.now + interval*v.jitter(0.7, 0.6)
 }
 
 // handleJoin accepts a member, unless another process lives under its name at another address. There can be only one
@@ -73,10 +82,10 @@
 	joiner := v.members[m.From]
 	switch {
 	case joiner == nil:
-		joiner = v.acceptMember(r, "joined")
+		joiner = v.acceptMember(r, causeJoined)
 	case joiner.BootID == r.BootID:
 		if r.Incarnation > joiner.Incarnation {
-			v.acceptIncarnation(joiner, r.Incarnation, "joined again")
+			v.acceptIncarnation(joiner, r.Incarnation, causeRejoined)
 		}
 	case joiner.Addr != r.Addr && joiner.isInUse():
 		v.scheduleCheck(joiner, nil)
@@ -88,7 +97,7 @@
 	v.acceptJoin(from, joiner)
 }
 
-// isInUse reports whether the member is believed to be alive by this member, too.
+// isInUse reports whether the member is live and not unreachable.
 func (m *member) isInUse() bool { return m.State == Alive || m.State == Suspect }
 
 // acceptMember adds a member that introduces itself.
@@ -98,10 +107,10 @@
 	return m
 }
 
-// replaceProcess takes a process that introduces itself for the present one of a member's name.
+// replaceProcess replaces the process of a member's name by one that introduces itself.
 func (v *View) replaceProcess(m *member, r *Record) {
 	v.updateFromRecord(m, r)
-	v.setState(m, Alive, max(r.Incarnation, m.Incarnation+1), "started anew")
+	v.setState(m, Alive, max(r.Incarnation, m.Incarnation+1), causeRestarted)
 	v.enqueueRumor(m, true)
 }
 
@@ -144,9 +153,6 @@
 		v.completeJoin()
 		v.joinAttempts = 0
 		v.updateStatus()
-		if v.status == StatusNameTaken {
-			v.setStatus(StatusHealthy, "let in")
-		}
 	}
 	for i := range m.Records {
 		v.handleRecord(&m.Records[i], false)
