--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -74,23 +74,23 @@
 
 // piggyback adds queued rumors to a message, as many as limitBytes allows for all its rumors and records.
 func (v *View) piggyback(m *Message, limitBytes int) {
-	room := limitBytes
+	remainingBytes := limitBytes
 	for i := range m.Rumors {
-		room -= m.Rumors[i].Size()
+		remainingBytes -= m.Rumors[i].Size()
 	}
 	for i := range m.Records {
-		room -= m.Records[i].Size()
+		remainingBytes -= m.Records[i].Size()
 	}
-	if room < rumorBytes || len(v.rumors.entries) == 0 {
+	if remainingBytes < rumorBytes || len(v.rumors.entries) == 0 {
 		return
 	}
 	added := 0
 	for _, entry := range v.rumors.entries {
-		size := v.appendUpdate(m, entry, room)
+		size := v.appendUpdate(m, entry, remainingBytes)
 		if size == 0 {
 			break
 		}
-		room -= size
+		remainingBytes -= size
 		added++
 	}
 	maxTransmissions := int(math.Ceil(transmissionsFactor * math.Log10(float64(len(v.live)+2))))
@@ -100,7 +100,7 @@
 // appendUpdate adds a queued rumor to a message and returns its size, or returns 0 if it doesn't fit. A record
 // carries no accusers, and receivers verify a death in a record, so a rumor goes with the record unless the member is
 // alive.
-func (v *View) appendUpdate(m *Message, entry *queuedRumor, room int) int {
+func (v *View) appendUpdate(m *Message, entry *queuedRumor, remainingBytes int) int {
 	size, state := 0, entry.subject.State
 	var record Record
 	if entry.withRecord {
@@ -113,7 +113,7 @@
 		rumor = v.rumorAbout(entry.subject)
 		size += rumor.Size()
 	}
-	if size > room {
+	if size > remainingBytes {
 		return 0
 	}
 	if entry.withRecord {
--- a/membership/join.go
+++ b/membership/join.go
@@ -119,7 +119,7 @@
 	accepted := &Message{
 		Kind: JoinAccepted, Rumors: []Rumor{v.rumorAbout(joiner)}, Records: []Record{v.self.record()},
 	}
-	room := maxUpdateBytes - accepted.Records[0].Size() - accepted.Rumors[0].Size()
+	remainingBytes := maxUpdateBytes - accepted.Records[0].Size() - accepted.Rumors[0].Size()
 	var chosen []*member
 	for range joinRecords {
 		m := v.randomMember(func(m *member) bool { return m == joiner || slices.Contains(chosen, m) })
@@ -127,8 +127,8 @@
 			break
 		}
 		record := m.record()
-		room -= record.Size()
-		if room < 0 {
+		remainingBytes -= record.Size()
+		if remainingBytes < 0 {
 			break
 		}
 		chosen = append(chosen, m)
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -57,19 +57,19 @@
 	}
 	first := v.rng.IntN(bucketCount)
 	differing := v.membersOfDifferingBuckets(m.Buckets)
-	response, room, sent := &Message{Kind: SyncResponse}, maxUpdateBytes, 0
+	response, remainingBytes, sent := &Message{Kind: SyncResponse}, maxUpdateBytes, 0
 	for i := range bucketCount {
 		for _, subject := range differing[(first+i)%bucketCount] {
 			record := subject.record()
-			if record.Size() > room {
+			if record.Size() > remainingBytes {
 				v.send(from, sender, response, 0)
 				sent++
 				if sent >= maxSyncResponses {
 					return
 				}
-				response, room = &Message{Kind: SyncResponse}, maxUpdateBytes
+				response, remainingBytes = &Message{Kind: SyncResponse}, maxUpdateBytes
 			}
-			room -= record.Size()
+			remainingBytes -= record.Size()
 			response.Records = append(response.Records, record)
 		}
 	}
