--- a/internal/frontend/extended/describe.go
+++ b/internal/frontend/extended/describe.go
@@ -1,15 +1,16 @@
 package extended
 
 import (
+	"encoding/binary"
+
 	"merlinjunction/internal/protocol/pg"
 )
 
 // Sizes in a RowDescription message, in bytes.
 const (
 	columnCountSize    = 2
-	formatCodeSize     = 2
-	columnFieldsSize   = 18 // of a column after its name: five fields and the format code, which is last
-	columnFieldsBefore = columnFieldsSize - formatCodeSize
+	formatCodeSize     = 2 // the format code is the last field of a column
+	columnFieldsBefore = pg.ColumnFieldsSize - formatCodeSize
 )
 
 // handleDescribe handles Describe: the kind of object, its name. A statement is described by a host once; its
@@ -19,31 +20,31 @@
 	if !fields.AtEnd() || !isObjectKind(kind) {
 		return pg.ErrMalformed
 	}
-	st, p := s.statements[name], s.portals[name]
+	statement, portal := s.statements[name], s.portals[name]
 	switch {
-	case kind == kindPortal && p == nil:
+	case kind == kindPortal && portal == nil:
 		s.fail(unknownPortal(name))
 		return nil
 	case kind == kindPortal:
-		st = p.statement
-	case st == nil:
+		statement = portal.statement
+	case statement == nil:
 		s.fail(unknownStatement(name))
 		return nil
 	}
-	if st.rule == nil {
-		st.description = emptyDescription()
+	if statement.rule == nil {
+		statement.description = emptyDescription()
 	}
-	if st.description != nil {
-		s.sendDescription(st, kind, p)
+	if statement.description != nil {
+		s.sendDescription(statement, kind, portal)
 		return nil
 	}
-	s.submit(s.frontend.Rules.DescribeClass, "", describeCommand{st}, func(answer []byte) {
-		st.description = answer
-		s.sendDescription(st, kind, p)
-		if st.named && s.reserve(len(answer)) {
-			st.reservedBytes += len(answer)
+	s.submit(s.frontend.Rules.DescribeClass, "", describeCommand{statement}, func(answer []byte) {
+		statement.description = answer
+		s.sendDescription(statement, kind, portal)
+		if statement.named && s.reserve(len(answer)) {
+			statement.reservedBytes += len(answer)
 		} else {
-			st.description = nil
+			statement.description = nil
 		}
 	})
 	return nil
@@ -56,8 +57,8 @@
 
 // sendDescription answers Describe from a statement's description. A portal has no ParameterDescription, and its
 // columns have the formats that were bound.
-func (s *session) sendDescription(st *preparedStatement, objectKind byte, p *portal) {
-	for rest := st.description; len(rest) > 0; {
+func (s *session) sendDescription(statement *preparedStatement, objectKind byte, portal *portal) {
+	for rest := statement.description; len(rest) > 0; {
 		kind, body, size, err := pg.SplitMessage(rest, pg.MaxMessage)
 		if err != nil || size == 0 {
 			s.fail(pg.UnknownOutcomeResponse())
@@ -66,7 +67,7 @@
 		switch {
 		case objectKind == kindPortal && kind == pg.MsgParameterDescription:
 		case objectKind == kindPortal && kind == pg.MsgRowDescription:
-			s.output = pg.AppendMessage(s.output, kind, withFormatCodes(body, p.resultFormats)...)
+			s.output = pg.AppendMessage(s.output, kind, withFormatCodes(body, portal.resultFormats)...)
 		default:
 			s.output = append(s.output, rest[:size]...)
 		}
@@ -85,10 +86,9 @@
 		if fields.Malformed {
 			return body
 		}
-		columnEnd += len(name) + 1 + columnFieldsSize
+		columnEnd += len(name) + 1 + pg.ColumnFieldsSize
 		fields.Bytes(formatCodeSize)
-		code := formatCodeOf(i, codes)
-		out[columnEnd-2], out[columnEnd-1] = byte(code>>8), byte(code)
+		binary.BigEndian.PutUint16(out[columnEnd-formatCodeSize:], formatCodeOf(i, codes))
 	}
 	return out
 }
--- a/internal/frontend/extended/errors.go
+++ b/internal/frontend/extended/errors.go
@@ -18,10 +18,15 @@
 	transactionsNotSupported = pg.ErrorResponse{
 		SQLState: pg.StateNotSupported, Message: "explicit transactions are not supported: each statement commits singly",
 	}
-	settingNotSupported = pg.ErrorResponse{SQLState: pg.StateNotSupported, Message: "this setting can't be changed here"}
-	noMatchingRule      = pg.ErrorResponse{SQLState: pg.StateNotSupported, Message: "no class is set up for this statement"}
-
-	functionCallsNotSupported = pg.ErrorResponse{SQLState: pg.StateNotSupported, Message: "function calls are not taken here"}
+	settingNotSupported = pg.ErrorResponse{
+		SQLState: pg.StateNotSupported, Message: "this setting can't be changed here",
+	}
+	noMatchingRule = pg.ErrorResponse{
+		SQLState: pg.StateNotSupported, Message: "no class is set up for this statement",
+	}
+	functionCallsNotSupported = pg.ErrorResponse{
+		SQLState: pg.StateNotSupported, Message: "function calls are not taken here",
+	}
 
 	noReachableHost = pg.ErrorResponse{SQLState: pg.StateCannotConnectNow, Message: "no database host can be reached"}
 
--- a/internal/frontend/extended/execute.go
+++ b/internal/frontend/extended/execute.go
@@ -15,36 +15,36 @@
 	if !fields.AtEnd() {
 		return pg.ErrMalformed
 	}
-	p := s.portals[name]
+	portal := s.portals[name]
 	switch {
-	case p == nil:
+	case portal == nil:
 		s.fail(unknownPortal(name))
-	case p.lastMessage != nil:
-		s.sendBufferedRows(p, maxRows)
-	case p.executed:
+	case portal.lastMessage != nil:
+		s.sendBufferedRows(portal, maxRows)
+	case portal.executed:
 		s.fail(portalAlreadyExecuted(name))
-	case p.statement.localCommand != nil:
-		p.executed = true
-		s.runLocalCommand(p.statement)
-	case p.statement.rule == nil:
+	case portal.statement.localCommand != nil:
+		portal.executed = true
+		s.runLocalCommand(portal.statement)
+	case portal.statement.rule == nil:
 		s.output = pg.AppendMessage(s.output, pg.MsgEmptyQueryResponse)
 	default:
-		p.executed = true
+		portal.executed = true
 		s.rowLimited = maxRows > 0
-		s.run(p.statement, p.parameters, executeCommand{p}, func(answer []byte) {
-			s.handleRows(p, answer, maxRows)
+		s.run(portal.statement, portal.parameters, executeCommand{portal}, func(answer []byte) {
+			s.handleRows(portal, answer, maxRows)
 		})
 	}
 	return nil
 }
 
 // handleRows handles the answer to an Execute.
-func (s *session) handleRows(p *portal, answer []byte, maxRows int) {
+func (s *session) handleRows(portal *portal, answer []byte, maxRows int) {
 	if maxRows <= 0 {
 		s.output = append(s.output, answer...)
 		return
 	}
-	s.bufferAnswer(p, answer, maxRows)
+	s.bufferAnswer(portal, answer, maxRows)
 }
 
 // handleQuery handles a simple query.
@@ -55,15 +55,15 @@
 	}
 	s.dropStatement("") // PostgreSQL's protocol: a simple query closes the unnamed statement and portal
 	s.dropPortal("")
-	st, rejection := s.prepare(text)
+	statement, rejection := s.prepare(text)
 	switch {
 	case rejection != nil:
 		s.fail(*rejection)
-	case st.localCommand != nil:
-		s.runLocalCommand(st)
-	case st.rule != nil:
+	case statement.localCommand != nil:
+		s.runLocalCommand(statement)
+	case statement.rule != nil:
 		s.rowLimited = false
-		s.run(st, nil, queryCommand(text), func(answer []byte) {
+		s.run(statement, nil, queryCommand(text), func(answer []byte) {
 			s.output = append(s.output, answer...)
 			s.finishSimpleQuery()
 		})
@@ -77,9 +77,9 @@
 }
 
 // run submits a statement as one request, with the session and the idempotency key that its rule finds in it.
-func (s *session) run(st *preparedStatement, parameters [][]byte, command any, onSuccess func(answer []byte)) {
-	class := s.frontend.Rules.Classes[st.rule.Class]
-	sessionName, key := st.rule.sessionAndKey(st.bare, parameters, s.id)
+func (s *session) run(statement *preparedStatement, parameters [][]byte, command any, onSuccess func(answer []byte)) {
+	class := s.frontend.Rules.Classes[statement.rule.Class]
+	sessionName, key := statement.rule.sessionAndKey(statement.bare, parameters, s.id)
 	if class.Idempotency == routing.IdempotentWithKey && key == "" {
 		s.fail(idempotencyKeyNeeded(class.Name))
 		return
@@ -87,7 +87,7 @@
 	if class.Consistency != routing.ConsistencyWrite && class.Consistency != routing.ConsistencySession {
 		sessionName = ""
 	}
-	s.submit(st.rule.Class, sessionName, command, onSuccess)
+	s.submit(statement.rule.Class, sessionName, command, onSuccess)
 }
 
 // submit hands a request to the core. The core calls the session's responder methods with its answer.
--- a/internal/frontend/extended/host_command.go
+++ b/internal/frontend/extended/host_command.go
@@ -14,9 +14,6 @@
 	_ pg.StreamingCommand = queryCommand("")
 )
 
-// parameterTypeSize is the size of a parameter type's OID in a Parse message, in bytes.
-const parameterTypeSize = 4
-
 // executeCommand runs a portal's statement.
 type executeCommand struct{ portal *portal }
 
@@ -79,9 +76,9 @@
 	return pg.AppendStrings(buf, pg.MsgQuery, string(c))
 }
 
-// Forwards accepts the messages of a query result.
+// Forwards accepts the messages of a query result, and the answer to an empty statement.
 func (queryCommand) Forwards(kind byte) bool {
-	return kind == pg.MsgRowDescription || executeCommand{}.Forwards(kind)
+	return pg.IsQueryResult(kind) || kind == pg.MsgEmptyQueryResponse
 }
 
 // IsComplete requires rows and a CommandComplete, with or without a RowDescription, or the answer to an empty
@@ -101,13 +98,13 @@
 }
 
 // appendParse appends a Parse message for the unnamed statement.
-func appendParse(buf []byte, st *preparedStatement) []byte {
+func appendParse(buf []byte, statement *preparedStatement) []byte {
 	buf, mark := pg.BeginMessage(buf, pg.MsgParse)
 	buf = append(buf, 0) // the statement's name
-	buf = append(append(buf, st.text...), 0)
-	count := len(st.parameterTypes) / parameterTypeSize
+	buf = append(append(buf, statement.text...), 0)
+	count := len(statement.parameterTypes) / pg.ParameterTypeSize
 	buf = append(buf, byte(count>>8), byte(count))
-	return pg.EndMessage(append(buf, st.parameterTypes...), mark)
+	return pg.EndMessage(append(buf, statement.parameterTypes...), mark)
 }
 
 // isCompleteResult reports whether message types are those of rows and CommandComplete, or EmptyQueryResponse.
--- a/internal/frontend/extended/local_command.go
+++ b/internal/frontend/extended/local_command.go
@@ -14,40 +14,40 @@
 
 // prepareLocalCommand sets the local command of a statement that the gateway answers itself. It rejects statements
 // whose effect would be tied to one connection to a host.
-func (s *session) prepareLocalCommand(st *preparedStatement) *pg.ErrorResponse {
-	words := leadingKeywords(st.bare, 3)
-	switch words[0] {
+func (s *session) prepareLocalCommand(statement *preparedStatement) *pg.ErrorResponse {
+	keywords := leadingKeywords(statement.bare, 3)
+	switch keywords[0] {
 	case "BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT", "SAVEPOINT", "RELEASE":
 		return &transactionsNotSupported
 	case "PREPARE", "EXECUTE", "DECLARE", "FETCH", "MOVE", "CLOSE", "COPY", "LISTEN", "UNLISTEN", "LOCK":
-		rejection := dedicatedHostNeeded(words[0])
+		rejection := dedicatedHostNeeded(keywords[0])
 		return &rejection
 	case "SET":
-		if !isIgnoredSetting(words, st.bare) {
+		if !isIgnoredSetting(keywords, statement.bare) {
 			return &settingNotSupported
 		}
-		st.commandTag, st.localCommand = "SET", doNothing
+		statement.commandTag, statement.localCommand = "SET", doNothing
 	case "RESET":
-		st.commandTag, st.localCommand = "RESET", doNothing
+		statement.commandTag, statement.localCommand = "RESET", doNothing
 	case "DISCARD":
-		st.commandTag, st.localCommand = strings.Join(words, " "), doNothing
-		if len(words) == 2 && words[1] == "ALL" {
-			st.localCommand = s.discardAll
+		statement.commandTag, statement.localCommand = strings.Join(keywords, " "), doNothing
+		if len(keywords) == 2 && keywords[1] == "ALL" {
+			statement.localCommand = s.discardAll
 		}
 	case "DEALLOCATE":
-		st.commandTag = "DEALLOCATE"
-		st.localCommand = func() *pg.ErrorResponse { return s.deallocate(st.bare) }
+		statement.commandTag = "DEALLOCATE"
+		statement.localCommand = func() *pg.ErrorResponse { return s.deallocate(statement.bare) }
 	}
 	return nil
 }
 
 // isIgnoredSetting reports whether a SET changes nothing here: an ignored setting, or the client encoding UTF8.
-func isIgnoredSetting(words []string, bare string) bool {
-	if len(words) < 3 {
+func isIgnoredSetting(keywords []string, bare string) bool {
+	if len(keywords) < 3 {
 		return false
 	}
-	utf8 := words[1] == "CLIENT_ENCODING" && strings.Contains(strings.ToUpper(bare), "UTF8")
-	return ignoredSettings[words[1]] || utf8
+	utf8 := keywords[1] == "CLIENT_ENCODING" && strings.Contains(strings.ToUpper(bare), "UTF8")
+	return ignoredSettings[keywords[1]] || utf8
 }
 
 func doNothing() *pg.ErrorResponse { return nil }
@@ -74,11 +74,11 @@
 }
 
 // runLocalCommand answers a statement that no host is needed for.
-func (s *session) runLocalCommand(st *preparedStatement) {
-	if rejection := st.localCommand(); rejection != nil {
+func (s *session) runLocalCommand(statement *preparedStatement) {
+	if rejection := statement.localCommand(); rejection != nil {
 		s.fail(*rejection)
 		return
 	}
-	s.output = pg.AppendStrings(s.output, pg.MsgCommandComplete, st.commandTag)
+	s.output = pg.AppendStrings(s.output, pg.MsgCommandComplete, statement.commandTag)
 	s.finishSimpleQuery()
 }
--- a/internal/frontend/extended/memory.go
+++ b/internal/frontend/extended/memory.go
@@ -3,7 +3,8 @@
 const (
 	// maxSessionBytes bounds the statements, portals and rows that one session buffers.
 	maxSessionBytes = 1 << 20
-	// maxReservedBytes bounds what all sessions buffer together.
+	// maxReservedBytes bounds what all sessions buffer together. It is fixed: it doesn't follow memory_mb, and is a
+	// quarter of the 192 MiB that are the default of that setting.
 	maxReservedBytes = 48 << 20
 	// maxNames bounds the prepared statements of one session, and its portals.
 	maxNames = 1000
--- a/internal/frontend/extended/portal.go
+++ b/internal/frontend/extended/portal.go
@@ -24,33 +24,33 @@
 func (s *session) handleBind(fields *pg.FieldReader, body []byte) error {
 	name, statementName := fields.Text(), fields.Text()
 	namesSize := len(name) + len(statementName) + 2 // two terminators
-	p, ok := readBindFields(fields)
+	newPortal, ok := readBindFields(fields)
 	if !ok {
 		return pg.ErrMalformed
 	}
 	if name == "" {
 		s.dropPortal("")
 	}
-	p.statement = s.statements[statementName]
-	p.reservedBytes = len(body) + overheadBytes
+	newPortal.statement = s.statements[statementName]
+	newPortal.reservedBytes = len(body) + overheadBytes
 	switch {
-	case p.statement == nil:
+	case newPortal.statement == nil:
 		s.fail(unknownStatement(statementName))
 	case s.portals[name] != nil:
 		s.fail(duplicatePortal(name))
-	case len(s.portals) >= maxNames || !s.reserve(p.reservedBytes):
+	case len(s.portals) >= maxNames || !s.reserve(newPortal.reservedBytes):
 		s.fail(memoryLimitExceeded)
 	default:
-		p.bindFields = append([]byte(nil), body[namesSize:]...)
-		p.copyParameters()
-		s.portals[name] = p
+		newPortal.bindFields = append([]byte(nil), body[namesSize:]...)
+		newPortal.copyParameters()
+		s.portals[name] = newPortal
 		s.output = pg.AppendMessage(s.output, pg.MsgBindComplete)
 	}
 	return nil
 }
 
 // readBindFields reads what follows the names in a Bind message. The parameters of the portal refer to the message.
-func readBindFields(fields *pg.FieldReader) (p *portal, ok bool) {
+func readBindFields(fields *pg.FieldReader) (parsed *portal, ok bool) {
 	formats, ok := readFormatCodes(fields)
 	if !ok {
 		return nil, false
@@ -92,15 +92,16 @@
 	}
 }
 
+// dropPortal removes a portal and releases its memory. An unknown name is ignored.
 func (s *session) dropPortal(name string) {
-	if p := s.portals[name]; p != nil {
-		s.release(p.reservedBytes)
+	if dropped := s.portals[name]; dropped != nil {
+		s.release(dropped.reservedBytes)
 		delete(s.portals, name)
 	}
 }
 
 // bufferAnswer keeps a complete answer in the portal, and sends the rows of the first Execute.
-func (s *session) bufferAnswer(p *portal, answer []byte, maxRows int) {
+func (s *session) bufferAnswer(portal *portal, answer []byte, maxRows int) {
 	for rest := answer; len(rest) > 0; {
 		kind, _, size, err := pg.SplitMessage(rest, pg.MaxMessage)
 		if err != nil || size == 0 {
@@ -108,36 +109,36 @@
 			return
 		}
 		if kind == pg.MsgDataRow {
-			p.bufferedRows = append(p.bufferedRows, rest[:size])
+			portal.bufferedRows = append(portal.bufferedRows, rest[:size])
 		} else {
-			p.lastMessage = rest[:size]
+			portal.lastMessage = rest[:size]
 		}
 		rest = rest[size:]
 	}
 	if !s.reserve(len(answer)) {
-		p.bufferedRows, p.lastMessage = nil, nil
+		portal.bufferedRows, portal.lastMessage = nil, nil
 		s.fail(memoryLimitExceeded)
 		return
 	}
-	p.reservedBytes += len(answer)
-	s.sendBufferedRows(p, maxRows)
+	portal.reservedBytes += len(answer)
+	s.sendBufferedRows(portal, maxRows)
 }
 
 // sendBufferedRows sends up to maxRows rows of a buffered answer, 0 for all. The portal is suspended while some are
 // left.
-func (s *session) sendBufferedRows(p *portal, maxRows int) {
-	count := len(p.bufferedRows)
+func (s *session) sendBufferedRows(portal *portal, maxRows int) {
+	count := len(portal.bufferedRows)
 	if maxRows > 0 {
 		count = min(count, maxRows)
 	}
-	for _, row := range p.bufferedRows[:count] {
+	for _, row := range portal.bufferedRows[:count] {
 		s.output = append(s.output, row...)
 	}
-	p.bufferedRows = p.bufferedRows[count:]
-	if len(p.bufferedRows) > 0 {
+	portal.bufferedRows = portal.bufferedRows[count:]
+	if len(portal.bufferedRows) > 0 {
 		s.output = pg.AppendMessage(s.output, pg.MsgPortalSuspended)
 		return
 	}
-	s.output = append(s.output, p.lastMessage...)
-	p.lastMessage = nil
+	s.output = append(s.output, portal.lastMessage...)
+	portal.lastMessage = nil
 }
--- a/internal/frontend/extended/responder.go
+++ b/internal/frontend/extended/responder.go
@@ -18,7 +18,7 @@
 	s.client.Resume()
 }
 
-// Reject responds that nothing was done, so that the client may retry.
+// Reject responds that there is no answer and that the client may retry safely (see pg.RejectionResponse).
 func (s *session) Reject(retryAfterMs float64) {
 	s.Fail(pg.RejectionResponse(retryAfterMs).AppendTo(nil))
 }
--- a/internal/frontend/extended/scanner.go
+++ b/internal/frontend/extended/scanner.go
@@ -126,10 +126,10 @@
 
 // leadingKeywords returns up to limit words from the start of SQL without comments, in capitals.
 func leadingKeywords(bare string, limit int) []string {
-	words := strings.FieldsFunc(bare, func(c rune) bool { return strings.ContainsRune(" \t\r\n=;", c) })
-	words = words[:min(len(words), limit)]
-	for i := range words {
-		words[i] = strings.ToUpper(words[i])
+	keywords := strings.FieldsFunc(bare, func(c rune) bool { return strings.ContainsRune(" \t\r\n=;", c) })
+	keywords = keywords[:min(len(keywords), limit)]
+	for i := range keywords {
+		keywords[i] = strings.ToUpper(keywords[i])
 	}
-	return words
+	return keywords
 }
--- a/internal/frontend/extended/session.go
+++ b/internal/frontend/extended/session.go
@@ -72,7 +72,7 @@
 		}
 		return
 	}
-	err := s.dispatch(kind, body)
+	err := s.callHandler(kind, body)
 	if len(s.output) > flushAboveBytes {
 		s.flush()
 	}
@@ -82,8 +82,9 @@
 	}
 }
 
-// dispatch calls the handler of a message. The error is pg.ErrMalformed or nil; errors of a statement are responses.
-func (s *session) dispatch(kind byte, body []byte) error {
+// callHandler calls the handler for a message's type. The error is pg.ErrMalformed or nil; errors of a statement are
+// responses.
+func (s *session) callHandler(kind byte, body []byte) error {
 	fields := pg.NewFieldReader(body)
 	switch kind {
 	case pg.MsgQuery:
@@ -112,6 +113,7 @@
 	return nil
 }
 
+// isExtendedQuery reports whether a message type belongs to the extended query protocol, apart from Sync.
 func isExtendedQuery(kind byte) bool {
 	switch kind {
 	case pg.MsgParse, pg.MsgBind, pg.MsgDescribe, pg.MsgExecute, pg.MsgClose, pg.MsgFlush:
@@ -120,6 +122,7 @@
 	return false
 }
 
+// isKnownMessage reports whether a client may send a message type, apart from Sync and Terminate.
 func isKnownMessage(kind byte) bool {
 	switch kind {
 	case pg.MsgQuery, pg.MsgFunctionCall, pg.MsgCopyData, pg.MsgCopyDone, pg.MsgCopyFail:
@@ -128,6 +131,7 @@
 	return isExtendedQuery(kind)
 }
 
+// handleFlush handles Flush, which has no fields.
 func (s *session) handleFlush(fields *pg.FieldReader) error {
 	if !fields.AtEnd() {
 		return pg.ErrMalformed
@@ -173,6 +177,7 @@
 	}
 }
 
+// flush sends the collected output to the client.
 func (s *session) flush() {
 	s.client.Send(s.output)
 	s.output = nil
--- a/internal/frontend/extended/statement.go
+++ b/internal/frontend/extended/statement.go
@@ -23,44 +23,44 @@
 // prepare classifies a statement: empty, answered by the gateway itself, or with the rule that applies to it.
 func (s *session) prepare(text string) (*preparedStatement, *pg.ErrorResponse) {
 	bare, count := scan(text)
-	st := &preparedStatement{text: text, bare: bare, reservedBytes: len(text) + len(bare) + overheadBytes}
+	statement := &preparedStatement{text: text, bare: bare, reservedBytes: len(text) + len(bare) + overheadBytes}
 	if count > 1 {
 		return nil, &multipleStatements
 	}
 	if count == 0 {
-		return st, nil
+		return statement, nil
 	}
-	if rejection := s.prepareLocalCommand(st); rejection != nil || st.localCommand != nil {
-		return st, rejection
+	if rejection := s.prepareLocalCommand(statement); rejection != nil || statement.localCommand != nil {
+		return statement, rejection
 	}
-	if st.rule = s.frontend.Rules.match(bare); st.rule == nil {
+	if statement.rule = s.frontend.Rules.match(bare); statement.rule == nil {
 		return nil, &noMatchingRule
 	}
-	return st, nil
+	return statement, nil
 }
 
 // handleParse handles Parse: statement name, text, parameter types.
 func (s *session) handleParse(fields *pg.FieldReader) error {
 	name, text := fields.Text(), fields.Text()
-	parameterTypes := fields.Bytes(parameterTypeSize * fields.Int16())
+	parameterTypes := fields.Bytes(pg.ParameterTypeSize * fields.Int16())
 	if !fields.AtEnd() {
 		return pg.ErrMalformed
 	}
 	if name == "" {
 		s.dropStatement("")
 	}
-	st, rejection := s.prepare(text)
+	statement, rejection := s.prepare(text)
 	switch {
 	case s.statements[name] != nil:
 		s.fail(duplicateStatement(name))
 	case rejection != nil:
 		s.fail(*rejection)
-	case len(s.statements) >= maxNames || !s.reserve(st.reservedBytes):
+	case len(s.statements) >= maxNames || !s.reserve(statement.reservedBytes):
 		s.fail(memoryLimitExceeded)
 	default:
-		st.parameterTypes = append([]byte(nil), parameterTypes...)
-		st.named = true
-		s.statements[name] = st
+		statement.parameterTypes = append([]byte(nil), parameterTypes...)
+		statement.named = true
+		s.statements[name] = statement
 		s.output = pg.AppendMessage(s.output, pg.MsgParseComplete)
 	}
 	return nil
@@ -68,28 +68,29 @@
 
 // dropStatement removes a statement's name. Portals bound to it stay usable.
 func (s *session) dropStatement(name string) *preparedStatement {
-	st := s.statements[name]
-	if st != nil {
-		st.named = false
-		s.release(st.reservedBytes)
+	statement := s.statements[name]
+	if statement != nil {
+		statement.named = false
+		s.release(statement.reservedBytes)
 		delete(s.statements, name)
 	}
-	return st
+	return statement
 }
 
 // closeStatement removes a statement, and the portals bound to it.
 func (s *session) closeStatement(name string) {
-	st := s.dropStatement(name)
-	if st == nil {
+	statement := s.dropStatement(name)
+	if statement == nil {
 		return
 	}
-	for portalName, p := range s.portals {
-		if p.statement == st {
+	for portalName, bound := range s.portals {
+		if bound.statement == statement {
 			s.dropPortal(portalName)
 		}
 	}
 }
 
+// closeAllStatements removes all statements, and the portals bound to them.
 func (s *session) closeAllStatements() {
 	for name := range s.statements {
 		s.closeStatement(name)
--- a/internal/frontend/platform/command.go
+++ b/internal/frontend/platform/command.go
@@ -19,9 +19,7 @@
 }
 
 // Forwards accepts the messages of a query result.
-func (st *statement) Forwards(kind byte) bool {
-	return kind == pg.MsgRowDescription || kind == pg.MsgDataRow || kind == pg.MsgCommandComplete
-}
+func (st *statement) Forwards(kind byte) bool { return pg.IsQueryResult(kind) }
 
 // CanStream requires that only the RowDescription precedes the row, and that both have one column.
 func (st *statement) CanStream(answer []byte, columns int) bool {
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -50,42 +50,42 @@
 //
 // It rejects what a host would answer with SQLSTATE 08P01 or by closing the connection. It also rejects an ID that is
 // already open: the answers to the two requests could be confused.
-func (f *Frontend) newRequest(st *statement) (proxy.Request, error) {
-	classIndex, classKnown := f.classIndexes[st.class]
-	tenantIndex, tenantKnown := f.tenantIndexes[st.tenant]
+func (f *Frontend) newRequest(parsed *statement) (proxy.Request, error) {
+	classIndex, classKnown := f.classIndexes[parsed.class]
+	tenantIndex, tenantKnown := f.tenantIndexes[parsed.tenant]
 	if !classKnown {
-		return proxy.Request{}, fmt.Errorf("unknown class %q", st.class)
+		return proxy.Request{}, fmt.Errorf("unknown class %q", parsed.class)
 	}
 	if !tenantKnown && len(f.tenantIndexes) > 0 {
-		return proxy.Request{}, fmt.Errorf("unknown tenant %q", st.tenant)
+		return proxy.Request{}, fmt.Errorf("unknown tenant %q", parsed.tenant)
 	}
 	class := f.classes[classIndex]
-	if err := validateClass(class, st); err != nil {
+	if err := validateClass(class, parsed); err != nil {
 		return proxy.Request{}, err
 	}
-	if _, open := f.openRequests[st.id]; open {
-		return proxy.Request{}, fmt.Errorf("a request with the id %q is in hand", st.id)
+	if _, open := f.openRequests[parsed.id]; open {
+		return proxy.Request{}, fmt.Errorf("a request with the id %q is in hand", parsed.id)
 	}
 	request := proxy.Request{
-		Class: classIndex, Tenant: -1, Group: st.group,
-		TimeLeftMs: st.timeLeftMs, ClientRetry: st.clientRetry, Command: st,
+		Class: classIndex, Tenant: -1, Group: parsed.group,
+		TimeLeftMs: parsed.timeLeftMs, ClientRetry: parsed.clientRetry, Command: parsed,
 	}
 	if tenantKnown {
 		request.Tenant = tenantIndex
 	}
 	if class.Consistency == routing.ConsistencyWrite || class.Consistency == routing.ConsistencySession {
-		request.Session = st.key
+		request.Session = parsed.key
 	}
 	return request, nil
 }
 
 // validateClass returns an error when a statement doesn't have the form or the idempotency key that its class needs.
-func validateClass(class routing.Class, st *statement) error {
-	if st.write != (class.Consistency == routing.ConsistencyWrite) {
-		return fmt.Errorf("class %q takes no statement of this form", st.class)
+func validateClass(class routing.Class, parsed *statement) error {
+	if parsed.write != (class.Consistency == routing.ConsistencyWrite) {
+		return fmt.Errorf("class %q takes no statement of this form", parsed.class)
 	}
-	if class.Idempotency == routing.IdempotentWithKey && st.idempotencyKey == "" {
-		return fmt.Errorf("class %q needs the idempotency key k", st.class)
+	if class.Idempotency == routing.IdempotentWithKey && parsed.idempotencyKey == "" {
+		return fmt.Errorf("class %q needs the idempotency key k", parsed.class)
 	}
 	return nil
 }
--- a/internal/frontend/platform/pending_response.go
+++ b/internal/frontend/platform/pending_response.go
@@ -10,7 +10,8 @@
 	_ proxy.Streamer  = (*pendingResponse)(nil)
 )
 
-// pendingResponse is an entry of a session's response queue, and the responder of its request.
+// pendingResponse is an entry of a session's response queue, and the responder of its request. Requests may complete in
+// any order; the entry at the head of the queue is the only one whose body or stream is sent to the client.
 type pendingResponse struct {
 	session   *session
 	statement *statement // nil when the gateway answers without a host
@@ -24,8 +25,9 @@
 	resumeStream func() // asks the core for more of a streamed answer; nil when the answer isn't streamed
 }
 
-// blockedBy reports whether an earlier query has to be answered first. A read sees the writes that its own connection
-// has requested before it.
+// blockedBy reports whether an earlier query has to be answered first, so that queries for one key take effect in the
+// order of their arrival: a read sees the writes that its own connection has requested before it. A response whose body
+// is nil always has a statement.
 func (r *pendingResponse) blockedBy(earlier []*pendingResponse) bool {
 	for _, other := range earlier {
 		if other.body != nil || other.statement.key != r.statement.key {
@@ -100,7 +102,7 @@
 	r.session.advance()
 }
 
-// Reject responds that nothing was done, so that the client may retry.
+// Reject responds that there is no answer and that the client may retry safely (see pg.RejectionResponse).
 func (r *pendingResponse) Reject(retryAfterMs float64) {
 	r.Succeed(pg.RejectionResponse(retryAfterMs).AppendTo(nil))
 }
--- a/internal/frontend/platform/session.go
+++ b/internal/frontend/platform/session.go
@@ -81,6 +81,7 @@
 	s.respond(rejection.AppendTo(nil))
 }
 
+// handleQuery handles a simple query. What needs no host is answered at once; everything else becomes a request.
 func (s *session) handleQuery(body []byte) {
 	fields := pg.NewFieldReader(body)
 	text := fields.Text()
@@ -96,19 +97,19 @@
 		s.respond(pg.AppendReadyForQuery(pg.AppendStrings(nil, pg.MsgCommandComplete, tag)))
 		return
 	}
-	st, err := parseStatement(text)
+	parsed, err := parseStatement(text)
 	if err != nil {
 		s.respondWithError(pg.StateSyntax, err.Error())
 		return
 	}
-	request, err := s.frontend.newRequest(st)
+	request, err := s.frontend.newRequest(parsed)
 	if err != nil {
 		s.respondWithError(pg.StateBadParameter, err.Error())
 		return
 	}
-	response := &pendingResponse{session: s, statement: st, request: request, receivedAtMs: s.frontend.Core.Now()}
+	response := &pendingResponse{session: s, statement: parsed, request: request, receivedAtMs: s.frontend.Core.Now()}
 	response.request.Responder = response
-	s.frontend.openRequests[st.id] = struct{}{}
+	s.frontend.openRequests[parsed.id] = struct{}{}
 	s.enqueue(response)
 }
 
@@ -132,6 +133,7 @@
 	return "", false
 }
 
+// respondWithError enqueues an ErrorResponse and ReadyForQuery.
 func (s *session) respondWithError(sqlstate, text string) {
 	s.respond(pg.AppendReadyForQuery(pg.ErrorResponse{SQLState: sqlstate, Message: text}.AppendTo(nil)))
 }
@@ -141,6 +143,7 @@
 	s.enqueue(&pendingResponse{session: s, body: body})
 }
 
+// enqueue appends a response to the queue. It is sent once it is complete and all earlier ones are sent.
 func (s *session) enqueue(response *pendingResponse) {
 	s.responses = append(s.responses, response)
 	s.advance()
--- a/internal/protocol/pg/answer.go
+++ b/internal/protocol/pg/answer.go
@@ -31,6 +31,12 @@
 	return NewFieldReader(body).Text()
 }
 
+// IsQueryResult reports whether a message type occurs in the result of a simple query with rows: RowDescription,
+// DataRow or CommandComplete.
+func IsQueryResult(kind byte) bool {
+	return kind == MsgRowDescription || kind == MsgDataRow || kind == MsgCommandComplete
+}
+
 // outcomeOf is the outcome of an attempt by the SQLSTATE of its answer, "" for success.
 func outcomeOf(sqlState string) routing.Outcome {
 	switch sqlState {
--- a/internal/protocol/pg/client.go
+++ b/internal/protocol/pg/client.go
@@ -34,19 +34,18 @@
 	halfClosed    bool             // the client sends no more, but may still read
 	livenessTimer *eventloop.Timer // until the next liveness check
 
-	processing        bool    // its messages are being processed by a caller further up
-	sentMessage       bool    // it has sent a message after the startup
-	lastActiveMs      float64 // when a message was last received, or some output acknowledged
-	messageDueSinceMs float64 // since when its first message, or the rest of one, is outstanding; 0 when none is
-	unacknowledged    int     // bytes of output that it had not acknowledged at the last sweep
+	processing   bool    // its messages are being processed by a caller further up
+	sentMessage  bool    // it has sent a message after the startup
+	lastActiveMs float64 // when a message was last received, or some output acknowledged
+	// messageDueSinceMs is since when a message is due: its first one, the rest of an incomplete one, or a complete one
+	// that Session.Accepts delays, e.g. until the answer to an earlier one. 0 when none is due.
+	messageDueSinceMs float64
+	unacknowledged    int // bytes of output that it had not acknowledged at the last sweep
 
 	sendBufferLimited bool // the operating system's send buffer is limited, for streaming
 	partialMessage    bool // the output ends within a message, whose rest will follow
 }
 
-// Draining reports whether the connection ends as soon as it is idle.
-func (c *Client) Draining() bool { return c.pool.draining }
-
 // busy reports whether an answer is outstanding.
 func (c *Client) busy() bool { return c.session != nil && c.session.Busy() }
 
@@ -178,32 +177,17 @@
 			c.closeGracefully()
 			return
 		}
-		if !c.drain() {
+		if !c.pool.draining || !c.closeIfDrained() {
 			return
 		}
 	}
 }
 
-// drain closes the connection when the pool is draining and the client has nothing outstanding. It returns true when a
-// message was received instead, which is processed first.
-func (c *Client) drain() (newInput bool) {
-	if !c.pool.draining || c.session == nil || c.session.InPipeline() {
-		return false
-	}
-	now := c.pool.Loop.Clock.Now()
-	if !c.sentMessage && now < c.lastActiveMs+firstMessageTimeoutMs { // its first request is on the way
-		c.pool.Loop.After(firstMessageTimeoutMs, c.processInput)
-		return false
-	}
+// readMore reads what has arrived by now, and reports whether the unprocessed input has grown.
+func (c *Client) readMore() bool {
 	inputBefore := len(c.conn.In())
 	c.conn.ReadNow()
-	if len(c.conn.In()) > inputBefore {
-		return true
-	}
-	if inputBefore == 0 { // at once: a request that crosses the close isn't read, so that the client may retry it
-		c.close()
-	}
-	return false
+	return len(c.conn.In()) > inputBefore
 }
 
 // processMessage processes one message. It returns false when there is none, or the session doesn't accept it now.
--- a/internal/protocol/pg/client_idle.go
+++ b/internal/protocol/pg/client_idle.go
@@ -13,8 +13,9 @@
 		c.messageDueSinceMs == 0 && len(c.conn.In()) == 0 && c.conn.Pending() == 0
 }
 
-// evictable reports whether the connection may be closed in favor of a new one: its message is overdue, or it has
-// been idle for some time.
+// evictable reports whether the connection is a candidate to be closed in favor of a new one: its message is overdue,
+// or it has been idle for some time. A busy client counts as overdue too while a message waits for the answer to an
+// earlier one, although hasNewInput keeps its connection open.
 func (c *Client) evictable(now, minIdleMs float64) bool {
 	if c.closing {
 		return false
@@ -32,12 +33,12 @@
 	return other.messageDueSinceMs == 0 && c.lastActiveMs < other.lastActiveMs
 }
 
-// hasNewInput reads once more before a connection is closed, and reports whether there was new input. A request
-// that has been read in part counts as accepted, and must not be lost.
+// hasNewInput reads once more before a connection is closed, and reports whether the connection must stay open: its
+// input has grown, its session has started, or an answer is outstanding, whether for new input or from before. A
+// request that has been read in part counts as accepted, and must not be lost.
 func (c *Client) hasNewInput() bool {
-	inputBefore, startedBefore := len(c.conn.In()), c.session != nil
-	c.conn.ReadNow()
-	if len(c.conn.In()) > inputBefore {
+	startedBefore := c.session != nil
+	if c.readMore() {
 		return true
 	}
 	return c.session != nil && (c.session.Busy() || !startedBefore)
--- a/internal/protocol/pg/client_pool.go
+++ b/internal/protocol/pg/client_pool.go
@@ -7,9 +7,10 @@
 const (
 	// sweepIntervalMs is the time between two searches for stalled and idle connections.
 	sweepIntervalMs = 250.0
-	// minIdleMs is how long a connection must be idle to be evicted before the limit is reached.
+	// minIdleMs is how long a connection must be idle to be evicted before MaxClients is reached.
 	minIdleMs = 100.0
-	// earlyEvictionPercent is the share of MaxClients above which a new connection evicts an idle one.
+	// earlyEvictionPercent is the share of MaxClients from which on a new connection evicts another one. It is well
+	// below 100 because idle connections take up sockets of the clients' side too, whose number is limited.
 	earlyEvictionPercent = 40
 	// maxLingering bounds the closing connections that wait for their clients to read the last message.
 	maxLingering = 32
@@ -61,15 +62,17 @@
 // Count is the number of connections.
 func (p *ClientPool) Count() int { return len(p.clients) }
 
-// EvictIdle closes one connection in favor of a new one: the one whose message has been due longest, or else the
-// one that has been idle longest. It returns false when there is none. A connection that has only just been accepted is
-// not closed, because its first message is on the way.
+// EvictIdle closes one connection in favor of a new one: the one whose message has been overdue longest, or else the
+// one that has been idle longest. It returns false when it closes none. A connection that has only just been accepted
+// is not closed, because its first message is on the way.
 //
 // This protects clients against others that open hundreds of connections and send nothing, an incomplete message, or
 // one request only.
 func (p *ClientPool) EvictIdle() bool { return p.evict(0) }
 
-// evict is CloseIdle among the connections that are idle for at least some time.
+// evict is EvictIdle with a minimum idle time in milliseconds; a connection whose message is overdue needs none. Only
+// the first candidate is tried: when hasNewInput keeps its connection open, evict returns false although others may be
+// evictable. A busy client with an overdue message (see evictable) has that effect until its answer is sent.
 func (p *ClientPool) evict(minIdleMs float64) bool {
 	now := p.Loop.Clock.Now()
 	var candidate *Client
--- a/internal/protocol/pg/error_response.go
+++ b/internal/protocol/pg/error_response.go
@@ -6,7 +6,7 @@
 
 // SQLSTATEs, with their condition names.
 const (
-	StateTooManyConnections = "53300" // too_many_connections: rejected, nothing was done
+	StateTooManyConnections = "53300" // too_many_connections
 	StateCannotConnectNow   = "57P03" // cannot_connect_now
 	StateNotSupported       = "0A000" // feature_not_supported
 	StateProtocol           = "08P01" // protocol_violation
@@ -81,8 +81,9 @@
 	}
 }
 
-// RejectionResponse is the response to a request that was not run and may be retried. The detail is the Retry-After
-// hint in whole milliseconds, absent when retryAfterMs is 0.
+// RejectionResponse is the response to a request that was not answered and may be repeated safely. Its text promises
+// that nothing was done, but an idempotent request, or one whose idempotency key all hosts share, may have run. The
+// detail is the Retry-After hint in whole milliseconds, absent when retryAfterMs is 0.
 func RejectionResponse(retryAfterMs float64) ErrorResponse {
 	response := ErrorResponse{
 		SQLState: StateTooManyConnections, Message: "refused, nothing was done; trying again is harmless",
--- a/internal/protocol/pg/health_check.go
+++ b/internal/protocol/pg/health_check.go
@@ -30,9 +30,7 @@
 }
 
 // Forwards accepts the messages of a query result, for ParseLoadReport.
-func (LoadReportQuery) Forwards(kind byte) bool {
-	return kind == MsgRowDescription || kind == MsgDataRow || kind == MsgCommandComplete
-}
+func (LoadReportQuery) Forwards(kind byte) bool { return IsQueryResult(kind) }
 
 // IsComplete requires one row.
 func (LoadReportQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "TDC" }
--- a/internal/protocol/pg/host_conn.go
+++ b/internal/protocol/pg/host_conn.go
@@ -82,6 +82,7 @@
 	}
 }
 
+// processInput processes messages and parts of streamed rows until it has to wait. An error ends the connection.
 func (c *hostConn) processInput() {
 	for c.conn.IsOpen() && (len(c.conn.In()) > 0 || len(c.stream.buffered) > 0) {
 		progress, err := c.processNext()
@@ -114,7 +115,7 @@
 
 // processMessage processes the next message if it is complete.
 func (c *hostConn) processMessage() (progress bool, err error) {
-	maxLength := maxHostMessageSize(c.conn.In()[0])
+	maxLength := maxHostMessageLength(c.conn.In()[0])
 	if maxLength == 0 {
 		return false, errInvalidAnswer
 	}
--- a/internal/protocol/pg/host_dialer.go
+++ b/internal/protocol/pg/host_dialer.go
@@ -30,13 +30,13 @@
 
 // Dial starts a connection to a host. The handler is notified of its progress.
 func (d *HostDialer) Dial(addr string, handler proxy.UpstreamHandler) (proxy.UpstreamConn, error) {
-	c := &hostConn{dialer: d, handler: handler}
+	upstream := &hostConn{dialer: d, handler: handler}
 	var err error
-	if c.conn, err = d.Loop.Dial(addr, maxAnswerBytes, c); err != nil {
+	if upstream.conn, err = d.Loop.Dial(addr, maxAnswerBytes, upstream); err != nil {
 		return nil, err
 	}
-	c.conn.Write(d.startupMessage())
-	return c, nil
+	upstream.conn.Write(d.startupMessage())
+	return upstream, nil
 }
 
 func (d *HostDialer) startupMessage() []byte {
--- a/internal/protocol/pg/host_message.go
+++ b/internal/protocol/pg/host_message.go
@@ -1,27 +1,31 @@
 package pg
 
 const (
-	// maxHostMessageBytes bounds a host's messages other than rows.
-	maxHostMessageBytes = 32 << 10
-	// emptyMessageLength is the length field of a message without a body, plus the one byte of ReadyForQuery.
-	emptyMessageLength = lengthSize + 1
-	// columnDescriptionSize is the size of a column in a RowDescription after its name, in bytes.
-	columnDescriptionSize = 18
-	// parameterTypeSize is the size of a parameter type's OID, in bytes.
-	parameterTypeSize = 4
+	// maxShortMessageLength is the largest length of the messages whose body is empty or, in ReadyForQuery, one byte.
+	maxShortMessageLength = lengthSize + 1
+	// maxNonRowMessageLength is the largest length of other messages from a host, except for rows.
+	maxNonRowMessageLength = 32 << 10
+	// ColumnFieldsSize is the size of a column in a RowDescription after its name, in bytes: five fields and the format
+	// code.
+	ColumnFieldsSize = 18
+	// ParameterTypeSize is the size of a parameter type's OID, in bytes.
+	ParameterTypeSize = 4
 )
 
-// maxHostMessageSize is the largest length of a message from a host, by its type, and 0 for a type that no host sends
-// to a gateway. A length is checked as soon as the header is there, so that the gateway never waits for gigabytes.
-func maxHostMessageSize(kind byte) int {
+// maxHostMessageLength is the largest length field of a message from a host, by the message's type, and 0 for a type
+// that no host sends to a gateway. The length is checked as soon as the header is there, so that the gateway never
+// waits for gigabytes.
+func maxHostMessageLength(kind byte) int {
 	switch kind {
-	case MsgReadyForQuery, MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQueryResponse, MsgPortalSuspended:
-		return emptyMessageLength
+	case MsgReadyForQuery, MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQueryResponse,
+		MsgPortalSuspended:
+		return maxShortMessageLength
 	case MsgDataRow:
 		return MaxMessage
 	case MsgAuthentication, MsgBackendKeyData, MsgNegotiateProtocolVersion, MsgParameterStatus,
-		MsgCommandComplete, MsgErrorResponse, MsgNoticeResponse, MsgNotificationResponse, MsgParameterDescription, MsgRowDescription:
-		return maxHostMessageBytes
+		MsgCommandComplete, MsgErrorResponse, MsgNoticeResponse, MsgNotificationResponse, MsgParameterDescription,
+		MsgRowDescription:
+		return maxNonRowMessageLength
 	}
 	return 0
 }
@@ -47,14 +51,14 @@
 	case MsgRowDescription:
 		for range fields.Int16() {
 			fields.Text()
-			fields.Bytes(columnDescriptionSize)
+			fields.Bytes(ColumnFieldsSize)
 		}
 	case MsgDataRow:
 		for range fields.Int16() {
 			fields.Value()
 		}
 	case MsgParameterDescription:
-		fields.Bytes(parameterTypeSize * fields.Int16())
+		fields.Bytes(ParameterTypeSize * fields.Int16())
 	case MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQueryResponse, MsgPortalSuspended:
 	default:
 		return true
--- a/internal/protocol/pg/host_message_test.go
+++ b/internal/protocol/pg/host_message_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	for _, kind := range []byte("x?q\x00QPF") {
-		if maxHostMessageSize(kind) != 0 {
+		if maxHostMessageLength(kind) != 0 {
 			t.Errorf("%q is taken from a host", kind)
 		}
 	}
--- a/internal/protocol/pg/message.go
+++ b/internal/protocol/pg/message.go
@@ -14,7 +14,7 @@
 	MsgCopyDone     = 'c'
 	MsgCopyFail     = 'f'
 	MsgDescribe     = 'D'
-	MsgTerminate    = 'X' // Terminate
+	MsgTerminate    = 'X'
 	MsgExecute      = 'E'
 	MsgFlush        = 'H'
 	MsgFunctionCall = 'F'
@@ -23,26 +23,26 @@
 	MsgSync         = 'S'
 )
 
-// Types of messages from hosts.
+// Types of messages from hosts, named likewise.
 const (
 	MsgAuthentication           = 'R'
 	MsgBackendKeyData           = 'K'
 	MsgBindComplete             = '2'
 	MsgCloseComplete            = '3'
-	MsgCommandComplete          = 'C' // CommandComplete
+	MsgCommandComplete          = 'C'
 	MsgDataRow                  = 'D'
-	MsgEmptyQueryResponse       = 'I' // EmptyQueryResponse
-	MsgErrorResponse            = 'E' // ErrorResponse
-	MsgNegotiateProtocolVersion = 'v' // NegotiateProtocolVersion
+	MsgEmptyQueryResponse       = 'I'
+	MsgErrorResponse            = 'E'
+	MsgNegotiateProtocolVersion = 'v'
 	MsgNoData                   = 'n'
-	MsgNoticeResponse           = 'N' // NoticeResponse
-	MsgNotificationResponse     = 'A' // NotificationResponse
-	MsgParameterDescription     = 't' // ParameterDescription
+	MsgNoticeResponse           = 'N'
+	MsgNotificationResponse     = 'A'
+	MsgParameterDescription     = 't'
 	MsgParameterStatus          = 'S'
 	MsgParseComplete            = '1'
-	MsgReadyForQuery            = 'Z' // ReadyForQuery
+	MsgReadyForQuery            = 'Z'
 	MsgRowDescription           = 'T'
-	MsgPortalSuspended          = 's' // PortalSuspended
+	MsgPortalSuspended          = 's'
 )
 
 // MaxMessage bounds a message in either direction, in bytes. It holds a value of 64 KiB as hexadecimal text.
--- a/internal/protocol/simulator/decoder.go
+++ b/internal/protocol/simulator/decoder.go
@@ -106,12 +106,12 @@
 	if err != nil {
 		return nil, err
 	}
-	f := newFields(line)
-	if f.value() != "begin_batch" {
+	values := newFields(line)
+	if values.value() != "begin_batch" {
 		return nil, d.lines.fault(errNoBatch)
 	}
-	batch := &Batch{Clock: f.milliseconds()}
-	if err := f.end(); err != nil {
+	batch := &Batch{Clock: values.milliseconds()}
+	if err := values.end(); err != nil {
 		return nil, d.lines.fault(err)
 	}
 	d.current = noInstance
@@ -120,31 +120,31 @@
 
 // decodeMessage decodes one line of a batch, and the lines of a sheet. It returns nil for a line that is no message to
 // an instance.
-func (d *Decoder) decodeMessage(f *fields) (*Message, error) {
-	name := f.value()
+func (d *Decoder) decodeMessage(values *fields) (*Message, error) {
+	name := values.value()
 	switch name {
 	case "switch_to":
-		d.current = f.integer(math.MaxInt32)
-		return nil, f.end()
+		d.current = values.integer(math.MaxInt32)
+		return nil, values.end()
 	case "sheet":
-		return nil, d.decodeSheet(f)
+		return nil, d.decodeSheet(values)
 	case "create":
-		return d.decodeCreate(f)
+		return d.decodeCreate(values)
 	}
 	decodeEvent, known := eventDecoders[name]
 	if !known && name != "kill" {
 		return nil, fmt.Errorf("unknown message %q", name)
 	}
-	in := d.instances[d.current]
-	if in == nil {
+	target := d.instances[d.current]
+	if target == nil {
 		return nil, fmt.Errorf("%s: instance %d was not created", name, d.current)
 	}
 	if name == "kill" {
 		delete(d.instances, d.current)
-		return &Message{Kill: true}, f.end()
+		return &Message{Kill: true}, values.end()
 	}
-	event := decodeEvent(d, in, f)
-	if err := f.end(); err != nil {
+	event := decodeEvent(d, target, values)
+	if err := values.end(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if event == nil {
@@ -153,10 +153,10 @@
 	return &Message{Event: event}, nil
 }
 
-func (d *Decoder) decodeCreate(f *fields) (*Message, error) {
-	create := &Create{Seed: f.unsigned()}
-	text := f.rest()
-	if err := f.end(); err != nil {
+func (d *Decoder) decodeCreate(values *fields) (*Message, error) {
+	create := &Create{Seed: values.unsigned()}
+	text := values.rest()
+	if err := values.end(); err != nil {
 		return nil, fmt.Errorf("create: %w", err)
 	}
 	if d.current == noInstance {
@@ -171,12 +171,12 @@
 }
 
 func newInstance(settings routing.Settings) *instance {
-	in := &instance{classIndexes: map[string]int{}, tenantIndexes: map[string]int{}}
+	created := &instance{classIndexes: map[string]int{}, tenantIndexes: map[string]int{}}
 	for i, class := range settings.Classes {
-		in.classIndexes[class.Name] = i
+		created.classIndexes[class.Name] = i
 	}
 	for i, tenant := range settings.Tenants {
-		in.tenantIndexes[tenant.Name] = i
+		created.tenantIndexes[tenant.Name] = i
 	}
-	return in
+	return created
 }
--- a/internal/protocol/simulator/encoder.go
+++ b/internal/protocol/simulator/encoder.go
@@ -68,7 +68,7 @@
 // encodeAction returns the values of an action's line.
 func encodeAction(action routing.Action) []string {
 	switch action := action.(type) {
-	case routing.Attempt:
+	case routing.Attempt: // package routing leaves GiveUpAt at 0: the attempt ends when the client gives up
 		return []string{"attempt", encodeID(action.Request), action.Host, encodeMilliseconds(action.GiveUpAt)}
 	case routing.CancelAttempt:
 		return []string{"drop_attempt", encodeID(action.Request), strconv.Itoa(action.Attempt)}
--- a/internal/protocol/simulator/event.go
+++ b/internal/protocol/simulator/event.go
@@ -51,33 +51,33 @@
 	"datagram":            skipDatagram,
 }
 
-func decodeEndpointUpdate(d *Decoder, _ *instance, f *fields) routing.Event {
-	f.unsigned() // revision
-	slot := f.optional()
-	scope := f.integer(maxScope)
+func decodeEndpointUpdate(d *Decoder, _ *instance, values *fields) routing.Event {
+	values.unsigned() // revision
+	slot := values.optional()
+	scope := values.integer(maxScope)
 	if scope == scopeFailed {
 		return routing.EndpointUpdate{Failed: true}
 	}
 	endpoints, err := d.sheets.lookup(slot)
 	if err != nil {
-		f.fail(err)
+		values.fail(err)
 		return nil
 	}
 	return routing.EndpointUpdate{Full: scope == scopeFull || scope == scopeCached, Endpoints: endpoints}
 }
 
-func decodeRequest(_ *Decoder, in *instance, f *fields) routing.Event {
-	request := routing.Request{ID: f.requestID(), Tenant: -1}
-	if tenant := f.optional(); tenant != "" && tenant != noTenant {
-		request.Tenant = f.lookup(in.tenantIndexes, "tenant", tenant)
+func decodeRequest(_ *Decoder, target *instance, values *fields) routing.Event {
+	request := routing.Request{ID: values.requestID(), Tenant: -1}
+	if tenant := values.optional(); tenant != "" && tenant != noTenant {
+		request.Tenant = values.lookup(target.tenantIndexes, "tenant", tenant)
 	}
-	request.Class = f.lookup(in.classIndexes, "class", f.text())
-	request.Group = f.integer(math.MaxInt32)
-	f.milliseconds() // the expected cost, which routing doesn't use
-	request.SinceLastWrite = f.milliseconds()
-	request.Session = f.optional()
-	request.TimeLeft = f.milliseconds()
-	request.ClientRetry = f.integer(math.MaxInt32)&clientRetryAttribute != 0
+	request.Class = values.lookup(target.classIndexes, "class", values.text())
+	request.Group = values.integer(math.MaxInt32)
+	values.milliseconds() // the expected cost, which routing doesn't use
+	request.SinceLastWrite = values.milliseconds()
+	request.Session = values.optional()
+	request.TimeLeft = values.milliseconds()
+	request.ClientRetry = values.integer(math.MaxInt32)&clientRetryAttribute != 0
 	return request
 }
 
@@ -90,20 +90,20 @@
 	return index
 }
 
-func decodeAttemptResult(_ *Decoder, _ *instance, f *fields) routing.Event {
-	result := routing.AttemptResult{Request: f.requestID()}
-	result.Attempt = f.integer(math.MaxInt32)
-	result.Host = f.text()
-	result.Outcome = f.outcome()
-	f.milliseconds() // time since the attempt
-	result.RequestDone = f.flag()
-	mark := f.number()
+func decodeAttemptResult(_ *Decoder, _ *instance, values *fields) routing.Event {
+	result := routing.AttemptResult{Request: values.requestID()}
+	result.Attempt = values.integer(math.MaxInt32)
+	result.Host = values.text()
+	result.Outcome = values.outcome()
+	values.milliseconds() // time since the attempt
+	result.RequestDone = values.flag()
+	mark := values.number()
 	if mark < 0 {
-		f.fail(errNegativeResultMark)
+		values.fail(errNegativeResultMark)
 		return nil
 	}
 	result.Role, result.Position = splitMark(int64(mark))
-	f.loadReport()
+	values.loadReport()
 	return result
 }
 
@@ -119,11 +119,11 @@
 	return routing.RoleUnknown, position
 }
 
-func decodeHealthCheckResult(_ *Decoder, _ *instance, f *fields) routing.Event {
-	f.milliseconds() // time since the health check
-	result := routing.HealthCheckResult{Host: f.text()}
-	result.Outcome = f.outcome()
-	report := f.loadReport()
+func decodeHealthCheckResult(_ *Decoder, _ *instance, values *fields) routing.Event {
+	values.milliseconds() // time since the health check
+	result := routing.HealthCheckResult{Host: values.text()}
+	result.Outcome = values.outcome()
+	report := values.loadReport()
 	if seconds, ok := report[reportPosition]; ok {
 		result.Position = max(0, time.Duration(math.Floor(seconds*1e6))*time.Microsecond)
 	}
@@ -136,26 +136,26 @@
 	return result
 }
 
-func decodeStreamStarted(_ *Decoder, _ *instance, f *fields) routing.Event {
-	event := routing.StreamStarted{Request: f.requestID()}
-	f.milliseconds()         // time since the attempt
-	f.text()                 // host
-	f.integer(math.MaxInt32) // attempt
+func decodeStreamStarted(_ *Decoder, _ *instance, values *fields) routing.Event {
+	event := routing.StreamStarted{Request: values.requestID()}
+	values.milliseconds()         // time since the attempt
+	values.text()                 // host
+	values.integer(math.MaxInt32) // attempt
 	return event
 }
 
-func decodeClientGone(_ *Decoder, _ *instance, f *fields) routing.Event {
-	return routing.ClientGone{Request: f.requestID()}
+func decodeClientGone(_ *Decoder, _ *instance, values *fields) routing.Event {
+	return routing.ClientGone{Request: values.requestID()}
 }
 
-func decodeTimerFired(_ *Decoder, _ *instance, f *fields) routing.Event {
-	f.unsigned() // the timer's mark: an instance has one timer
+func decodeTimerFired(_ *Decoder, _ *instance, values *fields) routing.Event {
+	values.unsigned() // the timer's mark: an instance has one timer
 	return routing.TimerFired{}
 }
 
 // skipDatagram skips a message of another gateway. The simulated gateways exchange none.
-func skipDatagram(_ *Decoder, _ *instance, f *fields) routing.Event {
-	f.unsigned()
-	f.optional()
+func skipDatagram(_ *Decoder, _ *instance, values *fields) routing.Event {
+	values.unsigned()
+	values.optional()
 	return nil
 }
--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -59,25 +59,28 @@
 // error is one line that names the key: a *SettingError, *MissingSettingsError, ErrClassListLength or an error of
 // package json.
 func DecodeSettings(text string) (routing.Settings, error) {
-	var p profile
+	var source profile
 	var settings routing.Settings
-	if err := json.Unmarshal([]byte(text), &p); err != nil {
+	if err := json.Unmarshal([]byte(text), &source); err != nil {
 		return settings, fmt.Errorf("settings: %w", err)
 	}
-	if missing := p.missingKeys(); len(missing) > 0 {
+	if missing := source.missingKeys(); len(missing) > 0 {
 		return settings, &MissingSettingsError{Keys: missing}
 	}
-	if len(p.Consistency.Levels) != len(p.Classes) || len(p.Consistency.MaxStalenessMs) != len(p.Classes) {
+	classCount := len(source.Classes)
+	if len(source.Consistency.Levels) != classCount || len(source.Consistency.MaxStalenessMs) != classCount {
 		return settings, ErrClassListLength
 	}
-	for _, decode := range []func(*routing.Settings) error{p.decodeModes, p.decodeClasses, p.decodeTenants} {
+	for _, decode := range []func(*routing.Settings) error{
+		source.decodeModes, source.decodeClasses, source.decodeTenants,
+	} {
 		if err := decode(&settings); err != nil {
 			return settings, err
 		}
 	}
-	p.copyGateway(&settings)
-	p.copyPermissions(&settings)
-	p.copyRules(&settings)
+	source.copyGateway(&settings)
+	source.copyPermissions(&settings)
+	source.copyRules(&settings)
 	return settings, nil
 }
 
--- a/internal/protocol/simulator/sheet.go
+++ b/internal/protocol/simulator/sheet.go
@@ -35,10 +35,10 @@
 }
 
 // decodeSheet decodes a sheet line and its member lines.
-func (d *Decoder) decodeSheet(f *fields) error {
-	slot := f.integer(sheetSlots - 1)
-	count := f.integer(math.MaxInt32)
-	if err := f.end(); err != nil {
+func (d *Decoder) decodeSheet(values *fields) error {
+	slot := values.integer(sheetSlots - 1)
+	count := values.integer(math.MaxInt32)
+	if err := values.end(); err != nil {
 		return fmt.Errorf("sheet: %w", err)
 	}
 	var endpoints []routing.Endpoint
@@ -61,19 +61,19 @@
 	return nil
 }
 
-func decodeMember(f *fields) (routing.Endpoint, error) {
-	if name := f.value(); name != "member" {
+func decodeMember(values *fields) (routing.Endpoint, error) {
+	if name := values.value(); name != "member" {
 		return routing.Endpoint{}, fmt.Errorf("sheet: expected member, not %q", name)
 	}
-	endpoint := routing.Endpoint{ID: f.text()}
-	endpoint.Zone = f.value()
-	f.value() // kind of machine
-	endpoint.Primary = f.optional() == "1"
-	endpoint.Group = f.integer(math.MaxInt32)
-	endpoint.State = endpointStates[f.integer(len(endpointStates)-1)]
-	f.value() // weight
-	endpoint.StartedAt = f.milliseconds()
-	if err := f.end(); err != nil {
+	endpoint := routing.Endpoint{ID: values.text()}
+	endpoint.Zone = values.value()
+	values.value() // kind of machine
+	endpoint.Primary = values.optional() == "1"
+	endpoint.Group = values.integer(math.MaxInt32)
+	endpoint.State = endpointStates[values.integer(len(endpointStates)-1)]
+	values.value() // weight
+	endpoint.StartedAt = values.milliseconds()
+	if err := values.end(); err != nil {
 		return routing.Endpoint{}, fmt.Errorf("member: %w", err)
 	}
 	return endpoint, nil
