--- a/internal/frontend/extended/local_command.go
+++ b/internal/frontend/extended/local_command.go
@@ -12,10 +12,13 @@
 // ignoredSettings are the settings that drivers change on their own, and that change nothing here.
 var ignoredSettings = map[string]bool{"APPLICATION_NAME": true, "EXTRA_FLOAT_DIGITS": true}
 
+// maxCommandKeywords is how many keywords identify a local command, as in SET name value.
+const maxCommandKeywords = 3
+
 // prepareLocalCommand sets the local command of a statement that the gateway answers itself. It rejects statements
 // whose effect would be tied to one connection to a host.
 func (s *session) prepareLocalCommand(statement *preparedStatement) *pg.ErrorResponse {
-	keywords := leadingKeywords(statement.bare, 3)
+	keywords := leadingKeywords(statement.bare, maxCommandKeywords)
 	switch keywords[0] {
 	case "BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT", "SAVEPOINT", "RELEASE":
 		return &transactionsNotSupported
@@ -43,7 +46,7 @@
 
 // isIgnoredSetting reports whether a SET changes nothing here: an ignored setting, or the client encoding UTF8.
 func isIgnoredSetting(keywords []string, bare string) bool {
-	if len(keywords) < 3 {
+	if len(keywords) < maxCommandKeywords {
 		return false
 	}
 	utf8 := keywords[1] == "CLIENT_ENCODING" && strings.Contains(strings.ToUpper(bare), "UTF8")
--- a/internal/protocol/pg/host_dialer.go
+++ b/internal/protocol/pg/host_dialer.go
@@ -1,6 +1,8 @@
 package pg
 
 import (
+	"encoding/binary"
+
 	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
@@ -39,9 +41,10 @@
 	return upstream, nil
 }
 
+// startupMessage is the startup message to a host.
 func (d *HostDialer) startupMessage() []byte {
 	buf, mark := BeginMessage(nil, 0)
-	buf = append(buf, 0, 3, 0, 0) // the protocol's version
+	buf = binary.BigEndian.AppendUint32(buf, Version3)
 	for _, text := range []string{"user", d.User, "database", d.Database, ""} {
 		buf = appendString(buf, text)
 	}
--- a/internal/protocol/pg/host_message.go
+++ b/internal/protocol/pg/host_message.go
@@ -66,7 +66,7 @@
 	return fields.AtEnd()
 }
 
-// isTransactionStatus reports whether a byte is a status of ReadyForQuery: idle, in a transaction, in a failed one.
+// isTransactionStatus reports whether a byte is a transaction status of ReadyForQuery.
 func isTransactionStatus(status byte) bool {
-	return status == transactionIdle || status == 'T' || status == 'E'
+	return status == transactionIdle || status == transactionOpen || status == transactionFailed
 }
--- a/internal/protocol/pg/message.go
+++ b/internal/protocol/pg/message.go
@@ -53,8 +53,12 @@
 	headerSize = 1 + lengthSize // type and length
 )
 
-// transactionIdle is the transaction status in a ReadyForQuery message outside a transaction block.
-const transactionIdle = 'I'
+// Transaction statuses in a ReadyForQuery message.
+const (
+	transactionIdle   = 'I' // outside a transaction block
+	transactionOpen   = 'T'
+	transactionFailed = 'E' // in a transaction block whose further statements are rejected
+)
 
 // SplitMessage splits the first message off buf: its type, its body and its size with the header. The size is 0 while
 // the message is incomplete. A length over maxLength is ErrTooLarge, an impossible one ErrMalformed.
