--- a/membership/member.go
+++ b/membership/member.go
@@ -17,6 +17,18 @@
 	inProbeRound      bool       // in View.probeRound
 }
 
+// memberTable holds all members that are known.
+type memberTable struct {
+	members  map[ID]*member    // this member included
+	live     []*member         // Alive, Suspect and Unreachable without this member, in no order
+	dead     []*member         // in no order
+	left     []*member         // in no order
+	suspects []*member         // in the order in which they were accused
+	counts   [Left + 1]int     // by state, without this member
+	zones    map[string]string // interned
+	reapAt   float64
+}
+
 // rumor is a rumor about the member in a state.
 func (m *member) rumor(state State) Rumor {
 	return Rumor{Subject: m.id, BootTag: uint32(m.BootID), Incarnation: m.Incarnation, State: state}
@@ -114,7 +126,7 @@
 	v.actions = append(v.actions, MemberChanged{Member: m.Member, Old: old, New: state, Cause: cause})
 }
 
-// updateFromRecord takes everything but state and incarnation from a record.
+// updateFromRecord copies everything but state and incarnation from a record.
 func (v *View) updateFromRecord(m *member, r *Record) {
 	if m.State.isLive() {
 		v.toggleDigest(m)
@@ -148,7 +160,7 @@
 		}
 		v.removeFromList(m) // which puts another member at i
 		delete(v.members, m.id)
-		v.actions = append(v.actions, MemberChanged{Member: m.Member, Old: m.State, Cause: "forgotten"})
+		v.actions = append(v.actions, MemberChanged{Member: m.Member, Old: m.State, Cause: causeForgotten})
 	}
 }
 
