--- a/internal/protocol/pg/client_idle.go
+++ b/internal/protocol/pg/client_idle.go
@@ -35,7 +35,8 @@
 
 // hasNewInput reads once more before a connection is closed, and reports whether the connection must stay open: its
 // input has grown, its session has started, or an answer is outstanding, whether for new input or from before. A
-// request that has been read in part counts as accepted, and must not be lost.
+// request that has been read in part counts as accepted, and must not be lost. A message that the session has handled
+// at once during this call doesn't count.
 func (c *Client) hasNewInput() bool {
 	startedBefore := c.session != nil
 	if c.readMore() {
--- a/internal/protocol/pg/client_pool.go
+++ b/internal/protocol/pg/client_pool.go
@@ -7,8 +7,8 @@
 const (
 	// sweepIntervalMs is the time between two searches for stalled and idle connections.
 	sweepIntervalMs = 250.0
-	// minIdleMs is how long a connection must be idle to be evicted before MaxClients is reached.
-	minIdleMs = 100.0
+	// earlyEvictionMinIdleMs is how long a connection must be idle to be evicted before MaxClients is reached.
+	earlyEvictionMinIdleMs = 100.0
 	// earlyEvictionPercent is the share of MaxClients from which on a new connection evicts another one. It is well
 	// below 100 because idle connections take up sockets of the clients' side too, whose number is limited.
 	earlyEvictionPercent = 40
@@ -56,7 +56,7 @@
 	if open < p.MaxClients*earlyEvictionPercent/100 {
 		return true
 	}
-	return p.evict(minIdleMs) || open < p.MaxClients || p.EvictIdle()
+	return p.evict(earlyEvictionMinIdleMs) || open < p.MaxClients || p.EvictIdle()
 }
 
 // Count is the number of connections.
--- a/internal/protocol/pg/client_pool_test.go
+++ b/internal/protocol/pg/client_pool_test.go
@@ -102,7 +102,7 @@
 	for range earlyEvictionPercent {
 		startSession(h.accept())
 	}
-	h.now += minIdleMs
+	h.now += earlyEvictionMinIdleMs
 	if n := len(h.clients) - h.closingCount; h.accept() == nil || len(h.clients)-h.closingCount > n {
 		t.Errorf("%d connections, and no idle one was evicted", n)
 	}
--- a/internal/protocol/pg/field_reader.go
+++ b/internal/protocol/pg/field_reader.go
@@ -43,7 +43,7 @@
 	return 0
 }
 
-// Int16 reads a 16-bit count, which is unsigned.
+// Int16 reads a 16-bit count or format code, as an unsigned integer.
 func (f *FieldReader) Int16() int {
 	if field := f.Bytes(2); field != nil {
 		return int(binary.BigEndian.Uint16(field))
