--- a/internal/protocol/pg/host_dialer.go
+++ b/internal/protocol/pg/host_dialer.go
@@ -1,6 +1,8 @@
 package pg
 
 import (
+	"encoding/binary"
+
 	"merlinjunction/internal/eventloop"
 	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
@@ -30,18 +32,19 @@
 
 // Dial starts a connection to a host. The handler is notified of its progress.
 func (d *HostDialer) Dial(addr string, handler proxy.UpstreamHandler) (proxy.UpstreamConn, error) {
-	c := &hostConn{dialer: d, handler: handler}
+	upstream := &hostConn{dialer: d, handler: handler}
 	var err error
-	if c.conn, err = d.Loop.Dial(addr, maxAnswerBytes, c); err != nil {
+	if upstream.conn, err = d.Loop.Dial(addr, maxAnswerBytes, upstream); err != nil {
 		return nil, err
 	}
-	c.conn.Write(d.startupMessage())
-	return c, nil
+	upstream.conn.Write(d.startupMessage())
+	return upstream, nil
 }
 
+// startupMessage is the startup message to a host.
 func (d *HostDialer) startupMessage() []byte {
 	buf, mark := BeginMessage(nil, 0)
-	buf = append(buf, 0, 3, 0, 0) // the protocol's version
+	buf = binary.BigEndian.AppendUint32(buf, Version3)
 	for _, text := range []string{"user", d.User, "database", d.Database, ""} {
 		buf = appendString(buf, text)
 	}
