--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -105,7 +105,7 @@
 		}
 		startMs := l.Clock.Now()
 		l.runNextRound()
-		l.dispatch(events[:max(count, 0)])
+		l.handleEvents(events[:max(count, 0)])
 		l.Fire()
 		step()
 		if elapsedMs := l.Clock.Now() - startMs; elapsedMs > delayThresholdMs && l.OnDelay != nil {
@@ -125,7 +125,7 @@
 }
 
 // dispatch passes events to the watchers of their descriptors, except where a descriptor was closed meanwhile.
-func (l *Loop) dispatch(events []unix.EpollEvent) {
+func (l *Loop) handleEvents(events []unix.EpollEvent) {
 	for _, event := range events {
 		r, ok := l.registrations[event.Fd]
 		if ok && r.generation == event.Pad {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -5,17 +5,18 @@
 	"merlinjunction/routing"
 )
 
-// minSendTimeLeftMs is the least time that an answer must have left for its command to be sent.
+// minSendTimeLeftMs is the least time that an answer must have left for its command to be sent: with less, the command
+// would take up the host for an answer that comes after the client has given up.
 const minSendTimeLeftMs = 1.0
 
 // hostAttempt is one sending of a command to a host: of a request, or a health check where request is nil.
 type hostAttempt struct {
 	request      *request
-	number       int // among the request's attempts, from 0
+	number       int // among the request's attempts, from 0; the router counts the same way, see routing.CancelAttempt
 	host         *host
 	conn         *pooledConn // nil while it waits for one
 	sendBeforeMs float64     // it is not sent at or after this time; 0: there is no such time
-	written      bool        // the last byte of the command was handed to the system: it may run
+	written      bool        // RequestWritten was called for it: it may run, whatever becomes of the connection
 	ended        bool
 	timer        *eventloop.Timer // aborts it
 }
@@ -44,7 +45,7 @@
 	if attempt.sendBeforeMs > 0 {
 		c.timers.At(attempt.sendBeforeMs, func() { c.abortUnwritten(attempt) })
 	}
-	c.dispatch(attempt)
+	c.assignConn(attempt)
 }
 
 // cancelAttempt aborts an attempt that the router needs no more.
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -29,7 +29,7 @@
 	parseLoadReport    func(body []byte) (role routing.Role, positionMs float64, ok bool)
 
 	events     []routing.Event // since the last Step
-	timerFired bool            // a timer that the router asked for has fired since the last Step
+	timerFired bool            // a timer of scheduleStep has fired since the last Step
 	stepping   bool            // the actions of a Step are being carried out
 
 	requests        map[uint64]*request
@@ -42,8 +42,8 @@
 	exclusions map[string]float64 // hosts excluded by hand, and since when
 	schedule   fleet.SlotSchedule // this gateway's slot among those that share the hosts
 
-	replyCounts []ReplyCounts // by class
-	dispatches  int           // attempts whose last byte was written
+	replyCounts     []ReplyCounts // by class
+	writtenAttempts int           // attempts whose last byte was written
 }
 
 // New returns a Core, which starts its timers at once. healthCheckCommand asks a host for its load report, and
@@ -80,10 +80,11 @@
 // Now returns the time in milliseconds.
 func (c *Core) Now() float64 { return c.timers.Clock.Now() }
 
-// Ready returns whether requests can be served: some host is in use and its last connection attempt didn't fail.
+// Ready returns whether requests can be served: some host is eligible and the last connection attempt to it didn't
+// fail. A host that was never dialed counts as reachable.
 func (c *Core) Ready() bool {
 	for _, h := range c.hosts {
-		if h.inUse() && !h.connectFailed {
+		if h.isEligible() && !h.connectFailed {
 			return true
 		}
 	}
@@ -145,14 +146,16 @@
 		c.sendHealthCheck(action.Host)
 	case routing.SetTimer:
 		c.scheduleStep(toMs(action.After))
+	case routing.SubscribeEndpoints: // nothing to do: the owner of the Core follows the endpoint list from the start
 	case routing.Log:
 		c.log.Info("routing decision", zap.String("decision", action.Text), zap.Int("group", action.Group),
 			zap.String("host", action.Host))
 	}
 }
 
-// scheduleStep makes a Step due after some milliseconds. Timers that were set before stay; the router ignores those
-// that it doesn't need any more.
+// scheduleStep makes a Step due after some milliseconds, at a SetTimer action or for events that came up during a Step;
+// the router gets a TimerFired event for either. Timers that were set before stay; the router ignores those that it
+// doesn't need any more.
 func (c *Core) scheduleStep(afterMs float64) {
 	c.timers.After(afterMs, func() { c.timerFired = true })
 }
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -10,8 +10,12 @@
 //
 // Ownership:
 //   - The Core owns each request from Submit until its final answer, and the record of it until no attempt is open.
-//   - A host owns its upstream connections (pooledConn) and the queue of attempts that wait for one.
-//   - An attempt owns at most one upstream connection, from the time it is sent until its result.
+//   - A host holds the queue of attempts that wait for a connection, and its upstream connections (pooledConn) while no
+//     command is on them: in the list dialing until they are established, and in the list idle between two commands.
+//   - While an attempt or a health check runs on a connection, only its hostAttempt refers to it (hostAttempt.conn) and
+//     it is in no list. An attempt has at most one connection, from the time it is sent until its result.
+//   - The Core counts all connections (openConns). Only pooledConn.close takes one out of the pool: at the connect
+//     timeout, while it is idle, at the abort of the attempt on it, or after its host has ended it.
 //
 // Invariants:
 //   - A request gets at most one final answer, and has at most one open attempt.
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -26,7 +26,7 @@
 			h.State = routing.StateGone
 			h.applyListedState(notifiedAtMs)
 		}
-		if h.State == routing.StateGone && h.isUnused() {
+		if h.State == routing.StateGone && h.isRemovable() {
 			delete(c.hosts, h.ID)
 		}
 	}
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -9,7 +9,7 @@
 	healthCheckGapMs = 10.0
 )
 
-// checkAllHosts asks all hosts in use for their roles, and again after an interval that grows with the number of
+// checkAllHosts asks all eligible hosts for their roles, and again after an interval that grows with the number of
 // gateways. The router looks for an unknown primary by sending writes; without these health checks a group that only
 // gets reads would have no known primary, and all reads that need it would be rejected.
 func (c *Core) checkAllHosts() {
@@ -17,7 +17,7 @@
 		return
 	}
 	for _, h := range c.sortedHosts() {
-		c.checkIfInUse(h)
+		c.checkIfEligible(h)
 	}
 	c.timers.After(c.schedule.Interval(c.limits.HealthCheckIntervalMs, healthCheckGapMs), c.checkAllHosts)
 }
@@ -25,14 +25,14 @@
 // checkNewHost asks a host that was added to the endpoint list for its role.
 func (c *Core) checkNewHost(h *host) {
 	if c.healthChecksEnabled() {
-		c.checkIfInUse(h)
+		c.checkIfEligible(h)
 	}
 }
 
 func (c *Core) healthChecksEnabled() bool { return c.limits.HealthCheckIntervalMs > 0 }
 
-func (c *Core) checkIfInUse(h *host) {
-	if h.inUse() {
+func (c *Core) checkIfEligible(h *host) {
+	if h.isEligible() {
 		c.sendHealthCheck(h.ID)
 	}
 }
@@ -46,7 +46,7 @@
 	}
 	attempt := &hostAttempt{host: h}
 	attempt.timer = c.timers.After(healthCheckTimeoutMs, func() { c.abortAttempt(attempt, routing.OutcomeTimeout) })
-	c.dispatch(attempt)
+	c.assignConn(attempt)
 }
 
 // finishHealthCheck passes the result of a health check to the router.
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -15,7 +15,7 @@
 }
 
 // host is a database host with its upstream connections and the attempts that wait for one. A connection is in idle,
-// in dialing, or carries an attempt; for an exception see dispatch.
+// in dialing, or carries an attempt; for an exception see assignConn.
 type host struct {
 	Host
 	core            *Core
@@ -26,14 +26,15 @@
 	connectFailed   bool           // the last connection to it was not established
 }
 
-// inUse returns whether the host is listed as ready and not excluded by hand.
-func (h *host) inUse() bool {
+// isEligible returns whether the host is listed as ready and not excluded by hand.
+func (h *host) isEligible() bool {
 	_, excluded := h.core.exclusions[h.ID]
 	return h.State == routing.StateReady && !excluded
 }
 
-// isUnused returns whether the host has no attempt and no connection.
-func (h *host) isUnused() bool {
+// isRemovable returns whether the host has no open attempt of a request and no connection that is idle or being dialed.
+// A health check in flight is in no list and belongs to no request, so it doesn't keep the host.
+func (h *host) isRemovable() bool {
 	if len(h.idle)+len(h.dialing)+len(h.waiting) > 0 {
 		return false
 	}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -24,12 +24,13 @@
 // errConnectionLimit means that Limits.MaxConns is reached and no connection is idle.
 var errConnectionLimit = errors.New("all connections to hosts are in use")
 
-// dispatch sends an attempt on an idle connection, or lets it wait for the next one that is free.
+// assignConn sends an attempt on an idle connection, or lets it wait for the next one that is free.
 //
-// Known fault (TestSettledConnectionStaysInThePool): where attempts wait already, a connection that takeSettled returned is
-// in no list any more; it stays open and unused, and counts in openConns, until its host closes it. That happens to an
-// attempt that arrives after the end of a settle period and before the timer that then calls serveWaiting.
-func (c *Core) dispatch(attempt *hostAttempt) {
+// Known fault (TestSettledConnectionStaysInThePool): where attempts wait already, a connection that takeSettled
+// returned is in no list any more; it stays open and unused, and counts in openConns, until its host closes it. That
+// happens to an attempt that arrives after the end of a settle period and before the timer that then calls
+// serveWaiting.
+func (c *Core) assignConn(attempt *hostAttempt) {
 	h := attempt.host
 	if conn := h.takeSettled(); conn != nil && len(h.waiting) == 0 {
 		conn.send(attempt)
@@ -82,6 +83,9 @@
 func (h *host) needsConn() bool { return len(h.dialing)+len(h.idle) < len(h.waiting) }
 
 // dialIfNeeded dials a connection where one is needed. The attempt that came last ends where that can't be done.
+//
+// Known weakness (docs/capacity.md): where Limits.MaxConns is reached or no descriptor is free the attempt ends with
+// OutcomeNoConnection too, so the router counts the gateway's own shortage as a failed connection of the host.
 func (h *host) dialIfNeeded() {
 	if !h.needsConn() {
 		return
@@ -96,7 +100,8 @@
 	h.core.finishAttempt(last, routing.OutcomeNoConnection, Response{})
 }
 
-// dial starts to establish a connection. The error is errConnectionLimit or the Dialer's.
+// dial starts to establish a connection. The error is errConnectionLimit or the Dialer's. The connect timeout is not
+// logged, while pooledConn.ConnectionClosed logs a failed connection at level Debug.
 func (h *host) dial() error {
 	c := h.core
 	if c.openConns >= c.limits.MaxConns && !c.closeOldestIdle() {
@@ -152,7 +157,8 @@
 	return true
 }
 
-// maintainConns keeps the pools in order: it runs again after maintainIntervalMs.
+// maintainConns closes connections that have been idle for too long and, while the Core isn't ready, dials the eligible
+// hosts. It runs again after maintainIntervalMs.
 func (c *Core) maintainConns() {
 	c.retireIdle()
 	if !c.Ready() {
@@ -171,11 +177,11 @@
 	}
 }
 
-// redialHosts dials the hosts in use to find out whether they are back. While the Core isn't ready no request may come
-// that would do so.
+// redialHosts dials the eligible hosts to find out whether they are back. While the Core isn't ready no request may
+// come that would do so.
 func (c *Core) redialHosts() {
 	for _, h := range c.sortedHosts() {
-		if h.inUse() && len(h.dialing) == 0 {
+		if h.isEligible() && len(h.dialing) == 0 {
 			_ = h.dial() // tried again by the next maintainConns
 		}
 	}
--- a/internal/proxy/pooled_conn.go
+++ b/internal/proxy/pooled_conn.go
@@ -102,7 +102,7 @@
 	}
 	attempt.written = true
 	if attempt.request != nil {
-		p.host.core.dispatches++
+		p.host.core.writtenAttempts++
 	}
 }
 
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -11,7 +11,8 @@
 type Responder interface {
 	// Succeed passes on a host's answer; of a streamed one the body is the rest.
 	Succeed(body []byte)
-	// Reject promises that nothing was done. The client may retry after retryAfterMs; 0: no hint is given.
+	// Reject says that the request was not answered and that repeating it is safe: it did not run, or is idempotent, or
+	// all hosts of its group drop repeats of its key. The client may retry after retryAfterMs; 0: no hint is given.
 	Reject(retryAfterMs float64)
 	// Fail promises nothing. The body is a host's own error, or nil where no host answered with one.
 	Fail(body []byte)
@@ -84,8 +85,8 @@
 func (c *Core) SetFinalDeadline(atMs float64) { c.finalDeadlineMs = atMs }
 
 // ClientGone notes that a request's client has left. An attempt that was written stays open: it may run, and its
-// result is of use to the router. One that was not, because it waits for a connection or is partly written, is ended
-// as not sent. So is a streamed answer, whose rest nobody takes.
+// result is of use to the router. One that was not, because it waits for a connection or is partly written, ends as
+// not sent. An attempt whose answer is being streamed ends as cancelled, as nobody takes the rest.
 func (c *Core) ClientGone(id uint64) {
 	req := c.requests[id]
 	if req == nil || req.answered {
@@ -103,8 +104,8 @@
 	c.removeIfDone(req)
 }
 
-// CancelRequest ends a request without an answer, for its client, whom the frontend answers. An open attempt is
-// aborted, written or not.
+// CancelRequest ends a request at its client's wish, without a call of its Responder: the frontend answers the client
+// itself. An open attempt is aborted, written or not.
 func (c *Core) CancelRequest(id uint64) {
 	req := c.requests[id]
 	c.ClientGone(id)
@@ -113,7 +114,7 @@
 	}
 }
 
-// rejectRequest gives the final answer that nothing was done.
+// rejectRequest gives the final answer that the request was not answered and that repeating it is safe.
 func (c *Core) rejectRequest(action routing.Reject) {
 	req := c.markAnswered(action.Request)
 	if req == nil {
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -11,16 +11,18 @@
 
 // Stats are the figures of a Core at a moment, besides ReplyCounts.
 type Stats struct {
-	Dispatches      int `json:"dispatches"`       // attempts whose last byte was written to a host
-	Concurrent      int `json:"concurrent"`       // requests without a final answer
-	Targets         int `json:"targets"`          // hosts in the endpoint list
-	TargetsDisabled int `json:"targets_disabled"` // hosts in it that get no new request: excluded, draining or ejected
+	Dispatches int `json:"dispatches"` // attempts whose last byte was written to a host
+	Concurrent int `json:"concurrent"` // requests without a final answer
+	Targets    int `json:"targets"`    // hosts in the endpoint list
+	// TargetsDisabled counts the hosts in the endpoint list that are excluded, draining, ejected or unresponsive. Of
+	// these an unresponsive host may still get reads.
+	TargetsDisabled int `json:"targets_disabled"`
 }
 
 // Stats returns the present figures.
 func (c *Core) Stats() Stats {
 	stats := Stats{
-		Dispatches:      c.dispatches,
+		Dispatches:      c.writtenAttempts,
 		Concurrent:      c.OpenRequests(),
 		TargetsDisabled: c.router.UnavailableHosts(toDuration(c.Now())),
 	}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -14,7 +14,8 @@
 
 // UpstreamConn is a connection to a host. It carries one command at a time.
 type UpstreamConn interface {
-	// Send writes a command. timeLeftMs is the time until its answer is of no use any more.
+	// Send writes a command. Its type is the one that the connection's Dialer accepts; any other is a fault of the
+	// program and may panic. timeLeftMs is the time until the answer is of no use any more.
 	Send(command any, timeLeftMs float64)
 	// Close closes the connection; no callback of its UpstreamHandler follows.
 	Close()
@@ -38,7 +39,8 @@
 	ConnectionClosed(error)
 }
 
-// Dialer opens connections to hosts.
+// Dialer opens connections to hosts. The Core passes Request.Command and the health check's command on to them unread;
+// each implementation says which type it accepts, for instance pg.Command for a pg.HostDialer.
 type Dialer interface {
 	// Dial starts to connect to an address. handler receives the callbacks, none of them before Dial returns.
 	Dial(address string, handler UpstreamHandler) (UpstreamConn, error)
--- a/internal/server/fleet_config.go
+++ b/internal/server/fleet_config.go
@@ -28,7 +28,7 @@
 	if err := f.validate(gateway); err != nil {
 		return nil, err
 	}
-	c := &transport.Config{
+	config := &transport.Config{
 		Name:      gateway,
 		FleetName: f.Name,
 		Listen:    f.Listen,
@@ -38,7 +38,7 @@
 	}
 	var err error
 	if f.Advertise != "" {
-		if c.Advertise, err = parseAddress("fleet.advertise", f.Advertise); err != nil {
+		if config.Advertise, err = parseAddress("fleet.advertise", f.Advertise); err != nil {
 			return nil, err
 		}
 	}
@@ -47,18 +47,18 @@
 		if err != nil {
 			return nil, err
 		}
-		c.Seeds = append(c.Seeds, address)
+		config.Seeds = append(config.Seeds, address)
 	}
 	for _, key := range f.Keys {
-		c.Keys = append(c.Keys, []byte(key))
+		config.Keys = append(config.Keys, []byte(key))
 	}
-	if _, err := transport.NewSealer(f.Name, c.Keys); err != nil {
+	if _, err := transport.NewSealer(f.Name, config.Keys); err != nil {
 		return nil, &ConfigError{Key: "fleet.keys", Err: err}
 	}
-	if c.Networks, err = parseNetworks(f.Networks); err != nil {
+	if config.Networks, err = parseNetworks(f.Networks); err != nil {
 		return nil, err
 	}
-	return c, nil
+	return config, nil
 }
 
 // validate checks the keys that are single values.
--- a/internal/server/operator_config.go
+++ b/internal/server/operator_config.go
@@ -59,7 +59,7 @@
 // config checks and converts the file.
 func (f *operatorFile) config() (*Config, error) {
 	operator := &OperatorConfig{AgentCheck: f.Health.AgentCheck, HTTP: f.Health.HTTP, Login: f.HostLogin}
-	c := &Config{
+	config := &Config{
 		Name:              f.Name,
 		Listen:            f.Listen,
 		Discovery:         f.Discovery,
@@ -76,25 +76,25 @@
 	for _, apply := range []func(*Config) error{
 		f.applyFleet, f.applyRules, f.applyClasses, f.applyStatements, f.applyHosts, f.applyDescribeClass, f.checkAddresses,
 	} {
-		if err := apply(c); err != nil {
+		if err := apply(config); err != nil {
 			return nil, err
 		}
 	}
-	c.applyDefaults()
-	return c, c.validate()
+	config.applyDefaults()
+	return config, config.validate()
 }
 
 // applyFleet converts [fleet].
-func (f *operatorFile) applyFleet(c *Config) (err error) {
+func (f *operatorFile) applyFleet(config *Config) (err error) {
 	if f.Fleet == nil {
 		return nil
 	}
-	c.Operator.Fleet, err = f.Fleet.config(f.Name, c.Seed)
+	config.Operator.Fleet, err = f.Fleet.config(f.Name, config.Seed)
 	return err
 }
 
 // applyRules converts [rules].
-func (f *operatorFile) applyRules(c *Config) error {
+func (f *operatorFile) applyRules(config *Config) error {
 	rules := &f.Rules
 	stalenessCheck, ok := stalenessChecks[rules.StalenessCheck]
 	if !ok {
@@ -107,11 +107,11 @@
 	if !ok {
 		return invalidKey("rules.probes", "unknown word %q", rules.HealthCheck)
 	}
-	c.Operator.HealthCheck = healthCheck
+	config.Operator.HealthCheck = healthCheck
 	if rules.HealthCheck == "" || rules.HealthCheck == "greeting" {
-		c.Operator.HealthCheckIntervalMs = roleCheckIntervalMs
+		config.Operator.HealthCheckIntervalMs = roleCheckIntervalMs
 	}
-	c.Settings = routing.Settings{
+	config.Settings = routing.Settings{
 		GatewayCount:        rules.Gateways,
 		GatewayNumber:       rules.GatewayNumber,
 		SubsetSize:          rules.SubsetSize,
@@ -129,7 +129,7 @@
 		OverloadWindow:      milliseconds(rules.OverloadWindowMs),
 	}
 	if f.Fleet != nil {
-		c.Settings.Zone = f.Fleet.Zone
+		config.Settings.Zone = f.Fleet.Zone
 	}
 	return nil
 }
@@ -180,15 +180,15 @@
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // applyClasses converts the [[class]] tables.
-func (f *operatorFile) applyClasses(c *Config) error {
+func (f *operatorFile) applyClasses(config *Config) error {
 	for i, table := range f.Classes {
 		class, err := table.class(fmt.Sprintf("class %d (%q)", i+1, table.Name))
 		if err != nil {
 			return err
 		}
-		c.Settings.Classes = append(c.Settings.Classes, class)
+		config.Settings.Classes = append(config.Settings.Classes, class)
 	}
-	c.Operator.Rules.Classes = c.Settings.Classes
+	config.Operator.Rules.Classes = config.Settings.Classes
 	return nil
 }
 
@@ -229,8 +229,8 @@
 }
 
 // applyStatements converts the [[statement]] tables.
-func (f *operatorFile) applyStatements(c *Config) error {
-	rules := &c.Operator.Rules
+func (f *operatorFile) applyStatements(config *Config) error {
+	rules := &config.Operator.Rules
 	for i, table := range f.Statements {
 		key := fmt.Sprintf("statement %d", i+1)
 		pattern, err := regexp.Compile(table.Pattern)
@@ -254,14 +254,14 @@
 }
 
 // applyHosts converts the [[database]], [[tenant]] and [[host]] tables.
-func (f *operatorFile) applyHosts(c *Config) error {
-	rules := &c.Operator.Rules
+func (f *operatorFile) applyHosts(config *Config) error {
+	rules := &config.Operator.Rules
 	rules.Databases, rules.Tenants = map[string]int{}, map[string]int{}
 	for _, database := range f.Databases {
 		rules.Databases[database.Name] = database.Group
 	}
 	for i, tenant := range f.Tenants {
-		c.Settings.Tenants = append(c.Settings.Tenants, routing.Tenant{Name: tenant.User})
+		config.Settings.Tenants = append(config.Settings.Tenants, routing.Tenant{Name: tenant.User})
 		rules.Tenants[tenant.User] = i
 	}
 	seen := map[string]bool{}
@@ -276,17 +276,17 @@
 			return err
 		}
 		endpoint := routing.Endpoint{ID: table.ID, Group: table.Group, Primary: table.Primary, State: state}
-		c.KnownHosts = append(c.KnownHosts, proxy.Host{Address: table.Address, Endpoint: endpoint})
+		config.KnownHosts = append(config.KnownHosts, proxy.Host{Address: table.Address, Endpoint: endpoint})
 	}
-	if len(c.KnownHosts) == 0 && c.Discovery == "" {
+	if len(config.KnownHosts) == 0 && config.Discovery == "" {
 		return &ConfigError{Key: "host", Err: errors.New("none is listed, and discovery is not set")}
 	}
 	return nil
 }
 
 // applyDescribeClass finds the class of statements that are only described, and checks all rules of the frontend.
-func (f *operatorFile) applyDescribeClass(c *Config) error {
-	rules := &c.Operator.Rules
+func (f *operatorFile) applyDescribeClass(config *Config) error {
+	rules := &config.Operator.Rules
 	rules.DescribeClass = classIndex(rules.Classes, f.DescribeClass)
 	if rules.DescribeClass == noClass {
 		return invalidKey("describe_class", "no class %q", f.DescribeClass)
--- a/internal/server/platform_config.go
+++ b/internal/server/platform_config.go
@@ -12,7 +12,7 @@
 
 // Environment variables of the platform. All but configVariable override a key of the file.
 const (
-	configVariable     = "LB_CONFIG"
+	ConfigVariable     = "LB_CONFIG"
 	nameVariable       = "LB_NAME"
 	listenVariable     = "LB_LISTEN"
 	discoveryVariable  = "LB_DISCOVERY"
@@ -48,11 +48,11 @@
 func LoadPlatform(path string, env func(string) string) (*Config, error) {
 	file, err := readPlatformFile(path)
 	if err != nil {
-		return nil, &ConfigError{Key: configVariable, Err: err}
+		return nil, &ConfigError{Key: ConfigVariable, Err: err}
 	}
 	fileDiscovery := file.Discovery
 	file.applyEnvironment(env)
-	c := &Config{
+	config := &Config{
 		Name:          file.Name,
 		Listen:        file.Listen,
 		Discovery:     file.Discovery,
@@ -64,22 +64,22 @@
 		ConfigPath:    path,
 		KnownRevision: discovery.NoRevision,
 	}
-	if err := file.applySettings(c); err != nil {
+	if err := file.applySettings(config); err != nil {
 		return nil, &ConfigError{Key: "settings", Err: err}
 	}
-	if err := file.applyKnownList(c); err != nil {
+	if err := file.applyKnownList(config); err != nil {
 		return nil, &ConfigError{Key: "known", Err: err}
 	}
-	for _, address := range []string{c.Discovery, c.FileDiscovery} {
-		if address == "" && c.Discovery != "" { // the environment alone names a discovery
+	for _, address := range []string{config.Discovery, config.FileDiscovery} {
+		if address == "" && config.Discovery != "" { // the environment alone names a discovery
 			continue
 		}
 		if err := checkAddress("discovery", address); err != nil {
 			return nil, err
 		}
 	}
-	c.applyDefaults()
-	return c, c.validate()
+	config.applyDefaults()
+	return config, config.validate()
 }
 
 func readPlatformFile(path string) (*platformFile, error) {
@@ -109,29 +109,29 @@
 }
 
 // applySettings reads the platform's settings.
-func (f *platformFile) applySettings(c *Config) (err error) {
-	if c.Settings, err = simulator.DecodeSettings(string(f.Settings)); err != nil {
+func (f *platformFile) applySettings(config *Config) (err error) {
+	if config.Settings, err = simulator.DecodeSettings(string(f.Settings)); err != nil {
 		return err
 	}
 	var connections connectionSettings
 	if err := json.Unmarshal(f.Settings, &connections); err != nil {
 		return err
 	}
-	c.ConnectTimeoutMs = connections.Permissions.ConnectTimeoutMs
-	c.HostIdleTimeoutMs = connections.Permissions.HostIdleTimeoutMs
+	config.ConnectTimeoutMs = connections.Permissions.ConnectTimeoutMs
+	config.HostIdleTimeoutMs = connections.Permissions.HostIdleTimeoutMs
 	return nil
 }
 
 // applyKnownList reads the endpoint list that the platform knew when it wrote the file.
-func (f *platformFile) applyKnownList(c *Config) (err error) {
+func (f *platformFile) applyKnownList(config *Config) (err error) {
 	if f.KnownList == nil {
 		return nil
 	}
-	if c.KnownHosts, err = f.KnownList.Hosts(); err != nil {
+	if config.KnownHosts, err = f.KnownList.Hosts(); err != nil {
 		return err
 	}
 	if f.KnownList.Complete {
-		c.KnownRevision = f.KnownList.Revision
+		config.KnownRevision = f.KnownList.Revision
 	}
 	return nil
 }
