--- a/cmd/merlinjunction/main.go
+++ b/cmd/merlinjunction/main.go
@@ -16,7 +16,7 @@
 var version = "development"
 
 const configUsage = "an operator's TOML file, which turns on the extended-query front" +
-	" (default: the file that LB_CONFIG names)"
+	" (default: the file that " + server.ConfigVariable + " names)"
 
 func main() {
 	if err := rootCommand().Execute(); err != nil {
@@ -41,7 +41,7 @@
 	if operatorPath != "" {
 		config, err = server.LoadOperator(operatorPath)
 	} else {
-		config, err = server.LoadPlatform(os.Getenv("LB_CONFIG"), os.Getenv)
+		config, err = server.LoadPlatform(os.Getenv(server.ConfigVariable), os.Getenv)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/eventloop/conn_write.go
+++ b/internal/eventloop/conn_write.go
@@ -2,8 +2,8 @@
 
 import "golang.org/x/sys/unix"
 
-// Write sends data, at once as far as the system takes it; the rest is buffered. An error
-// reaches the handler's Ended in the next round.
+// Write sends as much of the data as the system takes at once, and buffers the rest. An error reaches the handler's
+// Ended in the next round.
 func (c *Conn) Write(data []byte) {
 	if !c.IsOpen() || len(data) == 0 {
 		return
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -83,6 +83,7 @@
 // Addr returns the address listened on; its port is the real one where 0 was asked for.
 func (ln *Listener) Addr() string { return ln.addr }
 
+// ready handles the epoll events of the socket: connections wait.
 func (ln *Listener) ready(uint32) { ln.AcceptPending() }
 
 // AcceptPending accepts the connections that wait, as many as are allowed in one round.
@@ -91,6 +92,8 @@
 // AcceptAll accepts all connections that wait. Called before Close, it keeps those in the backlog from being reset.
 func (ln *Listener) AcceptAll() { ln.acceptUpTo(listenBacklog + 1) }
 
+// acceptUpTo accepts connections until none waits, or as many as the limit. After a failure it calls acceptFailed and
+// pauses.
 func (ln *Listener) acceptUpTo(limit int) {
 	for range limit {
 		if ln.fd < 0 {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -92,6 +92,9 @@
 // NextRound runs a function in the next round, which starts without waiting.
 func (l *Loop) NextRound(fn func()) { l.nextRound = append(l.nextRound, fn) }
 
+// Wake makes the next round start without waiting, so that its step function sees what was changed in this one.
+func (l *Loop) Wake() { l.NextRound(func() {}) }
+
 // Stop ends Run after the present round.
 func (l *Loop) Stop() { l.stopped = true }
 
@@ -124,7 +127,7 @@
 	}
 }
 
-// dispatch passes events to the watchers of their descriptors, except where a descriptor was closed meanwhile.
+// handleEvents passes events to the watchers of their descriptors, except where a descriptor was closed meanwhile.
 func (l *Loop) handleEvents(events []unix.EpollEvent) {
 	for _, event := range events {
 		r, ok := l.registrations[event.Fd]
--- a/internal/eventloop/packet.go
+++ b/internal/eventloop/packet.go
@@ -51,6 +51,8 @@
 // Addr returns the address received on; its port is the real one where 0 was asked for.
 func (p *Packet) Addr() netip.AddrPort { return p.addr }
 
+// ready handles the epoll events of the socket: it passes on the datagrams that have arrived, at most
+// maxPacketsPerRound. An error ends the round's receiving; the next event tries again.
 func (p *Packet) ready(uint32) {
 	for range maxPacketsPerRound {
 		if p.fd < 0 {
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -53,6 +53,7 @@
 	return netip.AddrPort{}, false
 }
 
+// toSockaddr returns the system's form of an IP address and port.
 func toSockaddr(addr netip.AddrPort) unix.Sockaddr {
 	if addr.Addr().Is4() {
 		return &unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -39,6 +39,9 @@
 // After calls a function in the first round after some milliseconds.
 func (t *Timers) After(ms float64, callback func()) *Timer { return t.At(t.Clock.Now()+ms, callback) }
 
+// WakeAt ensures a round at or after a time. Stopping the Timer takes that back.
+func (t *Timers) WakeAt(ms float64) *Timer { return t.At(ms, func() {}) }
+
 // Fire calls the functions of the timers that are due, also of those that are created meanwhile, and returns how many
 // they were.
 func (t *Timers) Fire() int {
--- a/internal/frontend/management/management.go
+++ b/internal/frontend/management/management.go
@@ -29,9 +29,10 @@
 	Exclude(id string) bool
 	// Include uses a database host again; false where no such host is known.
 	Include(id string) bool
-	// Evacuate disconnects the clients and accepts no new ones.
+	// Evacuate makes the gateway not ready, and disconnects clients as they become idle. The listener stays open: new
+	// clients are still accepted and are disconnected in the same way.
 	Evacuate()
-	// Rejoin accepts clients again.
+	// Rejoin ends an evacuation: the gateway is ready again where it can serve, and clients stay connected.
 	Rejoin()
 	// Fleet is the gateway's view of its fleet; nil without one.
 	Fleet() *Fleet
@@ -104,6 +105,7 @@
 // done is the response to a call that was carried out.
 var done = httpd.Response{Status: http.StatusOK, Body: "yes\n"}
 
+// respond carries out the call that the path names, or responds with 404 or 405.
 func respond(gateway Gateway, r httpd.Request) httpd.Response {
 	called, known := calls[r.Path]
 	if !known {
@@ -117,6 +119,7 @@
 	return called.respond(gateway, r)
 }
 
+// ready responds with 200 while clients are accepted and can be served, else with 503.
 func ready(gateway Gateway, _ httpd.Request) httpd.Response {
 	if !gateway.AcceptsClients() {
 		return httpd.Response{Status: http.StatusServiceUnavailable, Body: "no clients are taken\n"}
@@ -124,10 +127,12 @@
 	return done
 }
 
+// telemetry responds with the gateway's counters as JSON.
 func telemetry(gateway Gateway, _ httpd.Request) httpd.Response {
 	return jsonResponse(gateway.Telemetry())
 }
 
+// members responds with the gateway's view of its fleet as JSON; 404 without a fleet.
 func members(gateway Gateway, _ httpd.Request) httpd.Response {
 	fleet := gateway.Fleet()
 	if fleet == nil {
@@ -136,28 +141,34 @@
 	return jsonResponse(fleet)
 }
 
+// metrics responds with the fleet's metrics as Prometheus's text; the body is empty without a fleet.
 func metrics(gateway Gateway, _ httpd.Request) httpd.Response {
 	return httpd.Response{Status: http.StatusOK, ContentType: prometheusTextType, Body: gateway.FleetMetrics()}
 }
 
+// exclude takes the database host that the body names out of use.
 func exclude(gateway Gateway, r httpd.Request) httpd.Response {
 	return callWithHost(r.Body, gateway.Exclude)
 }
 
+// include uses the database host that the body names again.
 func include(gateway Gateway, r httpd.Request) httpd.Response {
 	return callWithHost(r.Body, gateway.Include)
 }
 
+// evacuate starts an evacuation of the gateway; it returns before the clients have left.
 func evacuate(gateway Gateway, _ httpd.Request) httpd.Response {
 	gateway.Evacuate()
 	return done
 }
 
+// rejoin ends an evacuation.
 func rejoin(gateway Gateway, _ httpd.Request) httpd.Response {
 	gateway.Rejoin()
 	return done
 }
 
+// jsonResponse responds with a value as JSON.
 func jsonResponse(value any) httpd.Response {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/protocol/discovery/document.go
+++ b/internal/protocol/discovery/document.go
@@ -100,6 +100,7 @@
 	return proxy.Host{Address: e.Address, Endpoint: endpoint}, nil
 }
 
+// invalid returns an EntryError for the entry.
 func (e *Entry) invalid(reason string) error {
 	return &EntryError{ID: e.ID, Address: e.Address, Reason: reason}
 }
--- a/internal/protocol/discovery/outage_test.go
+++ b/internal/protocol/discovery/outage_test.go
@@ -234,7 +234,7 @@
 		case receivedAtMs > 0 && now > receivedAtMs+1000 || rounds > 20_000:
 			loop.Stop()
 		}
-		loop.NextRound(func() {})
+		loop.Wake()
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/discovery/response.go
+++ b/internal/protocol/discovery/response.go
@@ -13,8 +13,15 @@
 	maxHeadBytes = 16 << 10
 )
 
-// errMalformedResponse reports bytes that are not an HTTP/1.1 response within the limits.
-var errMalformedResponse = errors.New("not an HTTP answer")
+// Errors of parseResponse, which a poll's log line at level Debug shows.
+var (
+	errMalformedResponse = errors.New("not an HTTP answer")
+	errHeadTooLarge      = errors.New("the head of the response is too large")
+	errBodyTooLarge      = errors.New("the body of the response is too large")
+	errMissingLength     = errors.New("the response has neither Content-Length nor chunks")
+	errMalformedLength   = errors.New("the response has a malformed Content-Length")
+	errMalformedChunk    = errors.New("the response has a malformed chunk")
+)
 
 // statusError reports a response whose status is not 200.
 type statusError struct {
@@ -39,13 +46,13 @@
 	closesAfter bool
 }
 
-// parseResponse reads the response that the input begins with; nil while it is incomplete. The error is
-// errMalformedResponse.
+// parseResponse reads the response that the input begins with; nil while it is incomplete. The error is one
+// of those above.
 func parseResponse(input []byte) (*response, error) {
 	headEnd := bytes.Index(input, []byte("\r\n\r\n"))
 	if headEnd < 0 {
 		if len(input) > maxHeadBytes {
-			return nil, errMalformedResponse
+			return nil, errHeadTooLarge
 		}
 		return nil, nil
 	}
@@ -64,7 +71,7 @@
 		}
 		resp.body, resp.size = body, bodyStart+size
 	case head.length < 0:
-		return nil, errMalformedResponse
+		return nil, errMissingLength
 	case len(rest) < head.length:
 		return nil, nil
 	default:
@@ -91,8 +98,11 @@
 		switch strings.ToLower(name) {
 		case "content-length":
 			head.length, err = strconv.Atoi(value)
-			if err != nil || head.length < 0 || head.length > maxBodyBytes {
-				return head, errMalformedResponse
+			if err != nil || head.length < 0 {
+				return head, errMalformedLength
+			}
+			if head.length > maxBodyBytes {
+				return head, errBodyTooLarge
 			}
 		case "transfer-encoding":
 			head.chunked = strings.EqualFold(value, "chunked")
@@ -113,8 +123,11 @@
 		}
 		sizeText, _, _ := strings.Cut(string(input[position:position+lineLength]), ";")
 		parsed, err := strconv.ParseUint(strings.TrimSpace(sizeText), 16, 31)
-		if err != nil || parsed > maxBodyBytes {
-			return nil, 0, errMalformedResponse
+		if err != nil {
+			return nil, 0, errMalformedChunk
+		}
+		if parsed > maxBodyBytes {
+			return nil, 0, errBodyTooLarge
 		}
 		position += lineLength + len("\r\n")
 		chunkEnd := position + int(parsed)
@@ -122,7 +135,7 @@
 			return nil, 0, nil
 		}
 		if string(input[chunkEnd:chunkEnd+len("\r\n")]) != "\r\n" {
-			return nil, 0, errMalformedResponse
+			return nil, 0, errMalformedChunk
 		}
 		body = append(body, input[position:chunkEnd]...)
 		position = chunkEnd + len("\r\n")
--- a/internal/protocol/discovery/watcher.go
+++ b/internal/protocol/discovery/watcher.go
@@ -56,7 +56,9 @@
 	lastPollAtMs     float64
 	revision         int64 // of the list that is known; NoRevision: none
 	awaitingResponse bool
-	lastEntryError   string // logged last; the same error is logged once
+	// lastEntryError is the error logged last. It is never cleared: the same error is logged once, and stays silent
+	// where it comes back after a repair.
+	lastEntryError string
 }
 
 // Watch starts to follow the list at an address. A gateway that knows a list already delays its first poll as
@@ -142,7 +144,8 @@
 	w.pollTimer = w.loop.After(w.backoff(cause, now, draw), w.poll)
 }
 
-// backoff is the time until the next poll, in milliseconds.
+// backoff is the time until the next poll, in milliseconds. Whatever is neither a timeout nor a rejection counts as a
+// lost connection: the end of the connection, a malformed response, invalid JSON, and a list without a usable entry.
 func (w *Watcher) backoff(cause error, now, draw float64) float64 {
 	var rejected *statusError
 	switch {
@@ -209,7 +212,9 @@
 // *EntryError where no entry could be used, or the JSON decoder's.
 func (w *Watcher) handleResponse(resp *response) error {
 	if resp.status != http.StatusOK {
-		if resp.status/100 == 4 { // the revision that the watch named is not known any more; an overloaded server knows it
+		// Any 4xx, 429 too, counts as a revision that discovery doesn't know any more: the next poll asks for the whole
+		// list. After a 5xx the revision is still good.
+		if resp.status/100 == 4 {
 			w.revision = NoRevision
 		}
 		return &statusError{Status: resp.status}
@@ -224,7 +229,9 @@
 		if len(hosts) == 0 {
 			return err
 		}
-		document.Complete = false // a host whose entry is invalid must not count as gone
+		// A host whose entry is invalid must not count as gone. On the other side hosts that were really removed stay in
+		// use until a complete list without an invalid entry arrives.
+		document.Complete = false
 	}
 	isFirst, notifiedAtMs := w.policy.Answered(w.loop.Clock.Now())
 	w.revision = document.Revision
--- a/internal/protocol/httpd/httpd.go
+++ b/internal/protocol/httpd/httpd.go
@@ -91,6 +91,7 @@
 	}
 }
 
+// handleInput responds to the request once it is complete or turns out to be malformed.
 func (c *connection) handleInput() {
 	request, err := parseRequest(c.conn.In())
 	var rejected *requestError
@@ -117,6 +118,7 @@
 	c.close()
 }
 
+// close closes the connection and removes it from its server.
 func (c *connection) close() {
 	if c.closed {
 		return
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -14,7 +14,8 @@
 	Listen     string // address of the clients' listener
 	Management string // address of the management calls; "": none
 	Discovery  string // address of discovery; "": none
-	// FileDiscovery is the address of discovery in the file, where the environment names another one.
+	// FileDiscovery is the address of discovery in the file. Discovery is another one where the environment overrides
+	// it. A reload applies a new address only where FileDiscovery has changed.
 	FileDiscovery string
 	ConfigPath    string // of the file, which is read again at SIGHUP
 
@@ -43,8 +44,9 @@
 	minSockets              = 64
 )
 
-// Reload reads the file of the configuration again. Only the file says where discovery is: the environment is still
-// that of the start.
+// Reload reads the file of the configuration again. For discovery's address it ignores the environment, which is still
+// that of the start. So where only the environment names discovery, on the platform, Reload finds an empty address and
+// fails with a *ConfigError each time.
 func (c *Config) Reload() (*Config, error) {
 	if c.Operator != nil {
 		return LoadOperator(c.ConfigPath)
--- a/internal/server/endpoint_list.go
+++ b/internal/server/endpoint_list.go
@@ -13,8 +13,8 @@
 		return
 	}
 	s.followEndpointList()
-	if s.watcher.FirstPollLaterThan(firstListTimeoutMs) { // the wait would end before a response
-		s.discoveryWaitEndMs = 0
+	if s.watcher.FirstPollLaterThan(firstListTimeoutMs) {
+		s.discoveryWaitEndMs = 0 // don't wait: no response can come in time
 	}
 }
 
--- a/internal/server/exclusion_file.go
+++ b/internal/server/exclusion_file.go
@@ -33,19 +33,22 @@
 // exclusionFile is the file through which sibling processes share exclusions. Each process reads it at an interval, and
 // replaces it as a whole. The newest order on a host counts.
 type exclusionFile struct {
-	log       *zap.Logger
-	path      string
-	newest    map[string]exclusion // on each host
-	lastSeen  fs.FileInfo          // of the file as it was read or written last; nil before
-	lastError string               // logged last; the same error is logged once
+	log      *zap.Logger
+	path     string
+	newest   map[string]exclusion // on each host
+	lastSeen fs.FileInfo          // of the file as it was read or written last; nil before
+	// lastError is the error logged last. It is never cleared: the same error is logged once, and stays silent where it
+	// comes back after a repair.
+	lastError string
 }
 
 func newExclusionFile(log *zap.Logger, path string) *exclusionFile {
 	return &exclusionFile{log: log, path: path, newest: map[string]exclusion{}}
 }
 
-// readNewer reads the file if it has changed, and returns the hosts with a newer order than this process knows. Where
-// the file lacks an order that this process knows, as two processes wrote at a time, the file is written again.
+// readNewer reads the file if it has changed, and returns the orders that are newer than the ones that this process
+// knows, by host. Where the file then lacks an order that this process knows, because a sibling replaced the file at
+// the same time, it is written again.
 func (f *exclusionFile) readNewer() map[string]exclusion {
 	info, err := os.Stat(f.path)
 	if err != nil {
@@ -80,6 +83,8 @@
 	return f.lastSeen != nil && os.SameFile(info, f.lastSeen) && info.ModTime().Equal(f.lastSeen.ModTime())
 }
 
+// read returns the orders in the file, by host. The error is the system's, the JSON decoder's, or names an unknown
+// version.
 func (f *exclusionFile) read() (map[string]exclusion, error) {
 	text, err := os.ReadFile(f.path)
 	if err != nil {
@@ -124,6 +129,7 @@
 	}
 }
 
+// replace writes the orders to a temporary file of this process and renames it, which replaces the file in one step.
 func (f *exclusionFile) replace() error {
 	text, err := json.Marshal(exclusionDocument{Version: exclusionFileVersion, Hosts: f.newest})
 	if err != nil {
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -13,7 +13,8 @@
 const (
 	// loadSampleMs is the interval at which the load of this gateway is sampled and announced.
 	loadSampleMs = 1000.0
-	// rosterUpdateDelayMs is the least time between a load sample and a roster update: members change many at a time.
+	// rosterUpdateDelayMs is how long after a load sample changes of members are gathered: many come at a time. The
+	// sample itself updates the roster too; from this time on until the next sample every change does so at once.
 	rosterUpdateDelayMs = 200.0
 )
 
@@ -35,7 +36,7 @@
 	if s.transport, err = transport.New(s.loop, s.log, *s.config.Operator.Fleet); err != nil {
 		return err
 	}
-	s.loop.NextRound(func() {}) // the membership's first step needs a round
+	s.loop.Wake() // the membership's first step needs a round
 	return nil
 }
 
@@ -48,8 +49,8 @@
 }
 
 // syncFleet announces this gateway's load to the fleet, and passes a changed roster on to the proxy core and the
-// watcher. It runs in each round, and does something once per loadSampleMs, or rosterUpdateDelayMs after members have
-// changed.
+// watcher. It runs in each round. It samples and updates once per loadSampleMs; in between it updates the roster in
+// each round in which members have changed and the last sample is rosterUpdateDelayMs old.
 func (s *Server) syncFleet() {
 	state, now := &s.fleetSync, s.loop.Clock.Now()
 	if state.roster == nil {
@@ -92,7 +93,7 @@
 	if s.watcher != nil {
 		s.watcher.SetSchedule(roster.Schedule())
 	}
-	s.loop.NextRound(func() {})
+	s.loop.Wake() // the core's Step comes before syncFleet in a round
 }
 
 // wakeForFleetSync ensures a round of the event loop per loadSampleMs.
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -13,10 +13,12 @@
 )
 
 const (
-	// reservedDescriptors are for files, epoll, discovery and health checks.
+	// reservedDescriptors are for all but clients and hosts: standard streams, epoll, listeners, discovery, the fleet's
+	// socket, state files, and the connections of health checks and management calls, 16 for each of their listeners at
+	// most. All of these at once can need more than are reserved.
 	reservedDescriptors = 48
-	// hostConnectionPercent is the part of the other descriptors that is for connections to hosts. The rest is for
-	// clients.
+	// hostConnectionPercent is the part of the other descriptors that is for connections to hosts. The rest, the larger
+	// part, is for clients: they share the connections to hosts, and need none while they are idle.
 	hostConnectionPercent = 40
 	// platformClientIdleMs is the idle timeout of the platform's clients: they open a new connection when they need one.
 	platformClientIdleMs = 2000.0
@@ -124,7 +126,8 @@
 	return err
 }
 
-// onAcceptError disconnects idle clients when no descriptor is free for a new connection.
+// onAcceptError disconnects one idle client, if there is one, when a listener could not accept a connection. It is the
+// same for all listeners, and for errors other than a lack of descriptors too.
 func (s *Server) onAcceptError(err error) {
 	s.log.Warn("accepting a connection failed, closing idle clients", zap.Error(err))
 	s.clients.EvictIdle()
--- a/internal/server/operator_config.go
+++ b/internal/server/operator_config.go
@@ -20,7 +20,8 @@
 const (
 	// roleCheckIntervalMs is the interval of health checks of hosts that make no load reports.
 	roleCheckIntervalMs = 1000.0
-	// maxFileNumber bounds times in milliseconds, shares and multiples of an operator's file: an hour.
+	// maxFileNumber is the one bound of all numbers of an operator's file: an hour for times in milliseconds. For shares,
+	// weights and multiples it is far above any useful value, and only keeps out infinity and NaN.
 	maxFileNumber = 3.6e6
 	// noClass is the index of a class that the file does not name.
 	noClass = -1
@@ -33,12 +34,13 @@
 	Rules                 extended.Rules
 	Login                 hostLogin
 	HealthCheck           pg.Command // nil: none
-	HealthCheckIntervalMs float64    // 0: the proxy core's
+	HealthCheckIntervalMs float64    // 0: only the health checks that the router asks for
 	Fleet                 *transport.Config
 }
 
-// LoadOperator reads an operator's file. The error is one line that names the file and the key; it wraps a *ConfigError
-// where a key is unknown or its value can't be used.
+// LoadOperator reads an operator's file. The error is one line that names the file and, where the TOML can be decoded,
+// the key. It wraps a *ConfigError where a key is unknown or this package rejects its value, but not for what
+// extended.Rules.Validate rejects.
 func LoadOperator(path string) (*Config, error) {
 	file := newOperatorFile()
 	metadata, err := toml.DecodeFile(path, file)
--- a/internal/server/platform_config.go
+++ b/internal/server/platform_config.go
@@ -10,9 +10,11 @@
 	"merlinjunction/internal/protocol/simulator"
 )
 
-// Environment variables of the platform. All but configVariable override a key of the file.
+// ConfigVariable is the environment variable that names the platform's configuration file.
+const ConfigVariable = "LB_CONFIG"
+
+// Environment variables of the platform that override a key of the file.
 const (
-	ConfigVariable     = "LB_CONFIG"
 	nameVariable       = "LB_NAME"
 	listenVariable     = "LB_LISTEN"
 	discoveryVariable  = "LB_DISCOVERY"
@@ -82,6 +84,7 @@
 	return config, config.validate()
 }
 
+// readPlatformFile reads and decodes the file. The error is the system's or the JSON decoder's.
 func readPlatformFile(path string) (*platformFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -136,7 +139,8 @@
 	return nil
 }
 
-// parseSeed reads a seed of hexadecimal digits, and hashes any other text.
+// parseSeed reads a seed of hexadecimal digits, and hashes any other text. An empty text hashes to one constant, so all
+// gateways whose file names no seed draw the same jitter.
 func parseSeed(text string) uint64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return seed
--- a/internal/server/process_lock.go
+++ b/internal/server/process_lock.go
@@ -42,6 +42,9 @@
 
 // othersAlive reports whether another process of the gateway holds its lock. It removes the files of processes that
 // have been killed.
+//
+// Known weakness: the pattern for a gateway a also matches the files of a gateway a-1 in the same directory, which then
+// counts as a sibling process.
 func (l *processLock) othersAlive() bool {
 	found := false
 	paths, _ := filepath.Glob(l.prefix + "-*.live") // fails only for a malformed pattern
--- a/internal/server/readiness.go
+++ b/internal/server/readiness.go
@@ -6,8 +6,9 @@
 // an endpoint list from it.
 const firstListTimeoutMs = 500.0
 
-// ready reports whether clients can be served: the endpoint list is there, or has had its time, and a host can be
-// reached. An evacuated gateway is not ready.
+// ready reports whether clients can be served: the endpoint list has been received, or the wait for it is over, and
+// some host counts as reachable, as one that was never dialed does (proxy.Core.Ready). An evacuated gateway is not
+// ready.
 func (s *Server) ready() bool {
 	listSettled := s.endpointListReceived || s.loop.Clock.Now() >= s.discoveryWaitEndMs
 	return !s.evacuated && listSettled && s.core.Ready()
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -11,6 +11,9 @@
 
 // reload reads the configuration again. It applies the address of discovery and, from an operator's file, the host list
 // and the fleet's keys; all other changes need a restart. A configuration that can't be read changes nothing.
+//
+// Success is counted and logged once the configuration is read, before it is applied: fleet keys that are rejected
+// after that have a log line of their own.
 func (s *Server) reload(attemptsLeft int) {
 	s.reloadTimer.Stop()
 	config, err := s.config.Reload()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// heapLimitShare is the share of the memory limit above which Go's heap is collected hard.
+	// heapLimitShare is the share of the memory limit above which Go's heap is collected hard. The rest is headroom: Go
+	// may exceed its limit for a while, and doesn't count the program itself and the system's socket buffers.
 	heapLimitShare = 0.6
 	// bufferMemoryShare is the share of the memory limit that connections' buffers may hold. Appending to a buffer can
 	// double it for a moment.
@@ -43,7 +44,7 @@
 	hostConnectionLimit int // of them for hosts
 
 	watcher              *discovery.Watcher // nil without discovery
-	discoveryWaitEndMs   float64            // from then on the gateway is ready without an endpoint list
+	discoveryWaitEndMs   float64            // from then on the gateway is ready without an endpoint list; 0: at once
 	endpointListReceived bool
 
 	transport *transport.Transport // nil without a fleet
@@ -65,8 +66,9 @@
 	awaitingTakeover bool         // the inherited listener accepts nobody yet
 }
 
-// New opens a gateway's listeners and sockets; Run starts it. The error is a *ConfigError where a key of the
-// configuration is at fault.
+// New opens a gateway's listeners and sockets; Run starts it. The error is a *ConfigError where the address of the
+// management calls, the inherited listener or the directory of the shared state can't be used. Errors of the clients'
+// listener, the health checks' listeners and the fleet's socket are plain, with the address or the key in their text.
 func New(config *Config, log *zap.Logger, clock *eventloop.Clock) (*Server, error) {
 	debug.SetMemoryLimit(heapLimitBytes(config.memoryBytes()))
 	loop, err := eventloop.New(clock)
@@ -135,6 +137,7 @@
 // Management is the address of the management calls; "" without one.
 func (s *Server) Management() string { return listenerAddress(s.managementListener) }
 
+// listenerAddress is the address of a listener; "" where it is nil.
 func listenerAddress(listener *eventloop.Listener) string {
 	if listener == nil {
 		return ""
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -14,7 +14,7 @@
 const signalQueueLength = 4
 
 // Serve runs a gateway until SIGTERM or SIGINT, and until the graceful shutdown that follows has ended. SIGHUP reloads
-// the configuration. The error is a *ConfigError where a key of the configuration is at fault.
+// the configuration. Its errors are New's, and that of a failed event loop.
 func Serve(config *Config, log *zap.Logger) error {
 	signals := make(chan os.Signal, signalQueueLength)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // first: without it they end the process
--- a/internal/transport/decode.go
+++ b/internal/transport/decode.go
@@ -72,6 +72,7 @@
 	return nil
 }
 
+// decodeRumor checks and converts a rumor; the error says that a field is out of range.
 func decodeRumor(encoded *rumor) (membership.Rumor, error) {
 	if !isKnownState(encoded.State) || !isValidIncarnation(encoded.Incarnation) || len(encoded.Accusers) > maxAccusers {
 		return membership.Rumor{}, fmt.Errorf("decode: a rumor's state %d, incarnation or accusers are out of range",
@@ -89,6 +90,7 @@
 	return decoded, nil
 }
 
+// decodeRecord checks and converts a record; the error says that a field is out of range or the address is malformed.
 func decodeRecord(encoded *record) (membership.Record, error) {
 	if !isValidRecord(encoded) {
 		return membership.Record{}, fmt.Errorf("decode: a field of the record of %.64q is out of range", encoded.Name)
@@ -110,6 +112,7 @@
 	}, nil
 }
 
+// isValidRecord returns whether the fields of a record besides its address are in range.
 func isValidRecord(encoded *record) bool {
 	return isKnownState(encoded.State) &&
 		isValidIncarnation(encoded.Incarnation) &&
--- a/internal/transport/encode.go
+++ b/internal/transport/encode.go
@@ -32,6 +32,7 @@
 	return append(buffer, data...), nil
 }
 
+// encodeRumors converts rumors; nil where there are none, so that the key is left out.
 func encodeRumors(rumors []membership.Rumor) []rumor {
 	if len(rumors) == 0 {
 		return nil
@@ -51,6 +52,7 @@
 	return encoded
 }
 
+// encodeRecords converts records; nil where there are none, so that the key is left out.
 func encodeRecords(records []membership.Record) []record {
 	if len(records) == 0 {
 		return nil
--- a/internal/transport/replay.go
+++ b/internal/transport/replay.go
@@ -43,6 +43,8 @@
 // Forget drops what is remembered of a sender.
 func (r *ReplayFilter) Forget(id membership.ID, bootID uint64) { delete(r.windows, sender{id, bootID}) }
 
+// accept returns whether a counter arrives for the first time, and marks it. A counter above the highest one moves the
+// window; one that is below the window is rejected.
 func (w *window) accept(counter uint64) bool {
 	switch {
 	case counter > w.highest:
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -190,7 +190,7 @@
 	t.events = t.events[:0]
 	t.checkPartial()
 	t.wakeTimer.Stop()
-	t.wakeTimer = t.loop.At(t.view.Wake(), func() {})
+	t.wakeTimer = t.loop.WakeAt(t.view.Wake())
 }
 
 // send sends a message, or drops it: the membership protocol expects loss.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	const maxRounds = 500
 	rounds := 0
-	loop.NextRound(func() {})
+	loop.Wake()
 	err := loop.Run(func() {
 		transport.Step()
 		rounds++
