--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -39,12 +39,12 @@
 // inputLimit see SetLimit.
 func (l *Loop) Adopt(fd, inputLimit int) (*Conn, error) {
 	setNoDelay(fd)
-	c := &Conn{loop: l, fd: fd, inputLimit: inputLimit, interest: unix.EPOLLIN}
-	if err := l.register(fd, c, c.interest); err != nil {
+	conn := &Conn{loop: l, fd: fd, inputLimit: inputLimit, interest: unix.EPOLLIN}
+	if err := l.register(fd, conn, conn.interest); err != nil {
 		closeFD(fd)
 		return nil, err
 	}
-	return c, nil
+	return conn, nil
 }
 
 // Dial starts to connect to an address. The handler's Connected or Ended follows in a later round. For inputLimit see
@@ -59,14 +59,14 @@
 		closeFD(fd)
 		return nil, fmt.Errorf("connect %s: %w", addr, err)
 	}
-	c := &Conn{
+	conn := &Conn{
 		loop: l, fd: fd, inputLimit: inputLimit, handler: handler, connecting: true, interest: unix.EPOLLOUT,
 	}
-	if err := l.register(fd, c, c.interest); err != nil {
+	if err := l.register(fd, conn, conn.interest); err != nil {
 		closeFD(fd)
 		return nil, err
 	}
-	return c, nil
+	return conn, nil
 }
 
 // SetHandler sets who receives the callbacks.
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -11,14 +11,18 @@
 
 // hostAttempt is one sending of a command to a host: of a request, or a health check where request is nil.
 type hostAttempt struct {
-	request      *request
-	number       int // among the request's attempts, from 0; the router counts the same way, see routing.CancelAttempt
+	request *request
+	// number is the attempt's among the request's, from 0. The router counts them on its own side, in the same order:
+	// routing.CancelAttempt and routing.AttemptResult name an attempt by it.
+	number       int
 	host         *host
 	conn         *pooledConn // nil while it waits for one
 	sendBeforeMs float64     // it is not sent at or after this time; 0: there is no such time
-	written      bool        // RequestWritten was called for it: it may run, whatever becomes of the connection
-	ended        bool
-	timer        *eventloop.Timer // aborts it
+	// written: the last byte of the command was handed to the system, so it may run. The connection keeps such a flag of
+	// its own for the command that is on it; this one stays with the attempt when the connection is closed.
+	written bool
+	ended   bool
+	timer   *eventloop.Timer // aborts it
 }
 
 // startAttempt sends a request to the host that the router chose. The attempt ends as not sent where that would be
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{
+	core := &Core{
 		timers:             timers,
 		log:                log,
 		router:             router,
@@ -72,9 +72,9 @@
 		schedule:           settings.Schedule(),
 		replyCounts:        make([]ReplyCounts, len(settings.Classes)),
 	}
-	c.maintainConns()
-	c.checkAllHosts()
-	return c, nil
+	core.maintainConns()
+	core.checkAllHosts()
+	return core, nil
 }
 
 // Now returns the time in milliseconds.
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -71,14 +71,14 @@
 // be sent to it any more. The router checks that when it starts an attempt; this check is for a connection that is
 // established later.
 func (h *host) drainGraceOver() bool {
-	c := h.core
+	core := h.core
 	sinceMs := h.drainingSinceMs
-	if c.settings.RemovalNotBinding && h.State == routing.StateGone {
+	if core.settings.RemovalNotBinding && h.State == routing.StateGone {
 		sinceMs = 0
 	}
-	excludedMs, excluded := c.exclusions[h.ID]
+	excludedMs, excluded := core.exclusions[h.ID]
 	if excluded && (sinceMs == 0 || excludedMs < sinceMs) {
 		sinceMs = excludedMs
 	}
-	return sinceMs > 0 && c.Now() >= sinceMs+toMs(c.settings.DrainGrace)-drainGraceMarginMs
+	return sinceMs > 0 && core.Now() >= sinceMs+toMs(core.settings.DrainGrace)-drainGraceMarginMs
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -103,19 +103,19 @@
 // dial starts to establish a connection. The error is errConnectionLimit or the Dialer's. The connect timeout is not
 // logged, while pooledConn.ConnectionClosed logs a failed connection at level Debug.
 func (h *host) dial() error {
-	c := h.core
-	if c.openConns >= c.limits.MaxConns && !c.closeOldestIdle() {
+	core := h.core
+	if core.openConns >= core.limits.MaxConns && !core.closeOldestIdle() {
 		return errConnectionLimit
 	}
 	conn := &pooledConn{host: h}
-	upstream, err := c.dialer.Dial(h.Address, conn)
+	upstream, err := core.dialer.Dial(h.Address, conn)
 	if err != nil {
 		return err
 	}
-	c.openConns++
+	core.openConns++
 	conn.upstream = upstream
 	h.dialing = append(h.dialing, conn)
-	conn.connectTimer = c.timers.After(c.limits.ConnectTimeoutMs, func() {
+	conn.connectTimer = core.timers.After(core.limits.ConnectTimeoutMs, func() {
 		conn.close()
 		h.connectionFailed()
 	})
--- a/internal/proxy/pooled_conn.go
+++ b/internal/proxy/pooled_conn.go
@@ -24,17 +24,17 @@
 // send sends an attempt on an idle connection. Since the router started the attempt it may have waited for the
 // connection, so what allows it is checked again.
 func (p *pooledConn) send(attempt *hostAttempt) {
-	c := p.host.core
+	core := p.host.core
 	timeLeftMs := healthCheckTimeoutMs
-	command := c.healthCheckCommand
+	command := core.healthCheckCommand
 	if req := attempt.request; req != nil {
-		timeLeftMs = req.deadlineMs - c.Now()
+		timeLeftMs = req.deadlineMs - core.Now()
 		command = req.Command
 	}
-	tooLate := attempt.sendBeforeMs > 0 && c.Now() >= attempt.sendBeforeMs
+	tooLate := attempt.sendBeforeMs > 0 && core.Now() >= attempt.sendBeforeMs
 	if p.host.drainGraceOver() || tooLate || timeLeftMs < minSendTimeLeftMs {
 		p.release(0)
-		c.finishAttempt(attempt, routing.OutcomeNotSent, Response{})
+		core.finishAttempt(attempt, routing.OutcomeNotSent, Response{})
 		return
 	}
 	p.attempt, attempt.conn = attempt, p
@@ -125,16 +125,16 @@
 func (p *pooledConn) ConnectionClosed(err error) {
 	attempt := p.attempt
 	p.close()
-	c := p.host.core
+	core := p.host.core
 	switch {
 	case !p.established:
-		c.log.Debug("connection to host failed", zap.String("host", p.host.ID), zap.Error(err))
+		core.log.Debug("connection to host failed", zap.String("host", p.host.ID), zap.Error(err))
 		p.host.connectionFailed()
 	case attempt == nil:
 		p.host.dialIfNeeded()
 	case attempt.written:
-		c.finishAttempt(attempt, routing.OutcomeConnectionLost, Response{})
+		core.finishAttempt(attempt, routing.OutcomeConnectionLost, Response{})
 	default:
-		c.finishAttempt(attempt, routing.OutcomeNoConnection, Response{})
+		core.finishAttempt(attempt, routing.OutcomeNoConnection, Response{})
 	}
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -33,12 +33,12 @@
 	if !ok || !stream.BeginStream(resume) {
 		return false
 	}
-	c := p.host.core
+	core := p.host.core
 	req.expiryTimer.Stop()
 	attempt.timer.Stop()
-	req.stream, req.lastPartMs = stream, c.Now()
-	c.events = append(c.events, routing.StreamStarted{Request: req.id})
-	c.watchStream(attempt)
+	req.stream, req.lastPartMs = stream, core.Now()
+	core.events = append(core.events, routing.StreamStarted{Request: req.id})
+	core.watchStream(attempt)
 	return true
 }
 
