--- a/membership/probe.go
+++ b/membership/probe.go
@@ -37,6 +37,19 @@
 	seq    uint32  // of the PingRequest
 }
 
+// probeState holds the probes of this member and when the next ones are due.
+type probeState struct {
+	seq               uint32 // of the last probe
+	probes            []*probe
+	finished          [finishedProbeCount]finishedProbe // by seq
+	checks            []check                           // still to be started
+	probeRound        []*member                         // still to be visited by regular probes, the last one first
+	nextProbeAt       float64
+	nextReconnectAt   float64
+	pendingReconnects int // additional ones after a success
+	nextRecheckAt     float64
+}
+
 // deadline is when the probe fails. Indirect probes begin with the last attempt and take as long as the attempts.
 func (p *probe) deadline() float64 {
 	attempts := float64(p.maxAttempts)
@@ -130,7 +143,7 @@
 	v.probes = v.probes[:0]
 }
 
-// findProbe is the unanswered probe of a number, or nil.
+// findProbe is the unanswered probe with a sequence number, or nil.
 func (v *View) findProbe(seq uint32) *probe {
 	for _, p := range v.probes {
 		if p.seq == seq {
@@ -152,7 +165,7 @@
 	v.send(from, sender, ack, pingUpdateBytes)
 }
 
-// handleAck takes an answer of the target itself, or of a member that probed the target for this one.
+// handleAck handles an answer of the target itself, or of a member that probed the target for this one.
 func (v *View) handleAck(sender *member, m *Message) {
 	p := v.findProbe(m.Seq)
 	switch {
@@ -167,7 +180,7 @@
 	}
 }
 
-// handleLateAck takes an answer of the target itself after the probe has ended.
+// handleLateAck handles an answer of the target itself after the probe has ended.
 func (v *View) handleLateAck(sender *member, m *Message) {
 	p := &v.finished[m.Seq%finishedProbeCount]
 	if p.seq != m.Seq || p.target != sender || m.Target != 0 {
@@ -177,7 +190,7 @@
 	v.noteDirectAck()
 	sender.unconfirmedProbes = 0
 	if sender.State == Unreachable {
-		v.setState(sender, Alive, sender.Incarnation, "answers again, late")
+		v.setState(sender, Alive, sender.Incarnation, causeAnsweredLate)
 	}
 }
 
@@ -195,7 +208,7 @@
 		v.health.improve(v.now)
 	}
 	if target.State == Unreachable {
-		v.setState(target, Alive, target.Incarnation, "answers again")
+		v.setState(target, Alive, target.Incarnation, causeAnswered)
 		v.recheckUnreachable()
 	}
 }
@@ -217,13 +230,13 @@
 		return
 	}
 	v.counters.accusations++
-	v.suspect(p.target, append(p.confirmedBy, v.id), "no answer here")
+	v.suspect(p.target, append(p.confirmedBy, v.id), CauseNoAnswer)
 }
 
 // maxUnconfirmedProbes is how many probes in a row without a confirmation make a member unreachable.
 const maxUnconfirmedProbes = 2
 
-// probeUnconfirmed takes a probe that failed without any confirmation by others: this member may well be at fault.
+// probeUnconfirmed handles a probe that failed without any confirmation by others: this member may well be at fault.
 func (v *View) probeUnconfirmed(p *probe) {
 	target := p.target
 	if p.indirectRequests > 0 && !v.isFailureBurst() { // in a burst the members that were asked are dead as well
@@ -238,6 +251,6 @@
 	}
 	target.unconfirmedProbes++
 	if target.unconfirmedProbes >= maxUnconfirmedProbes && target.State == Alive {
-		v.setState(target, Unreachable, target.Incarnation, "no answer here, and nobody has confirmed it")
+		v.setState(target, Unreachable, target.Incarnation, causeUnconfirmed)
 	}
 }
--- a/membership/rumor.go
+++ b/membership/rumor.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// handleRumor takes a rumor. senderIsLive says whether the sender may accuse members and declare them dead.
+// handleRumor handles a rumor. senderIsLive says whether the sender may accuse members and declare them dead.
 func (v *View) handleRumor(r *Rumor, senderIsLive bool) {
 	if r.Subject == v.id {
 		v.handleRumorAboutSelf(r)
@@ -15,23 +15,23 @@
 	switch r.State {
 	case Alive:
 		if r.Incarnation > subject.Incarnation {
-			v.acceptIncarnation(subject, r.Incarnation, "contradicts")
+			v.acceptIncarnation(subject, r.Incarnation, causeRefutedReport)
 		}
 	case Suspect:
 		if !senderIsLive {
 			return
 		}
 		if r.Incarnation > subject.Incarnation {
-			v.setState(subject, Alive, r.Incarnation, "a newer accusation")
+			v.setState(subject, Alive, r.Incarnation, causeReaccused)
 		}
-		v.suspect(subject, r.Accusers, "accused by others")
+		v.suspect(subject, r.Accusers, causeAccused)
 	case Dead:
 		if senderIsLive {
-			v.setState(subject, Dead, r.Incarnation, "others found it dead")
+			v.setState(subject, Dead, r.Incarnation, causeDeclaredDead)
 			v.enqueueRumor(subject, false)
 		}
 	case Left:
-		v.setState(subject, Left, r.Incarnation, "said goodbye")
+		v.setState(subject, Left, r.Incarnation, causeLeft)
 		v.enqueueRumor(subject, false)
 	}
 }
@@ -43,7 +43,7 @@
 		r.Incarnation == m.Incarnation && !m.State.isLive()
 }
 
-// acceptIncarnation takes a newer incarnation of a live member. One that doesn't answer this member stays unreachable
+// acceptIncarnation records a newer incarnation of a live member. One that doesn't answer this member stays unreachable
 // until it does, and is checked.
 func (v *View) acceptIncarnation(m *member, incarnation uint64, cause string) {
 	state := Alive
@@ -55,7 +55,7 @@
 	v.enqueueRumor(m, false)
 }
 
-// handleRecord takes a record. A death in a record may be an old one, so it is verified unless the member is suspect
+// handleRecord handles a record. A death in a record may be an old one, so it is verified unless the member is suspect
 // here as well. gossip says whether what is new is gossiped.
 func (v *View) handleRecord(r *Record, gossip bool) {
 	id := IDOf(r.Name)
@@ -78,26 +78,26 @@
 	switch {
 	case r.State == Alive && r.Incarnation > subject.Incarnation:
 		v.updateFromRecord(subject, r)
-		v.setState(subject, Alive, r.Incarnation, "told by others")
+		v.setState(subject, Alive, r.Incarnation, causeReported)
 		if gossip {
 			v.enqueueRumor(subject, true)
 		}
 	case r.State == Dead && subject.State == Suspect && r.Incarnation == subject.Incarnation && sameProcess:
-		v.setState(subject, Dead, r.Incarnation, "others found it dead")
+		v.setState(subject, Dead, r.Incarnation, causeDeclaredDead)
 	case r.State == Dead && subject.State.isLive() && r.Incarnation >= subject.Incarnation:
 		rumor := r.rumor()
 		v.scheduleCheck(subject, &rumor)
 	case r.State == Left && subject.State != Left && r.Incarnation >= subject.Incarnation:
-		v.setState(subject, Left, r.Incarnation, "said goodbye")
+		v.setState(subject, Left, r.Incarnation, causeLeft)
 	}
 }
 
-// handleNewRecord takes a record of a member that is not known.
+// handleNewRecord handles a record of a member that is not known.
 func (v *View) handleNewRecord(r *Record, gossip bool) {
 	if r.State != Alive || r.Name == "" || !r.Addr.IsValid() {
 		return
 	}
-	m := v.addMember(r, "told by others")
+	m := v.addMember(r, causeReported)
 	if gossip {
 		v.enqueueRumor(m, true)
 	}
