--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -12,7 +12,7 @@
 	// Succeed passes on a host's answer; of a streamed one the body is the rest.
 	Succeed(body []byte)
 	// Reject says that the request was not answered and that repeating it is safe: it did not run, or is idempotent, or
-	// all hosts of its group drop repeats of its key. The client may retry after retryAfterMs; 0: no hint is given.
+	// every group drops repeats of its key. The client may retry after retryAfterMs; 0: no hint is given.
 	Reject(retryAfterMs float64)
 	// Fail promises nothing. The body is a host's own error, or nil where no host answered with one.
 	Fail(body []byte)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -39,8 +39,8 @@
 	ConnectionClosed(error)
 }
 
-// Dialer opens connections to hosts. The Core passes Request.Command and the health check's command on to them unread;
-// each implementation says which type it accepts, for instance pg.Command for a pg.HostDialer.
+// Dialer opens connections to hosts. The Core passes Request.Command and the health check's command on to them unread.
+// An implementation accepts one type of command; that of pg.HostDialer is pg.Command.
 type Dialer interface {
 	// Dial starts to connect to an address. handler receives the callbacks, none of them before Dial returns.
 	Dial(address string, handler UpstreamHandler) (UpstreamConn, error)
