--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -92,6 +92,9 @@
 // NextRound runs a function in the next round, which starts without waiting.
 func (l *Loop) NextRound(fn func()) { l.nextRound = append(l.nextRound, fn) }
 
+// Wake makes the next round start without waiting, so that its step function sees what was changed in this one.
+func (l *Loop) Wake() { l.NextRound(func() {}) }
+
 // Stop ends Run after the present round.
 func (l *Loop) Stop() { l.stopped = true }
 
@@ -105,7 +108,7 @@
 		}
 		startMs := l.Clock.Now()
 		l.runNextRound()
-		l.dispatch(events[:max(count, 0)])
+		l.handleEvents(events[:max(count, 0)])
 		l.Fire()
 		step()
 		if elapsedMs := l.Clock.Now() - startMs; elapsedMs > delayThresholdMs && l.OnDelay != nil {
@@ -124,8 +127,8 @@
 	}
 }
 
-// dispatch passes events to the watchers of their descriptors, except where a descriptor was closed meanwhile.
-func (l *Loop) dispatch(events []unix.EpollEvent) {
+// handleEvents passes events to the watchers of their descriptors, except where a descriptor was closed meanwhile.
+func (l *Loop) handleEvents(events []unix.EpollEvent) {
 	for _, event := range events {
 		r, ok := l.registrations[event.Fd]
 		if ok && r.generation == event.Pad {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -5,19 +5,24 @@
 	"merlinjunction/routing"
 )
 
-// minSendTimeLeftMs is the least time that an answer must have left for its command to be sent.
+// minSendTimeLeftMs is the least time that an answer must have left for its command to be sent: with less, the command
+// would take up the host for an answer that comes after the client has given up.
 const minSendTimeLeftMs = 1.0
 
 // hostAttempt is one sending of a command to a host: of a request, or a health check where request is nil.
 type hostAttempt struct {
-	request      *request
-	number       int // among the request's attempts, from 0
+	request *request
+	// number is the attempt's among the request's, from 0. The router counts them on its own side, in the same order:
+	// routing.CancelAttempt and routing.AttemptResult name an attempt by it.
+	number       int
 	host         *host
 	conn         *pooledConn // nil while it waits for one
 	sendBeforeMs float64     // it is not sent at or after this time; 0: there is no such time
-	written      bool        // the last byte of the command was handed to the system: it may run
-	ended        bool
-	timer        *eventloop.Timer // aborts it
+	// written: the last byte of the command was handed to the system, so it may run. The connection keeps such a flag of
+	// its own for the command that is on it; this one stays with the attempt when the connection is closed.
+	written bool
+	ended   bool
+	timer   *eventloop.Timer // aborts it
 }
 
 // startAttempt sends a request to the host that the router chose. The attempt ends as not sent where that would be
@@ -44,7 +49,7 @@
 	if attempt.sendBeforeMs > 0 {
 		c.timers.At(attempt.sendBeforeMs, func() { c.abortUnwritten(attempt) })
 	}
-	c.dispatch(attempt)
+	c.assignConn(attempt)
 }
 
 // cancelAttempt aborts an attempt that the router needs no more.
