--- a/internal/faultsim/host_steps.go
+++ b/internal/faultsim/host_steps.go
@@ -46,8 +46,8 @@
 			n.Group.SetPrimary(n)
 		}
 	case HostSlow:
-		if h.Slow = t.StepMs; t.Undo {
-			h.Slow = 1
+		if h.SlowFactor = t.StepMs; t.Undo {
+			h.SlowFactor = 1
 		}
 		return
 	}
--- /dev/null
+++ b/internal/faultsim/model/dialer.go
@@ -0,0 +1,32 @@
+package model
+
+import (
+	"fmt"
+	"strconv"
+
+	"merlinjunction/internal/proxy"
+)
+
+// dialer opens connections from a gateway to hosts. An address is a host's index.
+type dialer struct{ *Gateway }
+
+// Dial begins to connect. It fails at once if no host ever had the address.
+func (d dialer) Dial(address string, handler proxy.UpstreamHandler) (proxy.UpstreamConn, error) {
+	index, err := strconv.Atoi(address)
+	if err != nil || index >= len(d.world.Hosts) {
+		return nil, fmt.Errorf("nobody is at %q", address)
+	}
+	c := &conn{gateway: d.Gateway, host: d.world.Hosts[index], handler: handler}
+	d.conns++
+	c.deliverToHost(func() { c.host.accept(c) })
+	return &gatewayConn{c}, nil
+}
+
+// gatewayConn is a conn that its gateway counts as open.
+type gatewayConn struct{ *conn }
+
+// Close ends the connection.
+func (c *gatewayConn) Close() {
+	c.gateway.conns--
+	c.conn.Close()
+}
--- a/internal/faultsim/model/discovery.go
+++ b/internal/faultsim/model/discovery.go
@@ -2,152 +2,81 @@
 
 import (
 	"math"
-	"math/rand/v2"
 	"strconv"
 	"time"
 
-	"merlinjunction/fleet"
 	"merlinjunction/internal/proxy"
 	"merlinjunction/routing"
 )
 
-// Discovery tells gateways the list of hosts. It answers so many first calls a second, and turns the others away.
+// Discovery is the model of the service that publishes the endpoint list. It answers a bounded number of polls for the
+// full list each second and rejects the others; watches are answered without a bound.
 type Discovery struct {
-	world   *World
-	Rate    float64 // whole lists a second; 0: any number
-	Blind   bool    // it does not tell when hosts started
-	version int
-	entries []proxy.Host
-	left    float64 // whole lists that it can still write
-	at      float64
-	waiting []*Watch
+	MaxFullListsPerSecond float64 // 0: no limit
+	HideStartTimes        bool    // the list leaves out when hosts started
+
+	world        *World
+	version      int // of the list
+	hosts        []proxy.Host
+	tokens       float64 // full lists that may be answered at once (token bucket)
+	refilledAtMs float64 // when tokens was last refilled
+	waiting      []*Watcher
 }
 
-// NewDiscovery is one whose list is empty.
-func (w *World) NewDiscovery(rate float64) *Discovery { return &Discovery{world: w, Rate: rate} }
+// NewDiscovery returns a Discovery whose list is empty.
+func (w *World) NewDiscovery(maxFullListsPerSecond float64) *Discovery {
+	return &Discovery{world: w, MaxFullListsPerSecond: maxFullListsPerSecond}
+}
 
-// Publish takes the hosts' state into the list and tells those that wait.
+// Publish makes a new version of the list from the hosts' present state and answers all waiting watches with it.
 func (d *Discovery) Publish() {
 	d.version++
-	d.entries = d.entries[:0]
-	for _, h := range d.world.Hosts {
-		if !h.Up {
-			continue
-		}
-		phase, started := routing.StateReady, time.Duration(0)
-		if !math.IsNaN(h.DrainAt) {
-			if phase = routing.StateDraining; math.IsNaN(h.NotifiedAt) {
-				h.NotifiedAt = d.world.Now()
-			}
+	d.hosts = d.hosts[:0]
+	for _, host := range d.world.Hosts {
+		if host.Up {
+			d.hosts = append(d.hosts, d.listEntry(host))
 		}
-		if !math.IsNaN(h.StartedAt) && !d.Blind {
-			started = time.Duration((Epoch + h.StartedAt) * float64(time.Millisecond))
-		}
-		d.entries = append(d.entries, proxy.Host{Address: strconv.Itoa(h.Index), Endpoint: routing.Endpoint{ID: h.ID, Group: h.Group.Index, Zone: h.Zone,
-			Primary: h.Group.Primary == h, State: phase, StartedAt: started}})
 	}
-	list := d.waiting
+	waiting := d.waiting
 	d.waiting = nil
-	for _, w := range list {
-		w.answer()
+	for _, watcher := range waiting {
+		watcher.answer()
 	}
 }
 
-// Watch is one gateway's calls, when as package fleet decides.
-type Watch struct {
-	d     *Discovery
-	g     *Gateway
-	calls fleet.PollPolicy
-	rng   *rand.Rand
-	since int
-	life  int
-	turn  int // of the call that is out
-}
-
-func (d *Discovery) watch(g *Gateway, set routing.Settings, seed uint64) *Watch {
-	w := &Watch{d: d, g: g, rng: rand.New(rand.NewPCG(seed, 5)), since: -1, life: g.generation,
-		calls: fleet.PollPolicy{SlotSchedule: set.Schedule(), DrainGraceMs: float64(set.DrainGrace / time.Millisecond)}}
-	w.after(0, w.ask)
-	return w
-}
-
-func (w *Watch) after(ms float64, f func()) {
-	s := w.d.world
-	s.At(s.Now()+ms, func() {
-		if w.g.generation == w.life {
-			f()
-		}
-	})
-}
-
-func (w *Watch) ask() {
-	d := w.d
-	wait, patience := w.calls.NextPoll(w.since >= 0)
-	w.turn++
-	turn, asked := w.turn, d.world.Now()
-	d.world.Counters.Polls++
-	w.after(patience, func() {
-		if w.turn == turn {
-			w.turn++
-			w.after(w.calls.TimedOut(asked, d.world.Now(), w.rng.Float64()), w.ask)
-		}
-	})
-	w.after(d.world.LinkMs, func() {
-		switch {
-		case w.turn != turn:
-		case w.since < 0 && !d.room():
-			d.world.Counters.PollsRejected++
-			w.after(d.world.LinkMs, w.failed)
-		case d.version > w.since:
-			w.answer()
-		default:
-			d.waiting = append(d.waiting, w)
-			w.after(wait, func() {
-				if w.turn == turn {
-					w.answer()
-				}
-			})
+// listEntry is a host as the list shows it. Listing a drain for the first time notifies the gateways of it.
+func (d *Discovery) listEntry(host *Host) proxy.Host {
+	endpoint := routing.Endpoint{
+		ID:      host.ID,
+		Group:   host.Group.Index,
+		Zone:    host.Zone,
+		Primary: host.Group.Primary == host,
+		State:   routing.StateReady,
+	}
+	if !math.IsNaN(host.DrainAt) {
+		endpoint.State = routing.StateDraining
+		if math.IsNaN(host.NotifiedAt) {
+			host.NotifiedAt = d.world.Now()
 		}
-	})
+	}
+	if !math.IsNaN(host.StartedAt) && !d.HideStartTimes {
+		endpoint.StartedAt = time.Duration((Epoch + host.StartedAt) * float64(time.Millisecond))
+	}
+	return proxy.Host{Address: strconv.Itoa(host.Index), Endpoint: endpoint}
 }
 
-func (d *Discovery) room() bool {
-	if d.Rate <= 0 {
+// takeToken admits one poll for the full list; false where the rate limit is exceeded.
+func (d *Discovery) takeToken() bool {
+	limit := d.MaxFullListsPerSecond
+	if limit <= 0 {
 		return true
 	}
 	now := d.world.Now()
-	d.left = min(d.Rate, d.left+(now-d.at)*d.Rate/1000)
-	d.at = now
-	if d.left < 1 {
+	d.tokens = min(limit, d.tokens+(now-d.refilledAtMs)*limit/1000)
+	d.refilledAtMs = now
+	if d.tokens < 1 {
 		return false
 	}
-	d.left--
+	d.tokens--
 	return true
 }
-
-// answer writes the list as it is now.
-func (w *Watch) answer() {
-	for i, o := range w.d.waiting {
-		if o == w {
-			w.d.waiting = append(w.d.waiting[:i], w.d.waiting[i+1:]...)
-			break
-		}
-	}
-	w.turn++
-	changed := w.d.version > w.since
-	version := w.d.version
-	list := append([]proxy.Host(nil), w.d.entries...)
-	w.after(w.d.world.LinkMs, func() {
-		_, told := w.calls.Answered(w.d.world.Now())
-		w.since = version
-		if changed {
-			w.g.receive(func() { w.g.core.UpdateHostsNotifiedAt(true, list, told) })
-		}
-		w.ask()
-	})
-}
-
-func (w *Watch) failed() {
-	w.turn++
-	w.after(w.calls.Failed(w.d.world.Now(), w.rng.Float64()), w.ask)
-}
--- a/internal/faultsim/model/model.go
+++ b/internal/faultsim/model/model.go
@@ -1,67 +1,83 @@
-// Package model has the fault simulator's models of what surrounds a gateway on virtual time: database hosts with cores, a
-// queue, a connection table, a log and a warm-up; discovery with a bounded rate; and a driver that plays the program's
-// own core (package proxy, with the decisions in routing and fleet) against them. It is written from the protocol pages.
-// All times are milliseconds, all rates a second.
+// Package model has the fault simulator's models of a gateway's environment on virtual time: database hosts with cores,
+// a queue, a connection limit, a replicated log and slow start; discovery with a rate limit; and a driver that runs the
+// program's own core (package proxy, with the decisions in routing and fleet) against them. The models follow the
+// protocol pages. All times are milliseconds of virtual time, all rates are per second.
 package model
 
 import "math/rand/v2"
 
-// Scheduler is the virtual time. What is entered for the same time happens in the order of entry.
+// Scheduler is the virtual clock. Functions that are scheduled for one time are called in the order of the At calls.
 type Scheduler interface {
+	// Now is the present time, ms.
 	Now() float64
-	At(ms float64, f func())
+	// At calls a function at a time in ms.
+	At(ms float64, call func())
 }
 
-// World is what all models of one run share.
+// World is the state that all models of one run share.
 type World struct {
 	Scheduler
-	Rng       *rand.Rand
-	LinkMs    float64                      // one way between a gateway and a host
-	FarMs     float64                      // added between zones
-	IsCut     func(gateway, host int) bool // nothing goes between them
+	Random    *rand.Rand
+	LinkMs    float64                      // one-way delay between a gateway and a host
+	FarMs     float64                      // additional one-way delay between zones
+	IsCut     func(gateway, host int) bool // whether the link between them loses everything
 	Groups    []*Group
-	Hosts     []*Host // all that ever were
+	Hosts     []*Host // including those that have ended
 	SlowStart SlowStart
 	Counters  Counters
 }
 
-// SlowStart is how hosts warm up, and what the gateways are told of it.
+// SlowStart is how the capacity of a host grows after its start, as the gateways' settings describe it.
 type SlowStart struct {
-	MinShare         float64 // of its capacity that a host has at its start
-	WindowMs         float64 // until it has all
-	OverloadMultiple float64 // times its warmth of Usual, that pushes a host over that warms up
-	UsualRate        float64 // requests a second that a warm host is made for: an even part of the traffic
-	OverloadWindowMs float64 // over so long
+	MinShare         float64 // share of its capacity that a host has at its start
+	WindowMs         float64 // until it has its full capacity
+	OverloadMultiple float64 // multiple of its share of UsualRate above which a host in slow start is overloaded
+	UsualRate        float64 // requests per second of one host when the load is spread evenly
+	OverloadWindowMs float64 // over which the rate of arrivals counts
 }
 
-// CapacityShare is the share of its capacity that a host has that started at a time; NaN stands for long ago.
-func (w *SlowStart) CapacityShare(started, now float64) float64 {
-	if !(now-started < w.WindowMs) {
+// CapacityShare is the share of its full capacity that a host has which started at a time; NaN stands for long ago.
+func (s *SlowStart) CapacityShare(startedAt, now float64) float64 {
+	if !(now-startedAt < s.WindowMs) {
 		return 1
 	}
-	return w.MinShare + (1-w.MinShare)*max(0, now-started)/w.WindowMs
+	return s.MinShare + (1-s.MinShare)*max(0, now-startedAt)/s.WindowMs
 }
 
-// Counters are what was counted over all hosts and gateways.
+// Counters count events over all hosts and gateways.
 type Counters struct {
-	Handshakes, Refusals, Probes, Polls, PollsRejected int
-	Misdirected                                        int // writes at a replica
-	Overloads                                          int // cold hosts pushed over
-	Drained, Doubled                                   int // the rules
-	Statements                                         int
+	Handshakes           int
+	Refusals             int // of connections
+	Probes               int
+	Polls                int // of discovery
+	PollsRejected        int
+	Misdirected          int // writes at a replica
+	Overloads            int // of hosts in slow start
+	StatementsAfterDrain int // statements at a host past the grace period of its drain
+	DuplicateWrites      int // writes repeated past the deduplication window
+	Statements           int
 }
 
-// Group is the hosts that hold the same data: one is primary. Its log is kept as the times of the sessions' last writes.
+// Group is the hosts that hold the same data. At most one is the primary. Positions of its log are times.
 type Group struct {
 	Index   int
-	Primary *Host // nil: none at present
-	keys    map[uint64]float64
+	Primary *Host // nil: none
+
+	keys map[uint64]float64 // when each idempotency key was last used
+}
+
+// SetPrimary makes a host the primary of its group; nil: none. The previous primary keeps the position it had applied.
+func (g *Group) SetPrimary(host *Host) {
+	if previous := g.Primary; previous != nil && previous != host {
+		previous.appliedAsPrimary = previous.world.Now()
+	}
+	g.Primary = host
 }
 
-// Statement is a command on its way: a request, or a probe where Probe is set.
+// Statement is a command from a gateway to a host: a request, or a health check where Probe is set.
 type Statement struct {
 	Probe   bool
 	Write   bool
 	Session int
-	Key     uint64 // of a write
+	Key     uint64 // idempotency key of a write
 }
--- a/internal/faultsim/model/model_test.go
+++ b/internal/faultsim/model/model_test.go
@@ -9,216 +9,257 @@
 	"merlinjunction/routing"
 )
 
-// agenda is a scheduler that a test sets on.
-type agenda struct {
-	now  float64
-	list []entry
+// testScheduler is a virtual clock that a test advances.
+type testScheduler struct {
+	now     float64
+	entries []scheduledCall
 }
 
-type entry struct {
-	at float64
-	do func()
+type scheduledCall struct {
+	at   float64
+	call func()
 }
 
-func (a *agenda) Now() float64 { return a.now }
+func (s *testScheduler) Now() float64 { return s.now }
 
-func (a *agenda) At(ms float64, f func()) { a.list = append(a.list, entry{max(ms, a.now), f}) }
+func (s *testScheduler) At(ms float64, call func()) {
+	s.entries = append(s.entries, scheduledCall{max(ms, s.now), call})
+}
 
-func (a *agenda) until(ms float64) {
+// runUntil makes the calls that are due until a time, earliest first.
+func (s *testScheduler) runUntil(ms float64) {
 	for {
 		next := -1
-		for i, e := range a.list {
-			if e.at <= ms && (next < 0 || e.at < a.list[next].at) {
+		for i, entry := range s.entries {
+			if entry.at <= ms && (next < 0 || entry.at < s.entries[next].at) {
 				next = i
 			}
 		}
 		if next < 0 {
 			break
 		}
-		e := a.list[next]
-		a.list = append(a.list[:next], a.list[next+1:]...)
-		a.now = e.at
-		e.do()
+		entry := s.entries[next]
+		s.entries = append(s.entries[:next], s.entries[next+1:]...)
+		s.now = entry.at
+		entry.call()
 	}
-	a.now = ms
+	s.now = ms
 }
 
-func world() (*World, *agenda) {
-	a := &agenda{}
-	return &World{Scheduler: a, Rng: rand.New(rand.NewPCG(1, 1)), LinkMs: 0.3, IsCut: func(int, int) bool { return false },
-		SlowStart: SlowStart{MinShare: 0.2, WindowMs: 10_000, OverloadMultiple: 2.5, OverloadWindowMs: 1000, UsualRate: 50}, Groups: []*Group{{}}}, a
+func newTestWorld() (*World, *testScheduler) {
+	scheduler := &testScheduler{}
+	world := &World{
+		Scheduler: scheduler,
+		Random:    rand.New(rand.NewPCG(1, 1)),
+		LinkMs:    0.3,
+		IsCut:     func(int, int) bool { return false },
+		SlowStart: SlowStart{
+			MinShare:         0.2,
+			WindowMs:         10_000,
+			OverloadMultiple: 2.5,
+			OverloadWindowMs: 1000,
+			UsualRate:        50,
+		},
+		Groups: []*Group{{}},
+	}
+	return world, scheduler
 }
 
-func config() *HostConfig {
-	return &HostConfig{Cores: 2, ReadMs: 4, WriteMs: 6, HandshakeMs: 2, Queue: 20, Conns: 3, LagMs: 30, DedupWindowMs: 2000, DrainGraceMs: 2000}
+func testHostConfig() *HostConfig {
+	return &HostConfig{
+		Cores:         2,
+		ReadMs:        4,
+		WriteMs:       6,
+		HandshakeMs:   2,
+		QueueLimit:    20,
+		MaxConns:      3,
+		LagMs:         30,
+		DedupWindowMs: 2000,
+		DrainGraceMs:  2000,
+	}
 }
 
-// peer is the gateway's end of a connection.
-type peer struct {
-	ups, downs, written int
-	got                 []proxy.Response
+// recordingHandler is the gateway's side of a connection: it records what it is notified of.
+type recordingHandler struct {
+	established, closed, written int
+	responses                    []proxy.Response
 }
 
-func (p *peer) Established()                      { p.ups++ }
-func (p *peer) RequestWritten()                   { p.written++ }
-func (p *peer) BeginStream(func()) bool           { return false }
-func (p *peer) StreamPart([]byte) int             { return 0 }
-func (p *peer) ResponseReceived(a proxy.Response) { p.got = append(p.got, a) }
-func (p *peer) ConnectionClosed(error)            { p.downs++ }
+func (h *recordingHandler) Established()            { h.established++ }
+func (h *recordingHandler) RequestWritten()         { h.written++ }
+func (h *recordingHandler) BeginStream(func()) bool { return false }
+func (h *recordingHandler) StreamPart([]byte) int   { return 0 }
+func (h *recordingHandler) ConnectionClosed(error)  { h.closed++ }
+func (h *recordingHandler) ResponseReceived(response proxy.Response) {
+	h.responses = append(h.responses, response)
+}
 
-func dial(t *testing.T, w *World, to string) (*peer, proxy.UpstreamConn) {
+// dial connects to a host from a gateway of its own.
+func dial(t *testing.T, world *World, address string) (*recordingHandler, proxy.UpstreamConn) {
 	t.Helper()
-	p, g := &peer{}, w.NewGateway(0, "")
-	if err := g.Start(Settings(&w.SlowStart, config(), 1), w.NewDiscovery(0), 1); err != nil {
+	handler, gateway := &recordingHandler{}, world.NewGateway(0, "")
+	settings := Settings(&world.SlowStart, testHostConfig(), 1)
+	if err := gateway.Start(settings, world.NewDiscovery(0), 1); err != nil {
 		t.Fatal(err)
 	}
-	c, err := dialer{g}.Dial(to, p)
+	conn, err := dialer{gateway}.Dial(address, handler)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p, c
+	return handler, conn
 }
 
-// A host holds so many connections, each after a handshake; it refuses more, and resets all when it dies.
-func TestConnections(t *testing.T) {
-	w, a := world()
-	h := w.AddHost(config(), "h", "", w.Groups[0], math.NaN())
-	var peers []*peer
+// A host accepts connections up to its limit, each after a handshake, and refuses more. It resets all when it is killed.
+func TestConnectionLimitAndReset(t *testing.T) {
+	world, scheduler := newTestWorld()
+	host := world.AddHost(testHostConfig(), "h", "", world.Groups[0], math.NaN())
+	var handlers []*recordingHandler
 	for range 4 {
-		p, _ := dial(t, w, "0")
-		peers = append(peers, p)
+		handler, _ := dial(t, world, "0")
+		handlers = append(handlers, handler)
+	}
+	scheduler.runUntil(1)
+	if handlers[0].established != 0 {
+		t.Error("established before its handshake")
 	}
-	a.until(1)
-	if peers[0].ups != 0 {
-		t.Error("up before its handshake")
+	scheduler.runUntil(20)
+	established, refused := 0, 0
+	for _, handler := range handlers {
+		established, refused = established+handler.established, refused+handler.closed
 	}
-	a.until(20)
-	ups, downs := 0, 0
-	for _, p := range peers {
-		ups, downs = ups+p.ups, downs+p.downs
+	if established != 3 || refused != 1 || host.Conns() != 3 ||
+		world.Counters.Handshakes != 3 || world.Counters.Refusals != 1 {
+		t.Errorf("%d established, %d refused, %d open, %+v", established, refused, host.Conns(), world.Counters)
 	}
-	if ups != 3 || downs != 1 || h.Conns() != 3 || w.Counters.Handshakes != 3 || w.Counters.Refusals != 1 {
-		t.Errorf("%d up, %d refused, %d held, %+v", ups, downs, h.Conns(), w.Counters)
+	host.Kill()
+	scheduler.runUntil(40)
+	closed := 0
+	for _, handler := range handlers {
+		closed += handler.closed
 	}
-	h.Kill()
-	a.until(40)
-	if h.Conns() != 0 || peers[0].downs+peers[1].downs+peers[2].downs+peers[3].downs != 4 {
+	if host.Conns() != 0 || closed != 4 {
 		t.Error("connections outlive their host")
 	}
-	if _, err := (dialer{w.NewGateway(0, "")}).Dial("7", &peer{}); err == nil {
-		t.Error("a host that isn't there takes connections")
+	if _, err := (dialer{world.NewGateway(0, "")}).Dial("7", &recordingHandler{}); err == nil {
+		t.Error("an address without a host accepts connections")
 	}
 }
 
-// A write runs at the primary only, its key is remembered for its time, and a replica shows the log as it stood its lag
-// before; one that ceases to be primary does not forget.
-func TestLog(t *testing.T) {
-	w, a := world()
-	g := w.Groups[0]
-	first, second := w.AddHost(config(), "h0", "", g, math.NaN()), w.AddHost(config(), "h1", "", g, math.NaN())
-	g.SetPrimary(first)
-	p, c := dial(t, w, "0")
-	q, d := dial(t, w, "1")
-	a.until(100)
-	c.Send(&Statement{Write: true, Key: 1}, 0)
-	d.Send(&Statement{Write: true, Key: 1}, 0)
-	a.until(200)
-	if len(p.got) != 1 || p.got[0].Outcome != routing.OutcomeOK || p.got[0].Role != routing.RolePrimary || len(q.got) != 1 || q.got[0].Outcome != routing.OutcomeMisdirected {
-		t.Fatalf("%+v, %+v", p.got, q.got)
-	}
-	if w.Counters.Misdirected != 1 || w.Counters.Statements != 2 {
-		t.Errorf("%+v", w.Counters)
-	}
-	if lag := first.applied() - second.applied(); lag != 30 {
+// A write runs at the primary only, its key is remembered for the deduplication window, and a replica shows the log of
+// one replication lag ago. A host that ceases to be the primary keeps what it had applied.
+func TestReplicatedLog(t *testing.T) {
+	world, scheduler := newTestWorld()
+	group := world.Groups[0]
+	first := world.AddHost(testHostConfig(), "h0", "", group, math.NaN())
+	second := world.AddHost(testHostConfig(), "h1", "", group, math.NaN())
+	group.SetPrimary(first)
+	firstHandler, firstConn := dial(t, world, "0")
+	secondHandler, secondConn := dial(t, world, "1")
+	scheduler.runUntil(100)
+	firstConn.Send(&Statement{Write: true, Key: 1}, 0)
+	secondConn.Send(&Statement{Write: true, Key: 1}, 0)
+	scheduler.runUntil(200)
+	atFirst, atSecond := firstHandler.responses, secondHandler.responses
+	if len(atFirst) != 1 || atFirst[0].Outcome != routing.OutcomeOK || atFirst[0].Role != routing.RolePrimary ||
+		len(atSecond) != 1 || atSecond[0].Outcome != routing.OutcomeMisdirected {
+		t.Fatalf("%+v, %+v", atFirst, atSecond)
+	}
+	if world.Counters.Misdirected != 1 || world.Counters.Statements != 2 {
+		t.Errorf("%+v", world.Counters)
+	}
+	if lag := first.appliedPosition() - second.appliedPosition(); lag != 30 {
 		t.Errorf("the replica is %.0f behind", lag)
 	}
-	before := first.applied()
-	g.SetPrimary(second)
-	a.until(210)
-	if first.applied() < before || second.applied() != 210 {
-		t.Errorf("the old primary stands at %.0f after %.0f", first.applied(), before)
+	before := first.appliedPosition()
+	group.SetPrimary(second)
+	scheduler.runUntil(210)
+	if first.appliedPosition() < before || second.appliedPosition() != 210 {
+		t.Errorf("the previous primary's position is %.0f after %.0f", first.appliedPosition(), before)
 	}
-	d.Send(&Statement{Write: true, Key: 1}, 0)
-	a.until(300)
-	if w.Counters.Doubled != 0 {
-		t.Error("a repeat in time counts")
+	secondConn.Send(&Statement{Write: true, Key: 1}, 0)
+	scheduler.runUntil(300)
+	if world.Counters.DuplicateWrites != 0 {
+		t.Error("a repetition within the window counts as a duplicate")
 	}
-	a.until(3000)
-	d.Send(&Statement{Write: true, Key: 1}, 0)
-	a.until(3100)
-	if w.Counters.Doubled != 1 {
-		t.Error("a repeat too late does not count")
+	scheduler.runUntil(3000)
+	secondConn.Send(&Statement{Write: true, Key: 1}, 0)
+	scheduler.runUntil(3100)
+	if world.Counters.DuplicateWrites != 1 {
+		t.Error("a repetition past the window does not count as a duplicate")
 	}
 }
 
-// A full queue turns away; a cold host works slower, and falls over where more comes than the rule allows, not before.
-func TestQueueAndFall(t *testing.T) {
-	w, a := world()
-	h := w.AddHost(config(), "h", "", w.Groups[0], math.NaN())
-	p, c := dial(t, w, "0")
-	a.until(50)
+// A host with a full queue rejects. A host in slow start is overloaded where more arrives than the rule allows, not
+// before.
+func TestQueueLimitAndOverload(t *testing.T) {
+	world, scheduler := newTestWorld()
+	host := world.AddHost(testHostConfig(), "h", "", world.Groups[0], math.NaN())
+	handler, conn := dial(t, world, "0")
+	scheduler.runUntil(50)
 	for range 40 {
-		c.Send(&Statement{}, 0)
+		conn.Send(&Statement{}, 0)
 	}
-	a.until(60)
-	full := 0
-	for _, x := range p.got {
-		if x.Outcome == routing.OutcomeRejected {
-			full++
+	scheduler.runUntil(60)
+	rejected := 0
+	for _, response := range handler.responses {
+		if response.Outcome == routing.OutcomeRejected {
+			rejected++
 		}
 	}
-	if full != 18 { // two run, twenty wait
-		t.Errorf("%d turned away", full)
-	}
-	a.until(2000)
-	h.StartedAt = 2000
-	p.got = nil
-	for i := range 60 { // 2.5 times a fifth of 50 in a second, with three roots of it and three: 43
-		a.until(2000 + 10*float64(i))
-		c.Send(&Statement{}, 0)
-		if fell := w.Counters.Overloads; i < 40 && fell > 0 || i == 50 && fell == 0 {
-			t.Fatalf("%d falls after %d", fell, i)
+	if rejected != 18 { // two run, twenty wait
+		t.Errorf("%d rejected", rejected)
+	}
+	scheduler.runUntil(2000)
+	host.StartedAt = 2000
+	handler.responses = nil
+	// 2.5 times a fifth of 50 per second are 25; with three times its root and three more 43 are allowed.
+	for i := range 60 {
+		scheduler.runUntil(2000 + 10*float64(i))
+		conn.Send(&Statement{}, 0)
+		if overloads := world.Counters.Overloads; i < 40 && overloads > 0 || i == 50 && overloads == 0 {
+			t.Fatalf("%d overloads after %d statements", overloads, i)
 		}
 	}
-	a.until(3000)
-	if w.Counters.Overloads != 1 || p.got[len(p.got)-1].Outcome != routing.OutcomeError {
-		t.Errorf("%d falls, at the last %+v", w.Counters.Overloads, p.got[len(p.got)-1])
+	scheduler.runUntil(3000)
+	last := handler.responses[len(handler.responses)-1]
+	if world.Counters.Overloads != 1 || last.Outcome != routing.OutcomeError {
+		t.Errorf("%d overloads, the last answer is %+v", world.Counters.Overloads, last)
 	}
 }
 
-// Discovery writes so many whole lists a second; a watch that waits hears of a change at once, others when they ask.
-func TestDiscovery(t *testing.T) {
-	w, a := world()
-	cfg := config()
-	w.AddHost(cfg, "h0", "", w.Groups[0], math.NaN())
-	d := w.NewDiscovery(2)
-	d.Publish()
-	set := Settings(&w.SlowStart, cfg, 6)
-	var gates []*Gateway
-	a.until(5000)
+// Discovery answers polls for the full list up to its rate limit; a waiting watch is answered at once after a change.
+func TestDiscoveryRateLimitAndWatch(t *testing.T) {
+	world, scheduler := newTestWorld()
+	config := testHostConfig()
+	world.AddHost(config, "h0", "", world.Groups[0], math.NaN())
+	discovery := world.NewDiscovery(2)
+	discovery.Publish()
+	settings := Settings(&world.SlowStart, config, 6)
+	var gateways []*Gateway
+	scheduler.runUntil(5000)
 	for i := range 6 {
-		g := w.NewGateway(i, "")
-		if err := g.Start(set, d, uint64(i)); err != nil {
+		gateway := world.NewGateway(i, "")
+		if err := gateway.Start(settings, discovery, uint64(i)); err != nil {
 			t.Fatal(err)
 		}
-		gates = append(gates, g)
-	}
-	a.until(5010)
-	if w.Counters.PollsRejected != 4 {
-		t.Errorf("%d of 6 lists at once were refused, room is for 2", w.Counters.PollsRejected)
-	}
-	a.until(20_000)
-	h := w.AddHost(cfg, "h1", "", w.Groups[0], 20_000)
-	h.DrainAt = 20_000
-	d.Publish()
-	a.until(20_010)
-	heard := 0
-	for _, g := range gates {
-		if g.watch.since == 2 {
-			heard++
+		gateways = append(gateways, gateway)
+	}
+	scheduler.runUntil(5010)
+	if world.Counters.PollsRejected != 4 {
+		t.Errorf("%d of 6 polls at once were rejected, the limit is 2", world.Counters.PollsRejected)
+	}
+	scheduler.runUntil(20_000)
+	host := world.AddHost(config, "h1", "", world.Groups[0], 20_000)
+	host.DrainAt = 20_000
+	discovery.Publish()
+	scheduler.runUntil(20_010)
+	updated := 0
+	for _, gateway := range gateways {
+		if gateway.watcher.revision == 2 {
+			updated++
 		}
 	}
-	if heard != 6 || h.NotifiedAt != 20_000 {
-		t.Errorf("%d of 6 heard at once, told since %.0f", heard, h.NotifiedAt)
+	if updated != 6 || host.NotifiedAt != 20_000 {
+		t.Errorf("%d of 6 have the update, notified at %.0f", updated, host.NotifiedAt)
 	}
 }
--- a/internal/faultsim/request_measurements.go
+++ b/internal/faultsim/request_measurements.go
@@ -45,7 +45,7 @@
 		f[name] = v
 	}
 	f["handshakes"], f["misdirected"] = float64(b.Handshakes), float64(b.Misdirected)
-	f["cold"], f["drained"], f["doubled"] = float64(b.Overloads), float64(b.Drained), float64(b.Doubled)
+	f["cold"], f["drained"], f["doubled"] = float64(b.Overloads), float64(b.StatementsAfterDrain), float64(b.DuplicateWrites)
 	s.tally.measure(r, f)
 	f["refused_share"] = float64(s.tally.Refused) / float64(max(1, s.tally.Sent-s.tally.Excused))
 	worst := math.Inf(1)
--- a/internal/faultsim/request_simulation.go
+++ b/internal/faultsim/request_simulation.go
@@ -54,11 +54,11 @@
 	e := em.experiment
 	s := &requestSimulation{emulation: em, rng: rand.New(rand.NewPCG(em.options.Seed, 11)), cuts: map[[2]int]int{}, seconds: map[int]*[2]int{}, peaks: map[string]float64{},
 		tally: RequestCounts{Latency: hdrhistogram.New(1, 60_000_000, 3)}}
-	s.world = &model.World{Scheduler: s, Rng: rand.New(rand.NewPCG(em.options.Seed, 12)), LinkMs: 0.3, FarMs: e.Network.FarMs,
+	s.world = &model.World{Scheduler: s, Random: rand.New(rand.NewPCG(em.options.Seed, 12)), LinkMs: 0.3, FarMs: e.Network.FarMs,
 		IsCut:     func(g, h int) bool { return len(s.cuts) > 0 && s.cuts[[2]int{g, h}] > 0 },
 		SlowStart: model.SlowStart{MinShare: 0.2, WindowMs: e.Hosts.ColdMs, OverloadMultiple: 2.5, OverloadWindowMs: 1000, UsualRate: e.Load.Emulated / float64(e.Hosts.Emulated)}}
-	s.hostConfig = &model.HostConfig{Cores: e.Hosts.Cores, ReadMs: e.Hosts.ReadMs, WriteMs: 1.5 * e.Hosts.ReadMs, HandshakeMs: 2, Queue: 200,
-		Conns: e.Hosts.Conns, LagMs: e.Hosts.LagMs, DedupWindowMs: 2000, DrainGraceMs: 2000}
+	s.hostConfig = &model.HostConfig{Cores: e.Hosts.Cores, ReadMs: e.Hosts.ReadMs, WriteMs: 1.5 * e.Hosts.ReadMs, HandshakeMs: 2, QueueLimit: 200,
+		MaxConns: e.Hosts.Conns, LagMs: e.Hosts.LagMs, DedupWindowMs: 2000, DrainGraceMs: 2000}
 	for g := range e.Hosts.Groups {
 		s.world.Groups = append(s.world.Groups, &model.Group{Index: g})
 	}
@@ -71,7 +71,7 @@
 		s.hosts = append(s.hosts, h)
 	}
 	s.discovery = s.world.NewDiscovery(e.Hosts.Lists)
-	s.discovery.Blind = em.options.Choices.By == "blind"
+	s.discovery.HideStartTimes = em.options.Choices.By == "blind"
 	s.discovery.Publish()
 	s.At(0, s.arrive)
 	s.At(1000, s.closeSecond)
