--- a/internal/faultsim/model/model_test.go
+++ b/internal/faultsim/model/model_test.go
@@ -109,7 +109,7 @@
 	return handler, conn
 }
 
-// A host accepts connections up to its limit, each after a handshake, and refuses more. It resets all when it is killed.
+// A host accepts connections up to its limit, each after a handshake, and refuses more. It resets all when killed.
 func TestConnectionLimitAndReset(t *testing.T) {
 	world, scheduler := newTestWorld()
 	host := world.AddHost(testHostConfig(), "h", "", world.Groups[0], math.NaN())
