--- a/cmd/merlinjunction/fleet_test.go
+++ b/cmd/merlinjunction/fleet_test.go
@@ -34,7 +34,7 @@
 listen = %q
 seeds = [%q]
 keys = [%s]
-%s`, name, listen, seed, strings.Join(quoted, ", "), testkit.OneHost)
+%s`, name, listen, seed, strings.Join(quoted, ", "), testkit.UnreachableHostConfig)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/merlinjunction/main_test.go
+++ b/cmd/merlinjunction/main_test.go
@@ -93,7 +93,7 @@
 	var log strings.Builder
 	for p.address == "" && lines.Scan() {
 		log.WriteString(lines.Text() + "\n")
-		p.address, p.management = testkit.Listening(lines.Text())
+		p.address, p.management = testkit.ParseServingLine(lines.Text())
 	}
 	if p.address == "" {
 		t.Fatalf("it doesn't serve: %s", log.String())
@@ -111,7 +111,7 @@
 	for folder, config := range map[string]string{"operator": "config.toml", "platform": "config.json"} {
 		t.Run(folder, func(t *testing.T) {
 			folder := filepath.Join("testdata", folder)
-			testkit.Play(t, folder, func(t *testing.T, cluster *testkit.Cluster) testkit.Gateway {
+			testkit.PlayScenarios(t, folder, func(t *testing.T, cluster *testkit.Cluster) testkit.Gateway {
 				t.Helper()
 				return start(t, cluster, filepath.Join(folder, config), nil)
 			})
--- a/cmd/merlinjunction/upgrade_test.go
+++ b/cmd/merlinjunction/upgrade_test.go
@@ -147,11 +147,11 @@
 	var out []byte
 	var err error
 	if isNew {
-		if out, err = testkit.Encode(out, "startup"); err != nil {
+		if out, err = testkit.EncodeMessage(out, "startup"); err != nil {
 			return "", err
 		}
 	}
-	if out, err = testkit.Encode(out, "query "+text); err != nil {
+	if out, err = testkit.EncodeMessage(out, "query "+text); err != nil {
 		return "", err
 	}
 	_ = c.conn.SetDeadline(time.Now().Add(20 * time.Second))
@@ -164,7 +164,7 @@
 	}
 	var types []string
 	for readyMessages > 0 {
-		message, err := testkit.Answer(c.conn)
+		message, err := testkit.ReadAnswer(c.conn)
 		if err != nil {
 			return strings.Join(types, " "), err
 		}
--- a/internal/faultsim/cost_test.go
+++ b/internal/faultsim/cost_test.go
@@ -54,6 +54,7 @@
 
 // timeLastOf is a NodeFactory that times the last of so many nodes. timed is set when that one is made.
 func timeLastOf(tb testing.TB, count int, timed **timedNode) NodeFactory {
+	tb.Helper()
 	keys := [][]byte{[]byte("sixteen bytes of key")}
 	made := 0
 	return func(config membership.Config, seed uint64) (Node, error) {
--- a/internal/faultsim/datagram_relay.go
+++ b/internal/faultsim/datagram_relay.go
@@ -16,8 +16,8 @@
 	relayDatagramBytes   = 2048 // longest datagram that is relayed
 )
 
-// DatagramRelays stand between gateways: each gateway advertises the address of its relay. A datagram is known by its
-// sender's own address, so each directed pair has a link of its own, with the faults that Network gives it.
+// DatagramRelays pass datagrams between gateways: each gateway advertises the address of its relay. The sender of a
+// datagram is recognized by its own address, so Network can treat each directed pair of gateways as a link.
 type DatagramRelays struct {
 	mutex     sync.Mutex
 	network   *Network
--- a/internal/faultsim/emulate.go
+++ b/internal/faultsim/emulate.go
@@ -69,18 +69,18 @@
 	if err != nil {
 		return nil, err
 	}
-	em := newEmulation(experiment, options)
+	emulation := newEmulation(experiment, options)
 	if len(steps) > 0 {
-		em.firstFaultMs = steps[0].At
+		emulation.firstFaultMs = steps[0].At
 	}
 	begun := time.Now()
-	em.run(options.Gateways, steps)
-	em.result.Duration = time.Since(begun)
-	return em.result, em.err
+	emulation.run(options.Gateways, steps)
+	emulation.result.Duration = time.Since(begun)
+	return emulation.result, emulation.err
 }
 
 func newEmulation(experiment *Experiment, options Options) *Emulation {
-	em := &Emulation{
+	emulation := &Emulation{
 		experiment:   experiment,
 		options:      options,
 		random:       rand.New(rand.NewPCG(options.Seed, 1)),
@@ -95,11 +95,11 @@
 			Gateways:   options.Gateways,
 		},
 	}
-	em.oracle = NewOracle(options.Gateways, em.network)
+	emulation.oracle = NewOracle(options.Gateways, emulation.network)
 	if experiment.Hosts.EmulatedCount > 0 {
-		em.requests = newRequestSimulation(em)
+		emulation.requests = newRequestSimulation(emulation)
 	}
-	return em
+	return emulation
 }
 
 func emulatedAddress(index int) netip.AddrPort {
--- a/internal/faultsim/emulate_test.go
+++ b/internal/faultsim/emulate_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// The SWIM baseline falls short of the same bounds: the experiments tell designs apart.
+// The SWIM baseline fails a bound of the same file: the experiments distinguish designs.
 func TestBaselineFallsShort(t *testing.T) {
 	options := Options{Seed: 1, Gateways: 48, NewNode: NewSWIMBaseline}
 	result, err := Emulate(loadExperiment(t, "halves"), options)
--- a/internal/faultsim/emulated_gateway.go
+++ b/internal/faultsim/emulated_gateway.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// bootID is a number that tells a gateway's processes apart; it is never 0.
+// bootID returns a number that identifies one process of a gateway; it is never 0.
 func (em *Emulation) bootID(gateway *emulatedGateway) uint64 {
 	if gateway.duplicate {
 		return em.random.Uint64() | 1
--- a/internal/faultsim/expect.go
+++ b/internal/faultsim/expect.go
@@ -48,13 +48,13 @@
 	WorstSecond *float64 `toml:"worst_second"` // served share in the worst second
 }
 
-// Verdict is one bound and whether its figure keeps it.
+// Verdict is one bound and whether it holds.
 type Verdict struct {
 	Name     string  `json:"name"` // of the figure
 	Value    float64 `json:"-"`
 	Bound    string  `json:"bound"`
 	OK       bool    `json:"ok"`
-	Measured bool    `json:"asked"` // the engine measures the figure; one that is not measured counts as kept
+	Measured bool    `json:"asked"` // the engine measures the figure; a bound of one that is not measured holds
 	Text     string  `json:"text"`  // the verdict in one line
 }
 
--- a/internal/faultsim/host_relay.go
+++ b/internal/faultsim/host_relay.go
@@ -30,109 +30,109 @@
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	l := &hostRelay{
+	r := &hostRelay{
 		listener: listener,
 		target:   target,
 		conns:    map[net.Conn]bool{},
 		healed:   make(chan struct{}),
 	}
-	close(l.healed)
-	go l.accept()
-	return l, nil
+	close(r.healed)
+	go r.accept()
+	return r, nil
 }
 
-func (l *hostRelay) accept() {
+func (r *hostRelay) accept() {
 	for {
-		conn, err := l.listener.Accept()
+		conn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.relay(conn)
+		go r.relay(conn)
 	}
 }
 
 // address is where the gateway connects to.
-func (l *hostRelay) address() string { return l.listener.Addr().String() }
+func (r *hostRelay) address() string { return r.listener.Addr().String() }
 
 // awaitHealed waits while the relay is cut.
-func (l *hostRelay) awaitHealed() {
-	l.mutex.Lock()
-	healed := l.healed
-	l.mutex.Unlock()
+func (r *hostRelay) awaitHealed() {
+	r.mutex.Lock()
+	healed := r.healed
+	r.mutex.Unlock()
 	<-healed
 }
 
 // setCut cuts the relay, so that its connections become silent, or heals it, which resets them.
-func (l *hostRelay) setCut(cut bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if cut == l.isCut() {
+func (r *hostRelay) setCut(cut bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if cut == r.isCut() {
 		return
 	}
 	if cut {
-		l.healed = make(chan struct{})
+		r.healed = make(chan struct{})
 		return
 	}
-	for conn := range l.conns {
+	for conn := range r.conns {
 		stubserver.Reset(conn)
 	}
-	close(l.healed)
+	close(r.healed)
 }
 
 // isCut reports whether the relay is cut. The caller holds the lock.
-func (l *hostRelay) isCut() bool {
+func (r *hostRelay) isCut() bool {
 	select {
-	case <-l.healed:
+	case <-r.healed:
 		return false
 	default:
 		return true
 	}
 }
 
-func (l *hostRelay) track(conn net.Conn) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.conns[conn] = true
+func (r *hostRelay) track(conn net.Conn) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.conns[conn] = true
 }
 
-func (l *hostRelay) untrack(conn net.Conn) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	delete(l.conns, conn)
+func (r *hostRelay) untrack(conn net.Conn) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	delete(r.conns, conn)
 }
 
 // relay connects to the host and copies in both directions until one side ends.
-func (l *hostRelay) relay(client net.Conn) {
-	l.track(client)
-	defer l.untrack(client)
+func (r *hostRelay) relay(client net.Conn) {
+	r.track(client)
+	defer r.untrack(client)
 	defer stubserver.CloseQuietly(client)
-	l.awaitHealed()
-	host, err := net.DialTimeout("tcp4", l.target(), relayDialTimeout)
+	r.awaitHealed()
+	host, err := net.DialTimeout("tcp4", r.target(), relayDialTimeout)
 	if err != nil {
 		resetOnClose(client)
 		return
 	}
-	l.track(host)
-	defer l.untrack(host)
+	r.track(host)
+	defer r.untrack(host)
 	defer stubserver.CloseQuietly(host)
 	done := make(chan struct{})
 	go func() {
-		l.copyStream(host, client)
+		r.copyStream(host, client)
 		close(done)
 	}()
-	l.copyStream(client, host)
+	r.copyStream(client, host)
 	stubserver.CloseQuietly(client)
 	stubserver.CloseQuietly(host)
 	<-done
 }
 
 // copyStream copies one direction of a connection while the relay is not cut. A reset of one side is passed on as one.
-func (l *hostRelay) copyStream(to, from net.Conn) {
+func (r *hostRelay) copyStream(to, from net.Conn) {
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			l.awaitHealed()
+			r.awaitHealed()
 			if _, writeErr := to.Write(buffer[:count]); writeErr != nil {
 				break
 			}
@@ -152,12 +152,12 @@
 	_ = conn.(*net.TCPConn).SetLinger(0) // an error means that it is closed already
 }
 
-func (l *hostRelay) close() {
-	stubserver.CloseQuietly(l.listener)
-	l.setCut(false)
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	for conn := range l.conns {
+func (r *hostRelay) close() {
+	stubserver.CloseQuietly(r.listener)
+	r.setCut(false)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for conn := range r.conns {
 		stubserver.CloseQuietly(conn)
 	}
 }
--- a/internal/faultsim/model/dialer.go
+++ b/internal/faultsim/model/dialer.go
@@ -16,10 +16,10 @@
 	if err != nil || index >= len(d.world.Hosts) {
 		return nil, fmt.Errorf("nobody is at %q", address)
 	}
-	c := &conn{gateway: d.Gateway, host: d.world.Hosts[index], handler: handler}
+	dialed := &conn{gateway: d.Gateway, host: d.world.Hosts[index], handler: handler}
 	d.conns++
-	c.deliverToHost(func() { c.host.accept(c) })
-	return &gatewayConn{c}, nil
+	dialed.deliverToHost(func() { dialed.host.accept(dialed) })
+	return &gatewayConn{dialed}, nil
 }
 
 // gatewayConn is a conn that its gateway counts as open.
--- a/internal/faultsim/model/host.go
+++ b/internal/faultsim/model/host.go
@@ -104,16 +104,16 @@
 }
 
 // accept accepts a new connection after a handshake, or refuses it.
-func (h *Host) accept(c *conn) {
+func (h *Host) accept(client *conn) {
 	if !h.Up || len(h.conns) >= h.MaxConns {
 		h.world.Counters.Refusals++
-		c.refuse()
+		client.refuse()
 		return
 	}
 	h.world.Counters.Handshakes++
-	h.conns[c] = true
-	h.connOrder = append(h.connOrder, c)
-	h.enqueue(job{c, h.HandshakeMs, c.establish})
+	h.conns[client] = true
+	h.connOrder = append(h.connOrder, client)
+	h.enqueue(job{client, h.HandshakeMs, client.establish})
 }
 
 // enqueue runs work on an idle core, or appends it to the queue.
@@ -150,12 +150,12 @@
 }
 
 // receiveStatement executes a statement or rejects it. The work of a request is exponentially distributed.
-func (h *Host) receiveStatement(c *conn, statement *Statement) {
+func (h *Host) receiveStatement(client *conn, statement *Statement) {
 	world := h.world
 	now := world.Now()
 	if statement.Probe {
 		world.Counters.Probes++
-		h.enqueue(job{c, probeWorkMs, func() { c.answer(h.response(routing.OutcomeOK)) }})
+		h.enqueue(job{client, probeWorkMs, func() { client.answer(h.response(routing.OutcomeOK)) }})
 		return
 	}
 	world.Counters.Statements++
@@ -165,18 +165,18 @@
 	h.checkOverload(now)
 	switch {
 	case h.isOverloaded(now):
-		c.answer(proxy.Response{Outcome: routing.OutcomeError})
+		client.answer(proxy.Response{Outcome: routing.OutcomeError})
 	case len(h.queue) >= h.QueueLimit:
-		c.answer(h.response(routing.OutcomeRejected))
+		client.answer(h.response(routing.OutcomeRejected))
 	case statement.Write && h.Group.Primary != h:
 		world.Counters.Misdirected++
-		h.enqueue(job{c, misdirectionWorkMs, func() { c.answer(h.response(routing.OutcomeMisdirected)) }})
+		h.enqueue(job{client, misdirectionWorkMs, func() { client.answer(h.response(routing.OutcomeMisdirected)) }})
 	default:
 		meanMs := h.ReadMs
 		if statement.Write {
 			meanMs = h.WriteMs
 		}
-		h.enqueue(job{c, meanMs * world.Random.ExpFloat64(), func() { h.complete(c, statement) }})
+		h.enqueue(job{client, meanMs * world.Random.ExpFloat64(), func() { h.complete(client, statement) }})
 	}
 }
 
@@ -208,11 +208,11 @@
 }
 
 // complete ends a request's work: a write is committed if the host is still the primary.
-func (h *Host) complete(c *conn, statement *Statement) {
+func (h *Host) complete(client *conn, statement *Statement) {
 	now := h.world.Now()
 	if statement.Write {
 		if h.Group.Primary != h {
-			c.answer(h.response(routing.OutcomeMisdirected))
+			client.answer(h.response(routing.OutcomeMisdirected))
 			return
 		}
 		previous, repeated := h.Group.keys[statement.Key]
@@ -221,7 +221,7 @@
 		}
 		h.Group.keys[statement.Key] = now
 	}
-	c.answer(h.response(routing.OutcomeOK))
+	client.answer(h.response(routing.OutcomeOK))
 }
 
 // appliedPosition is the position up to which the host has applied the log, ms of virtual time.
--- a/internal/faultsim/model/model.go
+++ b/internal/faultsim/model/model.go
@@ -66,7 +66,7 @@
 	keys map[uint64]float64 // when each idempotency key was last used
 }
 
-// SetPrimary makes a host the primary of its group; nil: none. The previous primary keeps the position it had applied.
+// SetPrimary makes a host the primary of its group; nil: none. The previous primary retains the position it had applied.
 func (g *Group) SetPrimary(host *Host) {
 	if previous := g.Primary; previous != nil && previous != host {
 		previous.appliedAsPrimary = previous.world.Now()
--- a/internal/faultsim/model/model_test.go
+++ b/internal/faultsim/model/model_test.go
@@ -146,7 +146,7 @@
 }
 
 // A write runs at the primary only, its key is remembered for the deduplication window, and a replica shows the log of
-// one replication lag ago. A host that ceases to be the primary keeps what it had applied.
+// one replication lag ago. A host that ceases to be the primary retains what it had applied.
 func TestReplicatedLog(t *testing.T) {
 	world, scheduler := newTestWorld()
 	group := world.Groups[0]
--- a/internal/faultsim/model/watcher.go
+++ b/internal/faultsim/model/watcher.go
@@ -25,7 +25,7 @@
 }
 
 func (d *Discovery) watch(gateway *Gateway, settings routing.Settings, seed uint64) *Watcher {
-	w := &Watcher{
+	watcher := &Watcher{
 		discovery:  d,
 		gateway:    gateway,
 		random:     rand.New(rand.NewPCG(seed, 5)),
@@ -36,8 +36,8 @@
 			DrainGraceMs: float64(settings.DrainGrace / time.Millisecond),
 		},
 	}
-	w.after(0, w.poll)
-	return w
+	watcher.after(0, watcher.poll)
+	return watcher
 }
 
 // after calls a function after a delay in ms, unless the gateway's process has ended by then.
@@ -72,15 +72,15 @@
 
 // pollArrived is what discovery does with a poll: it rejects it, answers it, or holds it as a watch for at most waitMs.
 func (w *Watcher) pollArrived(number int, waitMs float64) {
-	d := w.discovery
+	discovery := w.discovery
 	switch {
-	case w.revision == noRevision && !d.takeToken():
-		d.world.Counters.PollsRejected++
-		w.after(d.world.LinkMs, w.failed)
-	case d.version > w.revision:
+	case w.revision == noRevision && !discovery.takeToken():
+		discovery.world.Counters.PollsRejected++
+		w.after(discovery.world.LinkMs, w.failed)
+	case discovery.version > w.revision:
 		w.answer()
 	default:
-		d.waiting = append(d.waiting, w)
+		discovery.waiting = append(discovery.waiting, w)
 		w.after(waitMs, func() {
 			if w.pollNumber == number {
 				w.answer()
@@ -91,16 +91,16 @@
 
 // answer ends the outstanding poll with the list in its present version.
 func (w *Watcher) answer() {
-	d := w.discovery
-	if i := slices.Index(d.waiting, w); i >= 0 {
-		d.waiting = append(d.waiting[:i], d.waiting[i+1:]...)
+	discovery := w.discovery
+	if i := slices.Index(discovery.waiting, w); i >= 0 {
+		discovery.waiting = append(discovery.waiting[:i], discovery.waiting[i+1:]...)
 	}
 	w.pollNumber++
-	updated := d.version > w.revision
-	version := d.version
-	hosts := append([]proxy.Host(nil), d.hosts...)
-	w.after(d.world.LinkMs, func() {
-		_, notifiedAt := w.policy.Answered(d.world.Now())
+	updated := discovery.version > w.revision
+	version := discovery.version
+	hosts := append([]proxy.Host(nil), discovery.hosts...)
+	w.after(discovery.world.LinkMs, func() {
+		_, notifiedAt := w.policy.Answered(discovery.world.Now())
 		w.revision = version
 		if updated {
 			w.gateway.receive(func() { w.gateway.core.UpdateHostsNotifiedAt(true, hosts, notifiedAt) })
--- a/internal/faultsim/network.go
+++ b/internal/faultsim/network.go
@@ -33,9 +33,9 @@
 	case Cut:
 		for _, to := range step.Destinations {
 			if step.Undo {
-				n.heal(link{step.Target, to})
+				n.healLink(link{step.Target, to})
 			} else {
-				n.cut(link{step.Target, to})
+				n.cutLink(link{step.Target, to})
 			}
 		}
 	case ChangeConditions:
@@ -47,18 +47,18 @@
 	}
 }
 
-func (n *Network) cut(l link) {
-	if n.cuts[l]++; n.cuts[l] == 1 {
-		n.unreachableOut[l.from]++
-		n.unreachableIn[l.to]++
+func (n *Network) cutLink(direction link) {
+	if n.cuts[direction]++; n.cuts[direction] == 1 {
+		n.unreachableOut[direction.from]++
+		n.unreachableIn[direction.to]++
 	}
 }
 
-func (n *Network) heal(l link) {
-	if n.cuts[l]--; n.cuts[l] == 0 {
-		delete(n.cuts, l)
-		n.unreachableOut[l.from]--
-		n.unreachableIn[l.to]--
+func (n *Network) healLink(direction link) {
+	if n.cuts[direction]--; n.cuts[direction] == 0 {
+		delete(n.cuts, direction)
+		n.unreachableOut[direction.from]--
+		n.unreachableIn[direction.to]--
 	}
 }
 
--- a/internal/faultsim/oracle_beliefs.go
+++ b/internal/faultsim/oracle_beliefs.go
@@ -12,11 +12,11 @@
 // isWrong reports whether a viewer's belief of a member contradicts the facts. Beliefs by and of gateways that are not
 // observable are never wrong.
 func (o *Oracle) isWrong(viewer, member int) bool {
-	from, of := &o.gateways[viewer], &o.gateways[member]
-	if viewer == member || !from.up || !from.isObservable() || !of.isObservable() {
+	viewing, viewed := &o.gateways[viewer], &o.gateways[member]
+	if viewer == member || !viewing.up || !viewing.isObservable() || !viewed.isObservable() {
 		return false
 	}
-	return believedUp(o.beliefs[viewer][member]) != of.up
+	return believedUp(o.beliefs[viewer][member]) != viewed.up
 }
 
 // countWrong adds a number, 1 or -1, to the counts of wrong beliefs.
@@ -45,7 +45,7 @@
 	}
 }
 
-// setBelief changes one belief and keeps the counts of wrong ones.
+// setBelief changes one belief and updates the counts of wrong ones.
 func (o *Oracle) setBelief(viewer, member int, state membership.State, now float64) {
 	wasWrong := o.isWrong(viewer, member)
 	o.recordWrong(now)
--- a/internal/faultsim/request_gateways.go
+++ b/internal/faultsim/request_gateways.go
@@ -12,7 +12,7 @@
 
 const (
 	rosterDelayMs = 200.0 // from a change of a gateway's view to the roster that follows from it
-	// gracefulStopMs is how long a terminated gateway keeps its process beyond the longest deadline of a request.
+	// gracefulStopMs is how long a terminated gateway's process runs beyond the longest deadline of a request.
 	gracefulStopMs = 500.0
 	// idleGatewayWeight is the traffic of an idle gateway, as a share of the mean.
 	idleGatewayWeight = 0.02
--- a/internal/faultsim/request_simulation.go
+++ b/internal/faultsim/request_simulation.go
@@ -52,11 +52,11 @@
 	hostOverloadWindowMs  = 1000.0
 )
 
-func newRequestSimulation(em *Emulation) *requestSimulation {
-	experiment := em.experiment
+func newRequestSimulation(emulation *Emulation) *requestSimulation {
+	experiment := emulation.experiment
 	s := &requestSimulation{
-		emulation: em,
-		random:    rand.New(rand.NewPCG(em.options.Seed, 11)),
+		emulation: emulation,
+		random:    rand.New(rand.NewPCG(emulation.options.Seed, 11)),
 		cuts:      map[link]int{},
 		seconds:   map[int]*secondCounts{},
 		counts:    newRequestCounts(),
@@ -74,7 +74,7 @@
 	}
 	s.world = &model.World{
 		Scheduler: s,
-		Random:    rand.New(rand.NewPCG(em.options.Seed, 12)),
+		Random:    rand.New(rand.NewPCG(emulation.options.Seed, 12)),
 		LinkMs:    gatewayToHostLinkMs,
 		FarMs:     experiment.Network.CrossZoneDelayMs,
 		IsCut:     func(gateway, host int) bool { return len(s.cuts) > 0 && s.cuts[link{gateway, host}] > 0 },
@@ -88,7 +88,7 @@
 	}
 	s.addHosts()
 	s.discovery = s.world.NewDiscovery(experiment.Hosts.MaxFullListsPerSecond)
-	s.discovery.HideStartTimes = em.options.Selection.Mode == SelectBlind
+	s.discovery.HideStartTimes = emulation.options.Selection.Mode == SelectBlind
 	s.discovery.Publish()
 	s.At(0, s.arrive)
 	s.At(1000, s.closeSecond)
--- a/internal/faultsim/swim_baseline.go
+++ b/internal/faultsim/swim_baseline.go
@@ -75,7 +75,7 @@
 	swimDroppedRelays      = 32 // the oldest ones, once there are more than swimMaxRelays
 	swimPickAttempts       = 8
 	swimMessageVersion     = 2
-	// swimRelaySequenceBase keeps the sequence numbers of relayed probes apart from those of a gateway's own.
+	// swimRelaySequenceBase separates the sequence numbers of relayed probes from those of a gateway's own.
 	swimRelaySequenceBase = 1 << 30
 )
 
--- a/internal/server/fleet_test.go
+++ b/internal/server/fleet_test.go
@@ -16,7 +16,7 @@
 listen = "127.0.0.1:0"
 describe_class = "read"
 FLEET
-` + testkit.OneHost
+` + testkit.UnreachableHostConfig
 
 const goodFleet = `[fleet]
 name = "f"
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// InHand is how many requests have no final response yet; testkit's steps wait for it.
-func (g *runningGateway) InHand() int {
+// RequestsInFlight is how many requests have no final response yet; testkit's steps wait for it.
+func (g *runningGateway) RequestsInFlight() int {
 	count := make(chan int, 1)
 	g.loop.Notify(func() { count <- g.core.OpenRequests() })
 	select {
@@ -95,7 +95,7 @@
 func (g *virtualGateway) advance(ms int) {
 	for range ms / 10 {
 		g.clockUs.Add(10_000)
-		g.InHand()
+		g.RequestsInFlight()
 	}
 }
 
--- a/internal/server/pipeline_test.go
+++ b/internal/server/pipeline_test.go
@@ -106,7 +106,7 @@
 	var out []byte
 	for _, message := range messages {
 		var err error
-		if out, err = testkit.Encode(out, message); err != nil {
+		if out, err = testkit.EncodeMessage(out, message); err != nil {
 			return nil, err
 		}
 	}
@@ -138,7 +138,7 @@
 func readPipeline(conn net.Conn) (pipelineOutcome, error) {
 	var outcome pipelineOutcome
 	for ready := 0; ready < 2; {
-		message, err := testkit.Answer(conn)
+		message, err := testkit.ReadAnswer(conn)
 		if errors.Is(err, io.EOF) {
 			return outcome, fmt.Errorf("the connection ended after %d answers", outcome.completed)
 		}
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -8,11 +8,11 @@
 	"merlinjunction/internal/testkit"
 )
 
-func TestPlatform(t *testing.T) { testkit.Play(t, "testdata/platform", startPlatform) }
-func TestExtended(t *testing.T) { testkit.Play(t, "testdata/extended", startExtended) }
+func TestPlatform(t *testing.T) { testkit.PlayScenarios(t, "testdata/platform", startPlatform) }
+func TestExtended(t *testing.T) { testkit.PlayScenarios(t, "testdata/extended", startExtended) }
 func TestManaged(t *testing.T) {
-	testkit.Play(t, "testdata/managed", startManagedPlatform)
-	testkit.Play(t, "testdata/managedextended", startManagedExtended)
+	testkit.PlayScenarios(t, "testdata/managed", startManagedPlatform)
+	testkit.PlayScenarios(t, "testdata/managedextended", startManagedExtended)
 }
 
 // deployment is a platform configuration with the words of the scenarios that depend on it.
@@ -40,13 +40,13 @@
 // Each crossing of two events, in both orders, at each deployment.
 func TestCrossings(t *testing.T) {
 	for _, d := range deployments {
-		t.Run(d.name, func(t *testing.T) { testkit.PlayWith(t, "testdata/crossings", d.words, d.start) })
+		t.Run(d.name, func(t *testing.T) { testkit.PlayScenariosWith(t, "testdata/crossings", d.words, d.start) })
 	}
 }
 
 // The extended frontend keeps the same rules.
 func TestExtendedCrossings(t *testing.T) {
-	testkit.Play(t, "testdata/crossingsextended", startSlowConnectExtended)
+	testkit.PlayScenarios(t, "testdata/crossingsextended", startSlowConnectExtended)
 }
 
 // A gateway that runs out of descriptors for clients closes idle ones, and goes on serving.
@@ -90,7 +90,7 @@
 	var out []byte
 	for _, message := range messages {
 		var err error
-		if out, err = testkit.Encode(out, message); err != nil {
+		if out, err = testkit.EncodeMessage(out, message); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -68,7 +68,7 @@
 		if conn, err = net.Dial("tcp4", address); err != nil {
 			return nil, err
 		}
-		out, _ = testkit.Encode(nil, "startup")
+		out, _ = testkit.EncodeMessage(nil, "startup")
 	}
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
 	if slow {
@@ -76,12 +76,12 @@
 	}
 	startingUp := len(out) > 0
 	query := "query SELECT v FROM records WHERE k = '" + key + "' /* id=" + key + ",c=read,t=x,d=900,cluster=0 */"
-	out, _ = testkit.Encode(out, query)
+	out, _ = testkit.EncodeMessage(out, query)
 	if _, err := conn.Write(out); err != nil {
 		return conn, err
 	}
 	for completed := false; ; {
-		message, err := testkit.Answer(conn)
+		message, err := testkit.ReadAnswer(conn)
 		switch {
 		case err != nil:
 			return conn, err
@@ -124,13 +124,13 @@
 	player.Init()
 	play("send c startup | query SELECT v FROM records WHERE k = 'hang1' /* id=01,c=$slow,$td=2000,cluster=0 */")
 	play("expect c R K Z")
-	waitUntil(t, "the first request", func() bool { return g.InHand() == 1 && len(cluster.Runs("hang1")) > 0 })
+	waitUntil(t, "the first request", func() bool { return g.RequestsInFlight() == 1 && len(cluster.Runs("hang1")) > 0 })
 	g.Stop()
 	g.advance(800)
 	play("send c query SELECT v FROM records WHERE k = 'hang2' /* id=02,c=$slow,$td=60000,cluster=0 */")
-	waitUntil(t, "the second request", func() bool { return g.InHand() == 2 })
+	waitUntil(t, "the second request", func() bool { return g.RequestsInFlight() == 2 })
 	g.advance(3000 + 700 - 800 - 10) // the longest deadline, taken as 3 s, and 0.7 s after SIGTERM
-	if n := g.InHand(); n != 0 {
+	if n := g.RequestsInFlight(); n != 0 {
 		t.Errorf("%d requests have no response when SIGKILL comes", n)
 	}
 	play("expect c E Z E Z eof")
--- a/internal/stubserver/listener.go
+++ b/internal/stubserver/listener.go
@@ -6,7 +6,7 @@
 )
 
 // Listener accepts connections on a TCP address, serves each in a goroutine of its own and can end them all. After
-// Close it can be opened again at the same address, as a host that restarts.
+// Close it can be opened again at the same address, like a host that restarts.
 type Listener struct {
 	serve func(net.Conn)
 
@@ -21,7 +21,8 @@
 	return &Listener{serve: serve, address: "127.0.0.1:0", conns: map[net.Conn]bool{}}
 }
 
-// Open starts to accept: on a free port at first, later on the same one again.
+// Open begins to accept connections: on a free port the first time, later on the same port. It fails if another process
+// uses that port.
 func (l *Listener) Open() error {
 	listener, err := net.Listen("tcp4", l.Address())
 	if err != nil {
@@ -43,24 +44,27 @@
 		l.mutex.Lock()
 		l.conns[conn] = true
 		l.mutex.Unlock()
-		go func() {
-			l.serve(conn)
-			CloseQuietly(conn)
-			l.mutex.Lock()
-			delete(l.conns, conn)
-			l.mutex.Unlock()
-		}()
+		go l.serveConn(conn)
 	}
 }
 
-// Address is where it listens, or listened last.
+// serveConn serves a connection and closes it.
+func (l *Listener) serveConn(conn net.Conn) {
+	l.serve(conn)
+	CloseQuietly(conn)
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	delete(l.conns, conn)
+}
+
+// Address is the address that it listens on, or listened on last.
 func (l *Listener) Address() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.address
 }
 
-// Close stops accepting; connections stay. It is harmless on a closed Listener.
+// Close stops accepting connections; open ones stay open. On a closed Listener it does nothing.
 func (l *Listener) Close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -70,12 +74,12 @@
 	}
 }
 
-// CloseConns ends all connections, as a host does with idle ones.
+// CloseConns closes all connections, as a host does with idle ones.
 func (l *Listener) CloseConns() {
 	l.eachConn(CloseQuietly[net.Conn])
 }
 
-// ResetConns resets all connections, as the death of a process may.
+// ResetConns resets all connections, as the end of a process may.
 func (l *Listener) ResetConns() {
 	l.eachConn(Reset)
 }
@@ -97,8 +101,8 @@
 	CloseQuietly(conn)
 }
 
-// CloseQuietly closes what a test or an experiment is done with. The error is dropped: nothing can be done about it,
-// and the other side sees the end either way.
+// CloseQuietly closes what a test or an experiment no longer needs. The error is dropped: nothing depends on it, and
+// the other side notices the end either way.
 func CloseQuietly[T interface{ Close() error }](closer T) {
 	_ = closer.Close()
 }
--- a/internal/stubserver/message.go
+++ b/internal/stubserver/message.go
@@ -1,6 +1,7 @@
 // Package stubserver holds what the stub database hosts and the stub discovery of the tests and of the fault simulator
-// have in common: framing of the PostgreSQL wire protocol, a listener that tracks its connections, the statement that a
-// connection works on, and the endpoint list. It blocks; the gateway's own side of the protocols is internal/protocol.
+// have in common: messages of the PostgreSQL wire protocol, a listener that tracks its connections, the statement that
+// a connection executes, and the endpoint list. Its calls block; the gateway's side of the protocols is
+// internal/protocol.
 package stubserver
 
 import (
@@ -11,37 +12,45 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
+// The description of a column that AppendColumnDescription appends.
 const (
 	textTypeOID    = 25 // PostgreSQL's object ID of the type text
-	typeOIDAt      = 13 // offset of the type's last byte in the one-column description below
-	columnTailSize = 18 // bytes of a column's description behind its name
+	typeOIDAt      = 13 // offset of the type's last byte in the whole description
+	columnTailSize = 18 // bytes of a column's description after its name
+)
+
+// Sizes in the framing of messages, bytes.
+const (
+	lengthSize        = 4 // the length counts itself
+	messageHeaderSize = 1 + lengthSize
 )
 
 // StateReadOnly is the SQLSTATE of a write at a replica (read_only_sql_transaction).
 const StateReadOnly = "25006"
 
-// ReadMessage reads one message of the PostgreSQL wire protocol with a body of at most maxBody bytes.
+// ReadMessage reads one message of the PostgreSQL wire protocol. An error is one of reading, or says that the body is
+// longer than maxBody bytes.
 func ReadMessage(r io.Reader, maxBody int) (kind byte, body []byte, err error) {
-	var head [5]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [messageHeaderSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
 	}
-	n := int(binary.BigEndian.Uint32(head[1:])) - 4
-	if n < 0 || n > maxBody {
-		return 0, nil, fmt.Errorf("a message of %d bytes", n)
+	size := int(binary.BigEndian.Uint32(header[1:])) - lengthSize
+	if size < 0 || size > maxBody {
+		return 0, nil, fmt.Errorf("a message of %d bytes", size)
 	}
-	body = make([]byte, n)
+	body = make([]byte, size)
 	_, err = io.ReadFull(r, body)
-	return head[0], body, err
+	return header[0], body, err
 }
 
-// AcceptStartup reads a client's startup message and returns the beginning of the answer: no password is asked for.
+// AcceptStartup reads a client's startup message and returns the beginning of the answer, which requests no password.
 func AcceptStartup(r io.Reader) ([]byte, error) {
-	var size [4]byte
-	if _, err := io.ReadFull(r, size[:]); err != nil {
+	var length [lengthSize]byte
+	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return nil, err
 	}
-	if _, err := io.CopyN(io.Discard, r, int64(binary.BigEndian.Uint32(size[:]))-4); err != nil {
+	if _, err := io.CopyN(io.Discard, r, int64(binary.BigEndian.Uint32(length[:]))-lengthSize); err != nil {
 		return nil, err
 	}
 	return pg.AppendMessage(nil, pg.MsgAuthentication, 0, 0, 0, 0), nil
--- a/internal/stubserver/statement.go
+++ b/internal/stubserver/statement.go
@@ -8,13 +8,13 @@
 
 var quotedLiteral = regexp.MustCompile(`'([^']*)'`)
 
-// Statement is the one unnamed statement that a stub's connection works on, with its values.
+// Statement is the unnamed statement of a stub host's connection, with its values.
 type Statement struct {
 	Text   string
 	Values []string
 }
 
-// ReadQuery takes in the body of a Query: its values are the quoted literals of the text.
+// ReadQuery reads the body of a Query. The values are the quoted literals of its text.
 func (s *Statement) ReadQuery(body []byte) {
 	s.Text, s.Values = pg.NewFieldReader(body).Text(), nil
 	for _, match := range quotedLiteral.FindAllStringSubmatch(s.Text, -1) {
@@ -22,14 +22,14 @@
 	}
 }
 
-// ReadParse takes in the body of a Parse.
+// ReadParse reads the body of a Parse. The values stay until the next Bind.
 func (s *Statement) ReadParse(body []byte) {
 	fields := pg.NewFieldReader(body)
 	fields.Text() // the statement's name
 	s.Text = fields.Text()
 }
 
-// ReadBind takes in the values of a Bind.
+// ReadBind reads the values of a Bind.
 func (s *Statement) ReadBind(body []byte) {
 	const formatCodeSize = 2
 	fields := pg.NewFieldReader(body)
--- a/internal/testkit/checks.go
+++ b/internal/testkit/checks.go
@@ -14,15 +14,17 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// agent holds the agent check's answer against a text.
-func (p *Player) agent(want string) error {
+// checkAgent compares the agent check's answer with a text.
+func (p *Player) checkAgent(want string) error {
 	_, address, _ := p.Gateway.Addrs()
 	conn, err := net.Dial("tcp4", address)
 	if err != nil {
 		return err
 	}
 	defer stubserver.CloseQuietly(conn)
-	_ = conn.SetReadDeadline(time.Now().Add(stepTimeout))
+	if err := conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
+		return err
+	}
 	got, err := io.ReadAll(conn)
 	if err != nil {
 		return fmt.Errorf("got %q, %w", got, err)
@@ -33,8 +35,8 @@
 	return nil
 }
 
-// http holds the status of an HTTP health check against a number.
-func (p *Player) http(status, path string) error {
+// checkHTTP compares the status of an HTTP health check with a number.
+func (p *Player) checkHTTP(status, path string) error {
 	_, _, address := p.Gateway.Addrs()
 	response, err := http.Get("http://" + address + path)
 	if err != nil {
@@ -47,11 +49,11 @@
 	return nil
 }
 
-// manage makes a call at the management address: method, path and, for a PUT, the body; for a GET a text that its answer
-// must hold.
+// manage makes a call at the management address: method, path and a text. The text is the body; the answer to a GET
+// must contain it.
 func (p *Player) manage(status string, call []string) error {
 	const bigBodySize = 1 << 16
-	g, ok := p.Gateway.(interface{ Management() string })
+	gateway, ok := p.Gateway.(interface{ Management() string })
 	if !ok || len(call) < 2 {
 		return errors.New("no management address, or no call")
 	}
@@ -59,7 +61,7 @@
 	if text == "BIG" {
 		text = strings.Repeat("x", bigBodySize)
 	}
-	request, err := http.NewRequest(method, "http://"+g.Management()+path, strings.NewReader(text))
+	request, err := http.NewRequest(method, "http://"+gateway.Management()+path, strings.NewReader(text))
 	if err != nil {
 		return err
 	}
@@ -72,7 +74,8 @@
 	if err != nil {
 		return fmt.Errorf("got %s, %q, %w", response.Status, got, err)
 	}
-	if strconv.Itoa(response.StatusCode) != status || method == http.MethodGet && !strings.Contains(string(got), text) {
+	contains := method != http.MethodGet || strings.Contains(string(got), text)
+	if strconv.Itoa(response.StatusCode) != status || !contains {
 		return fmt.Errorf("got %s, %q", response.Status, got)
 	}
 	return nil
@@ -80,8 +83,9 @@
 
 var servingLine = regexp.MustCompile(`"listen":"([^"]+)","management":"([^"]*)"`)
 
-// Listening finds the clients' and the management address in a line of the program's log; "" where it is none of the kind.
-func Listening(line string) (clients, management string) {
+// ParseServingLine returns the clients' and the management address from the program's log line "serving". Both are
+// empty for other lines.
+func ParseServingLine(line string) (clients, management string) {
 	if match := servingLine.FindStringSubmatch(line); match != nil {
 		return match[1], match[2]
 	}
--- a/internal/testkit/client_message.go
+++ b/internal/testkit/client_message.go
@@ -12,11 +12,11 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// messageText is a client's message as a scenario writes it: its kind, and its arguments, of which "-" is the empty one.
+// messageText is a client's message as scenarios write it: its kind and its arguments.
 type messageText struct {
 	kind      string
-	rest      string // all behind the kind, as it stands
-	arguments []string
+	rest      string   // everything after the kind
+	arguments []string // of rest; "-" stands for an empty one
 }
 
 func parseMessageText(text string) messageText {
@@ -24,6 +24,7 @@
 	return messageText{kind: kind, rest: rest, arguments: strings.Fields(rest)}
 }
 
+// argument returns an argument by its index; empty if it is not given.
 func (m *messageText) argument(i int) string {
 	if i < len(m.arguments) && m.arguments[i] != "-" {
 		return m.arguments[i]
@@ -31,27 +32,35 @@
 	return ""
 }
 
-// Encode appends a client's message, written as in scenarios.
-func Encode(out []byte, text string) ([]byte, error) {
-	m := parseMessageText(text)
-	switch m.kind {
+// EncodeMessage appends a client's message that is written as in scenarios:
+//
+//	startup [DATABASE]                 of the user svc; the database is main by default
+//	query SQL                          close and describe: KIND NAME
+//	parse STATEMENT SQL                bind PORTAL STATEMENT [VALUES...]; NULL is a null
+//	execute PORTAL [ROW_LIMIT]         sync, flush, terminate
+//	raw HEX...                         these bytes
+//
+// It fails on unknown kinds and on wrong hex digits.
+func EncodeMessage(out []byte, text string) ([]byte, error) {
+	message := parseMessageText(text)
+	switch message.kind {
 	case "startup":
-		return m.appendStartup(out), nil
+		return message.appendStartup(out), nil
 	case "raw":
-		raw, err := hex.DecodeString(strings.Join(m.arguments, ""))
+		raw, err := hex.DecodeString(strings.Join(message.arguments, ""))
 		return append(out, raw...), err
 	case "query":
-		return pg.AppendStrings(out, pg.MsgQuery, m.rest), nil
+		return pg.AppendStrings(out, pg.MsgQuery, message.rest), nil
 	case "parse":
-		return m.appendParse(out), nil
+		return message.appendParse(out), nil
 	case "bind":
-		return m.appendBind(out), nil
+		return message.appendBind(out), nil
 	case "execute":
-		return m.appendExecute(out), nil
+		return message.appendExecute(out), nil
 	case "describe":
-		return pg.AppendStrings(out, pg.MsgDescribe, m.argument(0)+m.argument(1)), nil
+		return pg.AppendStrings(out, pg.MsgDescribe, message.argument(0)+message.argument(1)), nil
 	case "close":
-		return pg.AppendStrings(out, pg.MsgClose, m.argument(0)+m.argument(1)), nil
+		return pg.AppendStrings(out, pg.MsgClose, message.argument(0)+message.argument(1)), nil
 	case "sync":
 		return pg.AppendMessage(out, pg.MsgSync), nil
 	case "flush":
@@ -59,7 +68,7 @@
 	case "terminate":
 		return pg.AppendMessage(out, pg.MsgTerminate), nil
 	}
-	return nil, fmt.Errorf("unknown message %q", m.kind)
+	return nil, fmt.Errorf("unknown message %q", message.kind)
 }
 
 // appendStartup appends the startup message of the user svc; its argument is the database, main unless given.
@@ -108,8 +117,12 @@
 	return pg.EndMessage(binary.BigEndian.AppendUint32(out, uint32(rowLimit)), mark)
 }
 
-// Answer reads one message of the gateway's and names it as scenarios do. Parameters and notices are passed over.
-func Answer(r io.Reader) (string, error) {
+// answerKeyPrefix begins the name of a BackendKeyData, before its body in hex.
+const answerKeyPrefix = "K:"
+
+// ReadAnswer reads one message of the gateway and names it as scenarios do. Parameters and notices are skipped. At the
+// end of the connection the error is io.EOF or io.ErrUnexpectedEOF.
+func ReadAnswer(r io.Reader) (string, error) {
 	for {
 		kind, body, err := stubserver.ReadMessage(r, maxMessageBody)
 		if err != nil {
@@ -120,7 +133,7 @@
 		case pg.MsgParameterStatus, pg.MsgNoticeResponse:
 			continue
 		case pg.MsgBackendKeyData:
-			return "K:" + hex.EncodeToString(body), nil
+			return answerKeyPrefix + hex.EncodeToString(body), nil
 		case pg.MsgCommandComplete:
 			return "C:" + strings.ReplaceAll(fields.Text(), " ", "_"), nil
 		case pg.MsgDataRow:
--- a/internal/testkit/execute.go
+++ b/internal/testkit/execute.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	stateDivisionByZero = "22012" // an error of the statement's own
+	stateDivisionByZero = "22012" // an error in the statement itself
 	stateInternalError  = "XX000"
 
 	slowAnswer   = 80 * time.Millisecond  // of a statement with the word slow
@@ -24,17 +24,14 @@
 
 var rawBytes = regexp.MustCompile(`raw-([0-9a-f]+)`)
 
-// execute runs the statement once and takes it down; false where the connection is to end.
+// execute runs the statement and records its values. It returns false if the connection has to end.
 func (s *hostSession) execute() bool {
 	write := strings.HasPrefix(s.statement.Text, "INSERT")
-	rejected, misplaced, times := s.takeDown(write)
-	switch {
-	case rejected:
-		return s.fail(pg.StateTooManyConnections)
-	case misplaced:
-		return s.fail(stubserver.StateReadOnly)
+	times, sqlstate := s.recordRun(write)
+	if sqlstate != "" {
+		return s.fail(sqlstate)
 	}
-	if done, open := s.disturb(times); done {
+	if done, open := s.injectFault(times); done {
 		return open
 	}
 	if write {
@@ -44,27 +41,28 @@
 	return s.answerRead()
 }
 
-// takeDown counts a run of each value, unless the host rejects the statement or a write is at a replica. times is how
-// often the value that ran most has run.
-func (s *hostSession) takeDown(write bool) (rejected, misplaced bool, times int) {
+// recordRun records a run of each value and returns how often the one that ran most has run. If the host rejects the
+// statement, or a write is at a replica, it records nothing and returns the SQLSTATE to answer with.
+func (s *hostSession) recordRun(write bool) (times int, sqlstate string) {
 	cluster := s.host.cluster
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
-	rejected = s.host.rejecting
-	misplaced = write && cluster.primary != s.host.Name
-	if rejected || misplaced {
-		return rejected, misplaced, 0
+	switch {
+	case s.host.rejecting:
+		return 0, pg.StateTooManyConnections
+	case write && cluster.primary != s.host.Name:
+		return 0, stubserver.StateReadOnly
 	}
 	for _, value := range s.statement.Values {
 		cluster.runs[value] = append(cluster.runs[value], s.host.Name)
 		times = max(times, len(cluster.runs[value]))
 	}
-	return rejected, misplaced, times
+	return times, ""
 }
 
-// disturb does what a word of the values asks for. done says that nothing is left to answer, open that the connection
-// goes on.
-func (s *hostSession) disturb(times int) (done, open bool) {
+// injectFault causes the fault that a word of the values asks for. done means that the statement has been answered, or
+// never will be; open that the connection remains open.
+func (s *hostSession) injectFault(times int) (done, open bool) {
 	words := s.words()
 	switch {
 	case strings.Contains(words, "fail"):
@@ -89,9 +87,10 @@
 	return false, true
 }
 
-// hang answers nothing until the other side closes the connection.
+// hang sends nothing until the gateway closes the connection.
 func (s *hostSession) hang() { _, _ = io.Copy(io.Discard, s.conn) }
 
+// answerWrite answers an INSERT.
 func (s *hostSession) answerWrite() {
 	if strings.Contains(s.statement.Text, "RETURNING") {
 		s.out = stubserver.AppendRow(s.out, "v")
@@ -99,7 +98,7 @@
 	s.out = pg.AppendStrings(s.out, pg.MsgCommandComplete, "INSERT 0 1")
 }
 
-// answerRead writes the rows of a SELECT; false where the connection is to end.
+// answerRead answers a SELECT. It returns false if the connection has to end.
 func (s *hostSession) answerRead() bool {
 	words := s.words()
 	if _, size, ok := strings.Cut(words, "large"); ok {
@@ -116,9 +115,12 @@
 	return true
 }
 
-// answerLarge writes one long row, in pieces; false where the connection is to end. size begins with its length in KiB.
+// answerLarge answers with one long row whose size begins with its length in KiB. It returns false if the connection
+// has to end.
 func (s *hostSession) answerLarge(words, size string) bool {
-	cut, pause, noise := strings.Contains(words, "cut"), strings.Contains(words, "pause"), strings.Contains(words, "noise")
+	cut := strings.Contains(words, "cut")
+	pause := strings.Contains(words, "pause")
+	noise := strings.Contains(words, "noise")
 	out := pg.AppendMessage(s.out, pg.MsgDataRow, largeRow(leadingNumber(size)<<10)...)
 	s.out = nil
 	if cut {
@@ -143,7 +145,7 @@
 	return true
 }
 
-// largeRow is the body of a row with one value of so many bytes.
+// largeRow returns the body of a DataRow with one value of a size in bytes.
 func largeRow(size int) []byte {
 	body := append([]byte{0, 1}, binary.BigEndian.AppendUint32(nil, uint32(size))...)
 	for i := range size {
@@ -152,9 +154,9 @@
 	return body
 }
 
-// leadingNumber is the number that a text begins with, 0 where it begins with none.
+// leadingNumber returns the number that a text begins with; 0 if there is none.
 func leadingNumber(text string) int {
-	digits := strings.IndexFunc(text, func(r rune) bool { return r < '0' || r > '9' })
+	digits := strings.IndexFunc(text, func(char rune) bool { return char < '0' || char > '9' })
 	if digits < 0 {
 		digits = len(text)
 	}
--- a/internal/testkit/host.go
+++ b/internal/testkit/host.go
@@ -10,37 +10,47 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// StubHost is one host of a Cluster. What it does with a statement depends on a word in its values: fail, hang, slow,
-// reset, error, rowsN, largeN (so many KiB in one row; with cut its second half does not come, with pause it comes later,
-// with noise it is followed by some); twice: its answer comes twice; raw-HEX: the first time these bytes come in its place.
+// StubHost is one host of a Cluster. Words in the values of a statement say what it does with it:
+//
+//	fail           an error in the statement itself
+//	error          an internal error
+//	hang           no answer
+//	slow           a late answer
+//	reset          a reset of the connection; resetonce: only the first time
+//	raw-HEX        these bytes, only the first time
+//	twice          the answer is sent twice
+//	rowsN          N rows, of one digit
+//	largeN         one row of N KiB; with cut its second half is not sent, with pause it is sent later, and with noise
+//	               it is followed by bytes that are no message
 type StubHost struct {
-	Name      string
-	cluster   *Cluster
-	listener  *stubserver.Listener
-	rejecting bool          // every statement gets 53300
-	held      chan struct{} // while it is open, new connections get no greeting
-	phase     string        // in the endpoint list
+	Name         string
+	cluster      *Cluster
+	listener     *stubserver.Listener
+	rejecting    bool          // every statement gets SQLSTATE 53300
+	greetingHeld chan struct{} // not nil: new connections wait until it is closed
+	phase        string        // in the endpoint list
 }
 
-func newStubHost(c *Cluster, name string) *StubHost {
-	host := &StubHost{Name: name, cluster: c, phase: "active"}
+func newStubHost(cluster *Cluster, name string) *StubHost {
+	host := &StubHost{Name: name, cluster: cluster, phase: phaseActive}
 	host.listener = stubserver.NewListener(host.serve)
 	return host
 }
 
-// Addr is where it listens.
+// Addr is the address that the host listens on.
 func (h *StubHost) Addr() string { return h.listener.Address() }
 
+// serve answers one connection until it ends.
 func (h *StubHost) serve(conn net.Conn) {
 	out, err := stubserver.AcceptStartup(conn)
 	if err != nil {
 		return
 	}
 	h.cluster.mutex.Lock()
-	held := h.held
+	greetingHeld := h.greetingHeld
 	h.cluster.mutex.Unlock()
-	if held != nil {
-		<-held
+	if greetingHeld != nil {
+		<-greetingHeld
 	}
 	session := &hostSession{host: h, conn: conn, out: out}
 	session.sendReady()
@@ -55,18 +65,19 @@
 // maxMessageBody is far above what any test sends, bytes.
 const maxMessageBody = 64 << 20
 
-// hostSession is one connection to a stub host. It keeps one statement and one portal, both unnamed.
+// hostSession is one connection to a stub host. It has one statement and one portal, both unnamed.
 type hostSession struct {
 	host      *StubHost
 	conn      net.Conn
 	out       []byte
 	statement stubserver.Statement
-	failed    bool // the rest up to Sync is skipped
+	failed    bool // messages up to Sync are skipped
 }
 
-// words are the values of the statement, in which scenarios say what the host is to do.
+// words returns the values of the statement, whose words say what the host has to do.
 func (s *hostSession) words() string { return strings.Join(s.statement.Values, " ") }
 
+// sendReady sends the pending answers and ReadyForQuery, with the host's role and log position.
 func (s *hostSession) sendReady() {
 	cluster := s.host.cluster
 	cluster.mutex.Lock()
@@ -87,14 +98,14 @@
 	s.out = nil
 }
 
-// fail answers with an error; it returns true, as the connection goes on.
+// fail answers with an error and skips the messages up to Sync. It returns true, as the connection remains open.
 func (s *hostSession) fail(sqlstate string) bool {
 	s.out = pg.ErrorResponse{SQLState: sqlstate, Message: "stub"}.AppendTo(s.out)
 	s.failed = true
 	return true
 }
 
-// handle takes in one message; false where the connection is to end.
+// handle handles one message. It returns false if the connection has to end.
 func (s *hostSession) handle(kind byte, body []byte) bool {
 	switch {
 	case kind == pg.MsgSync:
@@ -122,6 +133,7 @@
 	return true
 }
 
+// query answers a simple Query.
 func (s *hostSession) query(body []byte) bool {
 	s.statement.ReadQuery(body)
 	text := s.statement.Text
@@ -138,7 +150,7 @@
 	return true
 }
 
-// describe answers a Describe of the statement, and takes it down as a run of the value "described".
+// describe answers a Describe of the statement, and records a run of the value "described".
 func (s *hostSession) describe() {
 	const typeOIDSize = 4
 	cluster := s.host.cluster
--- a/internal/testkit/knownred_test.go
+++ b/internal/testkit/knownred_test.go
@@ -8,70 +8,148 @@
 	"testing"
 )
 
-// The check passes over exactly the tests that KNOWN-RED.txt lists, prints and runs them apart, and fails on a list that
-// is not as it should be.
+const testModuleTests = `package m
+
+import "testing"
+
+func TestGreen(t *testing.T) {}
+func TestRed(t *testing.T) { t.Error("red as ever") }
+func TestRedder(t *testing.T) {BODY}
+`
+
+// writeModule writes a module with a test that passes, one that fails, and TestRedder with a body; it returns its
+// folder.
+func writeModule(t *testing.T, body string) string {
+	t.Helper()
+	dir := t.TempDir()
+	writeFile(t, filepath.Join(dir, "go.mod"), "module m\n\ngo 1.24\n")
+	writeFile(t, filepath.Join(dir, "m_test.go"), strings.Replace(testModuleTests, "BODY", body, 1))
+	return dir
+}
+
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The check passes over exactly the tests that KNOWN-RED.txt lists, prints and runs them separately, and fails on a
+// list that is not well formed.
 func TestKnownRedTests(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const form = "TestName | command and seed | what was seen | issue is asked for"
-	module := func(tests string) string {
-		t.Helper()
-		dir := t.TempDir()
-		for name, text := range map[string]string{
-			"go.mod": "module m\n\ngo 1.24\n",
-			"m_test.go": "package m\n\nimport \"testing\"\n\nfunc TestGreen(t *testing.T) {}\n" +
-				"func TestRed(t *testing.T) { t.Error(\"red as ever\") }\nfunc TestRedder(t *testing.T) {" + tests + "}\n",
-		} {
-			if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
-		return dir
-	}
-	for _, c := range []struct {
-		list, more string // "-": no file; what TestRedder does
-		passes     bool
-		want       []string // in what is printed
-		not        string
+	const noList = "-"
+	const wrongForm = "TestRed: TestName | command and seed | what was seen | issue is asked for"
+	for _, test := range []struct {
+		name   string
+		list   string // noList: the file does not exist
+		redder string // body of TestRedder
+		passes bool
+		want   []string // in the output
+		not    string   // in the output
 	}{
-		{list: "-", want: []string{"--- FAIL: TestRed "}},
-		{list: "", want: []string{"--- FAIL: TestRed "}, not: "known red"},
-		{list: "# nothing yet\n\n", want: []string{"--- FAIL: TestRed "}, not: "known red"},
-		{list: "TestRed | go test ., seed 3 | a real fault | 16\n", passes: true, want: []string{
-			"known red: TestRed: a real fault (issue 16; go test ., seed 3)", "TestRed is still red", "red as ever"}},
-		// The name is a whole name: TestRedder is not passed over for TestRed.
-		{list: "TestRed | go test . | a real fault | 16", more: `t.Error("worse")`, want: []string{"TestRed is still red", "worse"}},
-		{list: "TestRed|go test .|a fault|16\n TestGreen | go test . | was red | 17 \n", passes: true, want: []string{"TestGreen is GREEN now"}},
-		{list: "TestGone | go test . | a fault | 16\n", want: []string{"no test has the name TestGone"}},
-		{list: "TestRed | go test . | a fault |\n", want: []string{"line 1: TestRed: " + form}},
-		{list: "TestRed | a fault | 16\n", want: []string{"line 1: TestRed: " + form}},
-		{list: "TestRed | | a fault | 16\n", want: []string{"line 1: TestRed: " + form}},
-		{list: "TestRed\n", want: []string{"line 1: TestRed: " + form}},
-		{list: "\nTestRed | a | b | c | d\n", want: []string{"line 2: TestRed: " + form}},
-		{list: "Test.* | go test . | all of them | 16\n", want: []string{`line 1: "Test.*" is no test's name`}},
-		{list: "TestRed|c|a|1\nTestRedder|c|a|1\nTestGreen|c|a|1\nTestGreen|c|a|1\n", want: []string{"lists 4 tests, 3 at most"}},
+		{
+			name: "no list",
+			list: noList,
+			want: []string{"--- FAIL: TestRed "},
+		},
+		{
+			name: "empty list",
+			want: []string{"--- FAIL: TestRed "},
+			not:  "known red",
+		},
+		{
+			name: "comments only",
+			list: "# nothing yet\n\n",
+			want: []string{"--- FAIL: TestRed "},
+			not:  "known red",
+		},
+		{
+			name:   "listed test",
+			list:   "TestRed | go test ., seed 3 | a real fault | 16\n",
+			passes: true,
+			want: []string{
+				"known red: TestRed: a real fault (issue 16; go test ., seed 3)",
+				"TestRed is still red",
+				"red as ever",
+			},
+		},
+		{
+			name:   "a listed name is no prefix of others",
+			list:   "TestRed | go test . | a real fault | 16",
+			redder: `t.Error("worse")`,
+			want:   []string{"TestRed is still red", "worse"},
+		},
+		{
+			name:   "listed test that passes",
+			list:   "TestRed|go test .|a fault|16\n TestGreen | go test . | was red | 17 \n",
+			passes: true,
+			want:   []string{"TestGreen is GREEN now"},
+		},
+		{
+			name: "no such test",
+			list: "TestGone | go test . | a fault | 16\n",
+			want: []string{"no test has the name TestGone"},
+		},
+		{
+			name: "empty issue",
+			list: "TestRed | go test . | a fault |\n",
+			want: []string{"line 1: " + wrongForm},
+		},
+		{
+			name: "three fields",
+			list: "TestRed | a fault | 16\n",
+			want: []string{"line 1: " + wrongForm},
+		},
+		{
+			name: "empty command",
+			list: "TestRed | | a fault | 16\n",
+			want: []string{"line 1: " + wrongForm},
+		},
+		{
+			name: "name only",
+			list: "TestRed\n",
+			want: []string{"line 1: " + wrongForm},
+		},
+		{
+			name: "five fields",
+			list: "\nTestRed | a | b | c | d\n",
+			want: []string{"line 2: " + wrongForm},
+		},
+		{
+			name: "pattern",
+			list: "Test.* | go test . | all of them | 16\n",
+			want: []string{`line 1: "Test.*" is no test's name`},
+		},
+		{
+			name: "too many tests",
+			list: "TestRed|c|a|1\nTestRedder|c|a|1\nTestGreen|c|a|1\nTestGreen|c|a|1\n",
+			want: []string{"lists 4 tests, 3 at most"},
+		},
 	} {
-		dir := module(c.more)
-		if c.list != "-" {
-			if err := os.WriteFile(filepath.Join(dir, "KNOWN-RED.txt"), []byte(c.list), 0o600); err != nil {
-				t.Fatal(err)
+		t.Run(test.name, func(t *testing.T) {
+			dir := writeModule(t, test.redder)
+			if test.list != noList {
+				writeFile(t, filepath.Join(dir, "KNOWN-RED.txt"), test.list)
+			}
+			cmd := exec.Command(script)
+			cmd.Dir = dir
+			cmd.Env = append(os.Environ(), "GOFLAGS=-mod=mod", "GOWORK=off")
+			output, err := cmd.CombinedOutput()
+			if (err == nil) != test.passes {
+				t.Errorf("passes %v, %v\n%s", err == nil, err, output)
+			}
+			for _, want := range test.want {
+				if !strings.Contains(string(output), want) {
+					t.Errorf("%q is not in\n%s", want, output)
+				}
 			}
-		}
-		cmd := exec.Command(script)
-		cmd.Dir, cmd.Env = dir, append(os.Environ(), "GOFLAGS=-mod=mod", "GOWORK=off")
-		out, err := cmd.CombinedOutput()
-		if (err == nil) != c.passes {
-			t.Errorf("%q: passes %v, %v\n%s", c.list, err == nil, err, out)
-		}
-		for _, w := range c.want {
-			if !strings.Contains(string(out), w) {
-				t.Errorf("%q: %q is not in\n%s", c.list, w, out)
+			if test.not != "" && strings.Contains(string(output), test.not) {
+				t.Errorf("%q is in\n%s", test.not, output)
 			}
-		}
-		if c.not != "" && strings.Contains(string(out), c.not) {
-			t.Errorf("%q: %q is in\n%s", c.list, c.not, out)
-		}
+		})
 	}
 }
--- a/internal/testkit/player.go
+++ b/internal/testkit/player.go
@@ -3,12 +3,10 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"slices"
 	"strconv"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
@@ -18,13 +16,16 @@
 // stepTimeout bounds each wait of a scenario. It is generous: a slow machine must not change a verdict.
 const stepTimeout = 10 * time.Second
 
-// floodTimes is how often a message is sent with the word FLOOD.
-const floodTimes = 5000
+// readyPollInterval is the time between attempts to use a gateway that is starting.
+const readyPollInterval = 10 * time.Millisecond
 
 // Gateway is the program under test.
 type Gateway interface {
+	// Addrs are the addresses for clients, for the agent check and for the HTTP health check.
 	Addrs() (clients, agent, http string)
+	// Stop begins a graceful shutdown.
 	Stop()
+	// Wait returns when the program has ended, with its error.
 	Wait() error
 }
 
@@ -32,19 +33,20 @@
 type Player struct {
 	Cluster *Cluster
 	Gateway Gateway
-	clients map[string]*net.TCPConn
-	words   map[string]string
-	keys    map[string]string // of each client's BackendKeyData; $NAME stands for it in raw bytes
+
+	clients    map[string]*net.TCPConn
+	variables  map[string]string // $NAME stands for its value
+	cancelKeys map[string]string // by client: its BackendKeyData in hex; $CLIENT stands for it in messages
 }
 
-// NewPlayer starts hosts and the gateway and waits until it serves.
-func NewPlayer(t *testing.T, start func(*testing.T, *Cluster) Gateway, hosts ...string) *Player {
+// NewPlayer starts hosts and the gateway and waits until it serves. Both end with the test.
+func NewPlayer(t *testing.T, start StartGateway, hosts ...string) *Player {
 	t.Helper()
-	c, err := NewCluster(hosts...)
+	cluster, err := NewCluster(hosts...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Player{Cluster: c, Gateway: start(t, c)}
+	p := &Player{Cluster: cluster, Gateway: start(t, cluster)}
 	p.Init()
 	t.Cleanup(func() {
 		for _, conn := range p.clients {
@@ -55,176 +57,97 @@
 			t.Error(err)
 		}
 	})
-	for end := time.Now().Add(stepTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	deadline := time.Now().Add(stepTimeout)
+	for ; time.Now().Before(deadline); time.Sleep(readyPollInterval) {
 		if p.Step("send ready startup | query") == nil && p.Step("expect ready R K Z I Z") == nil {
 			return p
 		}
-		_ = p.Step("close ready")
+		_ = p.Step("close ready") // it may not have been opened
 	}
 	t.Fatal("the gateway never got ready")
 	return nil
 }
 
-// Init makes a Player ready that is not from NewPlayer.
-func (p *Player) Init() { p.clients, p.keys = map[string]*net.TCPConn{}, map[string]string{} }
+// Init prepares a Player that NewPlayer has not made.
+func (p *Player) Init() {
+	p.clients = map[string]*net.TCPConn{}
+	p.cancelKeys = map[string]string{}
+}
 
-// Step plays one line.
+// Step plays one line of a scenario. An error says what differs from the expectation, or what is wrong with the line.
 func (p *Player) Step(line string) error {
-	for name, to := range p.words {
-		line = strings.ReplaceAll(line, "$"+name, to)
+	for name, value := range p.variables {
+		line = strings.ReplaceAll(line, "$"+name, value)
 	}
-	word, rest, _ := strings.Cut(line, " ")
+	verb, rest, _ := strings.Cut(line, " ")
 	name, rest, _ := strings.Cut(rest, " ")
-	switch word {
-	case "send":
-		return p.send(name, rest)
-	case "expect":
-		return p.expect(name, strings.Fields(rest))
-	case "close", "half", "reset":
-		return p.end(word, name)
-	case "wait":
-		ms, err := strconv.Atoi(name)
-		time.Sleep(time.Duration(ms) * time.Millisecond)
-		return err
-	case "host":
-		return p.Cluster.Do(name, rest)
-	case "all":
-		for _, h := range p.Cluster.order {
-			if err := p.Cluster.Do(h, name); err != nil {
-				return err
-			}
-		}
-		return nil
-	case "ran":
-		return same(strings.Fields(rest), p.Cluster.Runs(name))
-	case "count":
-		if n := strconv.Itoa(len(p.Cluster.Runs(name))); n != rest {
-			return fmt.Errorf("got %s", n)
-		}
-		return nil
+	switch verb {
+	case "send", "expect", "close", "half", "reset":
+		return p.clientStep(verb, name, rest)
+	case "host", "all", "ran", "count":
+		return p.hostStep(verb, name, rest)
 	case "agent":
-		return p.agent(strings.TrimSpace(name + " " + rest))
+		return p.checkAgent(strings.TrimSpace(name + " " + rest))
 	case "http":
-		return p.http(name, rest)
-	case "idle":
-		return p.idle(name)
+		return p.checkHTTP(name, rest)
 	case "manage":
 		return p.manage(name, strings.SplitN(rest, " ", 3))
+	case "wait":
+		duration, err := parseMilliseconds(name)
+		time.Sleep(duration)
+		return err
+	case "idle":
+		return p.awaitIdle(name)
 	case "stop":
 		p.Gateway.Stop()
 		return nil
 	case "exit":
 		return p.Gateway.Wait()
 	}
-	return fmt.Errorf("unknown word %q", word)
+	return fmt.Errorf("unknown word %q", verb)
 }
 
-func same[T comparable](want, got []T) error {
-	if !slices.Equal(want, got) {
-		return fmt.Errorf("got %v", got)
-	}
-	return nil
-}
-
-func (p *Player) send(name, text string) error {
-	conn := p.clients[name]
-	if conn == nil {
-		addr, _, _ := p.Gateway.Addrs()
-		c, err := net.Dial("tcp4", addr)
-		if err != nil {
-			return err
-		}
-		conn = c.(*net.TCPConn)
-		p.clients[name] = conn
-	}
-	var out []byte
-	for c, key := range p.keys {
-		text = strings.ReplaceAll(text, "$"+c+" ", key+" ")
-	}
-	times := 1
-	if rest, ok := strings.CutPrefix(text, "FLOOD "); ok {
-		text, times = rest, floodTimes
-	}
-	for part := range strings.SplitSeq(strings.Repeat(text+" | ", times-1)+text, " | ") {
-		var err error
-		if out, err = Encode(out, strings.TrimSpace(part)); err != nil {
-			return err
-		}
-	}
-	_, err := conn.Write(out)
-	return err
-}
-
-func (p *Player) expect(name string, want []string) error {
-	conn := p.clients[name]
-	if conn == nil {
-		return fmt.Errorf("no client %q", name)
-	}
-	_ = conn.SetReadDeadline(time.Now().Add(stepTimeout))
-	for i, wanted := range want {
-		got, err := receive(conn, wanted)
-		if err != nil {
-			return fmt.Errorf("after %v: %w", want[:i], err)
+// hostStep plays a step on hosts, or checks what ran at them.
+func (p *Player) hostStep(verb, name, rest string) error {
+	switch verb {
+	case "host":
+		return p.Cluster.Change(name, HostChange(rest))
+	case "all":
+		for _, host := range p.Cluster.order {
+			if err := p.Cluster.Change(host, HostChange(name)); err != nil {
+				return err
+			}
 		}
-		if key, ok := strings.CutPrefix(got, "K:"); ok {
-			p.keys[name] = key
+	case "ran":
+		if runs := p.Cluster.Runs(name); !slices.Equal(strings.Fields(rest), runs) {
+			return fmt.Errorf("got %v", runs)
 		}
-		if got != wanted && !strings.HasPrefix(got, wanted+":") {
-			return fmt.Errorf("after %v: want %s, got %s", want[:i], wanted, got)
+	case "count":
+		if count := strconv.Itoa(len(p.Cluster.Runs(name))); count != rest {
+			return fmt.Errorf("got %s", count)
 		}
 	}
 	return nil
 }
 
-// receive reads a message, or the end of the connection, and names it as scenarios do.
-func receive(conn net.Conn, wanted string) (string, error) {
-	got, err := Answer(conn)
-	if errors.Is(err, io.EOF) {
-		got, err = "eof", nil
-	}
-	if wanted == "cut" && err == nil && got[0] == 'D' { // the row before the end may come whole or not
-		got, err = Answer(conn)
-		if errors.Is(err, io.EOF) {
-			got, err = "cut", nil
-		}
-	}
-	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) {
-		got, err = "broken", nil
-		if wanted == "cut" {
-			got = wanted
-		}
-	}
-	return got, err
-}
-
-func (p *Player) end(how, name string) error {
-	conn := p.clients[name]
-	if conn == nil {
-		return fmt.Errorf("no client %q", name)
-	}
-	if how == "half" {
-		return conn.CloseWrite()
-	}
-	delete(p.clients, name)
-	if how == "reset" {
-		_ = conn.SetLinger(0)
-	}
-	return conn.Close()
+func parseMilliseconds(text string) (time.Duration, error) {
+	ms, err := strconv.Atoi(text)
+	return time.Duration(ms) * time.Millisecond, err
 }
 
-// idle waits until the gateway has no request without an answer.
-func (p *Player) idle(name string) error {
-	g, ok := p.Gateway.(interface{ InHand() int })
+// awaitIdle waits until the gateway has no request in flight.
+func (p *Player) awaitIdle(timeoutMs string) error {
+	gateway, ok := p.Gateway.(interface{ RequestsInFlight() int })
 	if !ok {
-		return errors.New("the gateway doesn't tell what is in flight")
+		return errors.New("the gateway doesn't report what is in flight")
 	}
-	ms, err := strconv.Atoi(name)
+	timeout, err := parseMilliseconds(timeoutMs)
 	if err != nil {
 		return err
 	}
-	for end := time.Now().Add(time.Duration(ms) * time.Millisecond); g.InHand() > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			return fmt.Errorf("%d requests are in flight", g.InHand())
+	for deadline := time.Now().Add(timeout); gateway.RequestsInFlight() > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%d requests are in flight", gateway.RequestsInFlight())
 		}
 	}
 	return nil
