--- a/membership/health.go
+++ b/membership/health.go
@@ -8,6 +8,19 @@
 	maxLateStepPenalty      = 2
 )
 
+// selfAssessment is what this member knows of its own condition.
+type selfAssessment struct {
+	status         Status
+	health         localHealth
+	roundTrip      roundTripEstimator
+	lastReceivedAt float64   // any message
+	lastAckAt      float64   // a direct answer to this member's own probe
+	acksResumedAt  float64   // when such an answer came after a time without any
+	lastRefutedAt  float64   // when this member took its present incarnation
+	disputedAt     []float64 // when it was declared dead although it had refuted that; recent ones
+	failuresAt     []float64 // when members were accused or died; recent ones
+}
+
 // localHealth is Lifeguard's local health multiplier: a member that has reason to doubt itself stretches its time-outs.
 type localHealth struct {
 	score     int     // 0 is healthy
@@ -61,18 +74,3 @@
 	return v.joined && !v.hasResumedRecently() && !v.isSilent() &&
 		v.status != StatusIsolated && v.status != StatusDisputed
 }
-
-const (
-	burstWindowMs   = 2000.0
-	burstFailures   = 3  // accusations and deaths within burstWindowMs
-	burstFleetShare = 10 // in a small fleet one failure for each so many members is enough
-)
-
-// isFailureBurst reports whether so many members failed recently that speed matters more than traffic: probes come as
-// fast as their attempts, gossip twice as often.
-func (v *View) isFailureBurst() bool {
-	for len(v.failuresAt) > 0 && v.now-v.failuresAt[0] > burstWindowMs {
-		v.failuresAt = v.failuresAt[1:]
-	}
-	return len(v.failuresAt) >= min(max(1, (len(v.live)+1)/burstFleetShare), burstFailures)
-}
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -1,6 +1,9 @@
 package membership
 
-import "slices"
+import (
+	"fmt"
+	"slices"
+)
 
 const (
 	maxAccusers           = 8      // that are kept of one suspicion
@@ -20,7 +23,7 @@
 // quorum is how many accusers make a member dead.
 func (v *View) quorum() int { return min(v.cfg.DeathQuorum, v.counts[Alive]+1) }
 
-// suspect takes an accusation. It is gossiped if it adds anything.
+// suspect records an accusation. It is gossiped if it adds anything.
 func (v *View) suspect(m *member, accusers []ID, cause string) {
 	changed := false
 	if m.State != Suspect {
@@ -52,7 +55,8 @@
 	return true
 }
 
-func (v *View) nextSuspicionCheckAt() float64 { return v.now + suspicionCheckMs*(1+v.rng.Float64()) }
+// nextSuspicionCheckAt is when a suspicion without a quorum is checked next.
+func (v *View) nextSuspicionCheckAt() float64 { return v.now + suspicionCheckMs*v.jitter(1, 1) }
 
 // suspicionDueAt is when a suspicion has to be resolved or checked.
 func (v *View) suspicionDueAt(s *suspicion) float64 {
@@ -92,7 +96,7 @@
 		s.checked, s.quorumAt = true, v.now
 		v.scheduleCheck(m, nil)
 	default:
-		v.setState(m, Dead, m.Incarnation, "no answer to "+countWord(len(s.accusers))+" observers")
+		v.setState(m, Dead, m.Incarnation, fmt.Sprintf(causeQuorumFormat, countWord(len(s.accusers))))
 		v.enqueueRumor(m, false)
 	}
 }
