--- a/internal/faultsim/oracle.go
+++ b/internal/faultsim/oracle.go
@@ -8,8 +8,8 @@
 )
 
 // Oracle compares what each gateway believes of the others with the facts. Both engines notify it of the steps that
-// they carry out and of the changes that gateways report; it knows nothing of the protocol. Times are ms since second
-// 0.
+// they carry out and of the changes that gateways report; it knows nothing of the protocol. Its times are ms since
+// second 0.
 type Oracle struct {
 	network      *Network
 	gateways     []observedGateway
