--- a/internal/faultsim/host_relay.go
+++ b/internal/faultsim/host_relay.go
@@ -11,121 +11,153 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// hostRelay is a TCP relay from one gateway to one host.
+const (
+	relayBufferBytes = 16 << 10
+	relayDialTimeout = time.Second
+)
+
+// hostRelay is a TCP relay from one gateway to one host that can be cut.
 type hostRelay struct {
 	listener net.Listener
-	target   func() string
+	target   func() string // the host's address
 	mutex    sync.Mutex
 	conns    map[net.Conn]bool
-	open     chan struct{} // closed while all is well; open: nothing passes
+	healed   chan struct{} // closed unless the relay is cut
 }
 
-func newHostRelay(to func() string) (*hostRelay, error) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+func newHostRelay(target func() string) (*hostRelay, error) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	l := &hostRelay{listener: ln, target: to, conns: map[net.Conn]bool{}, open: make(chan struct{})}
-	close(l.open)
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go l.relay(c)
+	r := &hostRelay{
+		listener: listener,
+		target:   target,
+		conns:    map[net.Conn]bool{},
+		healed:   make(chan struct{}),
+	}
+	close(r.healed)
+	go r.accept()
+	return r, nil
+}
+
+func (r *hostRelay) accept() {
+	for {
+		conn, err := r.listener.Accept()
+		if err != nil {
+			return
 		}
-	}()
-	return l, nil
+		go r.relay(conn)
+	}
 }
 
-func (l *hostRelay) addr() string { return l.listener.Addr().String() }
+// address is where the gateway connects to.
+func (r *hostRelay) address() string { return r.listener.Addr().String() }
 
-// awaitOpen waits until bytes may pass.
-func (l *hostRelay) awaitOpen() {
-	l.mutex.Lock()
-	c := l.open
-	l.mutex.Unlock()
-	<-c
+// awaitHealed waits while the relay is cut.
+func (r *hostRelay) awaitHealed() {
+	r.mutex.Lock()
+	healed := r.healed
+	r.mutex.Unlock()
+	<-healed
 }
 
-// setCut cuts the relay, silently, or heals it. Healed, connections that were cut are reset.
-func (l *hostRelay) setCut(on bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+// setCut cuts the relay, so that its connections become silent, or heals it, which resets them.
+func (r *hostRelay) setCut(cut bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if cut == r.isCut() {
+		return
+	}
+	if cut {
+		r.healed = make(chan struct{})
+		return
+	}
+	for conn := range r.conns {
+		stubserver.Reset(conn)
+	}
+	close(r.healed)
+}
+
+// isCut reports whether the relay is cut. The caller holds the lock.
+func (r *hostRelay) isCut() bool {
 	select {
-	case <-l.open: // all is well
-		if on {
-			l.open = make(chan struct{})
-		}
+	case <-r.healed:
+		return false
 	default:
-		if !on {
-			for c := range l.conns {
-				_ = c.(*net.TCPConn).SetLinger(0)
-				stubserver.CloseQuietly(c)
-			}
-			close(l.open)
-		}
+		return true
 	}
 }
 
-func (l *hostRelay) track(c net.Conn, on bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if on {
-		l.conns[c] = true
-	} else {
-		delete(l.conns, c)
-	}
+func (r *hostRelay) track(conn net.Conn) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.conns[conn] = true
+}
+
+func (r *hostRelay) untrack(conn net.Conn) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	delete(r.conns, conn)
 }
 
-func (l *hostRelay) relay(in net.Conn) {
-	l.track(in, true)
-	defer l.track(in, false)
-	defer stubserver.CloseQuietly(in)
-	l.awaitOpen()
-	out, err := net.DialTimeout("tcp4", l.target(), time.Second)
+// relay connects to the host and copies in both directions until one side ends.
+func (r *hostRelay) relay(client net.Conn) {
+	r.track(client)
+	defer r.untrack(client)
+	defer stubserver.CloseQuietly(client)
+	r.awaitHealed()
+	host, err := net.DialTimeout("tcp4", r.target(), relayDialTimeout)
 	if err != nil {
-		_ = in.(*net.TCPConn).SetLinger(0)
+		resetOnClose(client)
 		return
 	}
-	l.track(out, true)
-	defer l.track(out, false)
-	defer stubserver.CloseQuietly(out)
-	done := make(chan struct{}, 2)
-	pump := func(to, from net.Conn) {
-		buf := make([]byte, 16<<10)
-		for {
-			n, err := from.Read(buf)
-			if n > 0 {
-				l.awaitOpen()
-				if _, werr := to.Write(buf[:n]); werr != nil {
-					break
-				}
-			}
-			if err != nil {
-				if !errors.Is(err, io.EOF) {
-					_ = to.(*net.TCPConn).SetLinger(0)
-				}
+	r.track(host)
+	defer r.untrack(host)
+	defer stubserver.CloseQuietly(host)
+	done := make(chan struct{})
+	go func() {
+		r.copyStream(host, client)
+		close(done)
+	}()
+	r.copyStream(client, host)
+	stubserver.CloseQuietly(client)
+	stubserver.CloseQuietly(host)
+	<-done
+}
+
+// copyStream copies one direction of a connection while the relay is not cut. A reset of one side is passed on as one.
+func (r *hostRelay) copyStream(to, from net.Conn) {
+	buffer := make([]byte, relayBufferBytes)
+	for {
+		count, err := from.Read(buffer)
+		if count > 0 {
+			r.awaitHealed()
+			if _, writeErr := to.Write(buffer[:count]); writeErr != nil {
 				break
 			}
 		}
-		_ = to.(*net.TCPConn).CloseWrite()
-		done <- struct{}{}
+		if err != nil {
+			if !errors.Is(err, io.EOF) {
+				resetOnClose(to)
+			}
+			break
+		}
 	}
-	go pump(out, in)
-	pump(in, out)
-	stubserver.CloseQuietly(in)
-	stubserver.CloseQuietly(out)
-	<-done
+	_ = to.(*net.TCPConn).CloseWrite() // an error means that it is closed already
+}
+
+// resetOnClose makes the close of a TCP connection a reset.
+func resetOnClose(conn net.Conn) {
+	_ = conn.(*net.TCPConn).SetLinger(0) // an error means that it is closed already
 }
 
-func (l *hostRelay) close() {
-	stubserver.CloseQuietly(l.listener)
-	l.setCut(false)
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	for c := range l.conns {
-		stubserver.CloseQuietly(c)
+func (r *hostRelay) close() {
+	stubserver.CloseQuietly(r.listener)
+	r.setCut(false)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for conn := range r.conns {
+		stubserver.CloseQuietly(conn)
 	}
 }
