--- a/fleet/poll_policy.go
+++ b/fleet/poll_policy.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Moved resets the policy for another address of discovery, which has not answered yet.
-func (p *PollPolicy) Moved(now float64) {
+// AddressChanged resets the policy for another address of discovery, which has not answered yet.
+func (p *PollPolicy) AddressChanged(now float64) {
 	p.answered, p.failures, p.lastTimedOut = false, 0, false
 	p.Started(now)
 }
@@ -41,9 +41,9 @@
 const (
 	spreadPerGatewayMs = 60.0 // time over which a fleet spreads polls that all gateways make on one occasion
 	maxSpreadOfGrace   = 0.6  // at most this share of the drain grace period
-	// maxMoveDelayMs bounds the delay before a poll of another address: the old one may close its connections 1.5 s
-	// after the move.
-	maxMoveDelayMs = 1000.0
+	// maxAddressChangeDelayMs bounds the delay before a poll of another address: the old one may close its connections
+	// 1.5 s after the change.
+	maxAddressChangeDelayMs = 1000.0
 )
 
 // FirstDelay is how long a gateway waits before its first poll. hasList says that it knows an endpoint list already;
@@ -57,13 +57,13 @@
 	return p.fleetSpreadMs() * draw
 }
 
-// MoveDelay is how long a gateway waits before it polls another address of discovery, which all gateways are notified
-// of at one moment.
-func (p *PollPolicy) MoveDelay(draw float64) float64 {
+// AddressChangeDelay is how long a gateway waits before it polls another address of discovery, of which all gateways
+// are notified at one moment.
+func (p *PollPolicy) AddressChangeDelay(draw float64) float64 {
 	if p.Pushed {
 		return 0
 	}
-	return min(maxMoveDelayMs, p.fleetSpreadMs()) * draw
+	return min(maxAddressChangeDelayMs, p.fleetSpreadMs()) * draw
 }
 
 // fleetSpreadMs is the time over which the whole fleet spreads polls.
--- a/fleet/poll_policy_test.go
+++ b/fleet/poll_policy_test.go
@@ -15,7 +15,7 @@
 		t.Run(fmt.Sprintf("grace %v", grace), func(t *testing.T) {
 			policy := PollPolicy{SlotSchedule: SlotSchedule{300, -1}, DrainGraceMs: grace, Pushed: true}
 			policy.Started(1000)
-			if first, move := policy.FirstDelay(true, 0.99), policy.MoveDelay(0.99); first != 0 || move != 0 {
+			if first, move := policy.FirstDelay(true, 0.99), policy.AddressChangeDelay(0.99); first != 0 || move != 0 {
 				t.Errorf("the first poll comes after %v ms, after a move %v ms", first, move)
 			}
 			if _, timeout := policy.NextPoll(true); timeout > 1500 {
@@ -198,7 +198,7 @@
 	if wait, timeout := policy.NextPoll(false); wait != 0 || timeout != 4000 {
 		t.Errorf("first poll: %.0f, %.0f", wait, timeout)
 	}
-	if policy.FirstDelay(false, 0.5) != 0 || policy.FirstDelay(true, 0.5) != 600 || policy.MoveDelay(0.5) != 500 {
+	if policy.FirstDelay(false, 0.5) != 0 || policy.FirstDelay(true, 0.5) != 600 || policy.AddressChangeDelay(0.5) != 500 {
 		t.Error("spread of first polls")
 	}
 	first, _ := policy.Answered(1)
@@ -225,7 +225,7 @@
 	if policy.TimedOut(4, 5, 0.999) > 0.4*2000 {
 		t.Error("after a time-out the gateway waits for more than the drain grace period")
 	}
-	policy.Moved(6)
+	policy.AddressChanged(6)
 	if policy.HasAnswer() || policy.Failed(7, 0.5) != 3000 {
 		t.Error("a new address does not start anew")
 	}
--- a/internal/protocol/discovery/watcher.go
+++ b/internal/protocol/discovery/watcher.go
@@ -99,9 +99,9 @@
 // known stays in use until the new address has sent a complete one: its revisions may be numbered otherwise.
 func (w *Watcher) SetAddress(address string) {
 	w.moveTimer.Stop()
-	w.moveTimer = w.loop.After(w.policy.MoveDelay(w.rng.Float64()), func() {
+	w.moveTimer = w.loop.After(w.policy.AddressChangeDelay(w.rng.Float64()), func() {
 		w.address, w.revision = address, NoRevision
-		w.policy.Moved(w.loop.Clock.Now())
+		w.policy.AddressChanged(w.loop.Clock.Now())
 		w.disconnect()
 		w.poll()
 	})
--- a/internal/server/fleet_config.go
+++ b/internal/server/fleet_config.go
@@ -64,12 +64,12 @@
 // validate checks the keys that are single values.
 func (f *fleetTable) validate(gateway string) error {
 	switch {
-	case gateway == "" || len(gateway) > membership.MaxName:
-		return invalidKey("name", "a gateway of a fleet needs one of 1 to %d bytes", membership.MaxName)
+	case gateway == "" || len(gateway) > membership.MaxNameBytes:
+		return invalidKey("name", "a gateway of a fleet needs one of 1 to %d bytes", membership.MaxNameBytes)
 	case f.Name == "":
 		return &ConfigError{Key: "fleet.name", Err: errors.New("is missing")}
-	case len(f.Zone) > membership.MaxZone:
-		return invalidKey("fleet.zone", "%q is longer than %d bytes", f.Zone, membership.MaxZone)
+	case len(f.Zone) > membership.MaxZoneBytes:
+		return invalidKey("fleet.zone", "%q is longer than %d bytes", f.Zone, membership.MaxZoneBytes)
 	case f.MessageVersion < 0 || f.MessageVersion > membership.Version:
 		return invalidKey("fleet.message_version", "%d is not spoken, 1 to %d are", f.MessageVersion, membership.Version)
 	}
--- a/internal/server/management.go
+++ b/internal/server/management.go
@@ -64,8 +64,8 @@
 		Unreachable: summary.Unreachable,
 		Dead:        summary.Dead,
 		Left:        summary.Left,
-		Health:      summary.Health,
-		Loss:        summary.Loss,
+		Health:      summary.HealthScore,
+		Loss:        summary.LossRate,
 		RoundTripMs: summary.RoundTripMs,
 	}
 	now := s.loop.Clock.Now()
--- a/internal/transport/codec_test.go
+++ b/internal/transport/codec_test.go
@@ -68,16 +68,16 @@
 
 func drawRecord(t *rapid.T) membership.Record {
 	record := membership.Record{
-		Name:           rapid.StringN(1, 16, membership.MaxName).Draw(t, "name"),
+		Name:           rapid.StringN(1, 16, membership.MaxNameBytes).Draw(t, "name"),
 		Addr:           drawAddr(t),
-		Zone:           rapid.StringN(0, 8, membership.MaxZone).Draw(t, "zone"),
+		Zone:           rapid.StringN(0, 8, membership.MaxZoneBytes).Draw(t, "zone"),
 		Version:        2,
 		BootID:         rapid.Uint64Min(1).Draw(t, "boot"),
 		Incarnation:    rapid.Uint64Range(1, 1<<62).Draw(t, "incarnation"),
 		State:          membership.Alive,
 		PayloadVersion: rapid.Uint64().Draw(t, "payload version"),
 	}
-	if size := rapid.IntRange(0, membership.MaxPayload).Draw(t, "payload"); size > 0 {
+	if size := rapid.IntRange(0, membership.MaxPayloadBytes).Draw(t, "payload"); size > 0 {
 		record.Payload = bytes.Repeat([]byte{7}, size)
 	}
 	return record
@@ -110,7 +110,7 @@
 // The sizes that membership counts with are upper bounds of what is sent.
 func TestSizesAreBounds(t *testing.T) {
 	const maxID = ^uint64(0)
-	longName := strings.Repeat("x", membership.MaxName)
+	longName := strings.Repeat("x", membership.MaxNameBytes)
 	addr := netip.AddrPortFrom(netip.MustParseAddr("2001:db8::1"), 65535)
 	header := membership.Message{
 		Kind: membership.SyncResponse, Version: 2, From: membership.ID(maxID), BootID: maxID, Incarnation: 1 << 62,
@@ -126,9 +126,9 @@
 		rumor.Accusers = append(rumor.Accusers, membership.ID(maxID))
 	}
 	record := membership.Record{
-		Name: longName, Addr: addr, Zone: longName[:membership.MaxZone], Version: 255, BootID: maxID,
+		Name: longName, Addr: addr, Zone: longName[:membership.MaxZoneBytes], Version: 255, BootID: maxID,
 		Incarnation: 1 << 62, State: membership.Left,
-		Payload: make([]byte, membership.MaxPayload), PayloadVersion: maxID,
+		Payload: make([]byte, membership.MaxPayloadBytes), PayloadVersion: maxID,
 	}
 	withRumor := header
 	withRumor.Rumors = []membership.Rumor{rumor}
--- a/internal/transport/decode.go
+++ b/internal/transport/decode.go
@@ -118,9 +118,9 @@
 		isValidIncarnation(encoded.Incarnation) &&
 		encoded.BootID != 0 &&
 		encoded.Name != "" &&
-		len(encoded.Name) <= membership.MaxName &&
-		len(encoded.Zone) <= membership.MaxZone &&
-		len(encoded.Payload) <= membership.MaxPayload
+		len(encoded.Name) <= membership.MaxNameBytes &&
+		len(encoded.Zone) <= membership.MaxZoneBytes &&
+		len(encoded.Payload) <= membership.MaxPayloadBytes
 }
 
 func isValidIncarnation(incarnation uint64) bool {
--- a/internal/transport/payload.go
+++ b/internal/transport/payload.go
@@ -19,7 +19,7 @@
 // Bytes returns the payload as a membership record carries it; nil where it can't be encoded.
 func (p Payload) Bytes() []byte {
 	data, err := encodeMode.Marshal(p)
-	if err != nil || len(data) > membership.MaxPayload {
+	if err != nil || len(data) > membership.MaxPayloadBytes {
 		return nil
 	}
 	return data
--- a/membership/clock_test.go
+++ b/membership/clock_test.go
@@ -31,7 +31,7 @@
 	if len(c.memberChanges) > 0 {
 		t.Errorf("after steps: %v", c.memberChanges)
 	}
-	if got := c.views[2].Summary().LateAnswers; got == 0 {
+	if got := c.views[2].Summary().LateSteps; got == 0 {
 		t.Error("a step forward was not noticed")
 	}
 }
--- a/membership/config.go
+++ b/membership/config.go
@@ -7,17 +7,17 @@
 
 // Limits of a member's fields in bytes, so that one record always fits into a datagram.
 const (
-	MaxName    = 64
-	MaxZone    = 32
-	MaxPayload = 64
+	MaxNameBytes    = 64
+	MaxZoneBytes    = 32
+	MaxPayloadBytes = 64
 )
 
 // Config is the configuration of a View.
 type Config struct {
-	Name    string         // 1 to MaxName bytes, unique in the fleet
+	Name    string         // 1 to MaxNameBytes, unique in the fleet
 	Addr    netip.AddrPort // where the others reach this member
-	Zone    string         // up to MaxZone bytes
-	Payload []byte         // up to MaxPayload bytes; opaque to this package
+	Zone    string         // up to MaxZoneBytes
+	Payload []byte         // up to MaxPayloadBytes; opaque to this package
 	BootID  uint64         // random, not 0
 	Seeds   []netip.AddrPort
 	Version uint8 // of messages; 0: the newest
@@ -27,26 +27,26 @@
 // Tuning holds the protocol's durations in milliseconds and counts. 0 stands for the default, which docs/membership.md
 // derives.
 type Tuning struct {
-	ProbeIntervalMs    float64 // between two regular probes of a member
-	ProbeRetryMs       float64 // least time between two attempts of a probe
-	GossipIntervalMs   float64 // between two rounds of gossip while there are rumors
-	SuspicionTimeoutMs float64 // from a quorum of accusers to dead
-	DeadRetentionMs    float64 // for which dead members are remembered and probed
-	LeftRetentionMs    float64 // for which members that left are remembered
-	DeathQuorum        int     // accusers that make a member dead, or all live members if there are fewer
-	IndirectProbes     int     // members that are asked to probe a target that doesn't answer
+	ProbeIntervalMs      float64 // between two regular probes of a member
+	MinAttemptIntervalMs float64 // least time between two attempts of a probe
+	GossipIntervalMs     float64 // between two rounds of gossip while there are rumors
+	SuspicionTimeoutMs   float64 // from a quorum of accusers to dead
+	DeadRetentionMs      float64 // for which dead members are remembered and probed
+	LeftRetentionMs      float64 // for which members that left are remembered
+	DeathQuorum          int     // accusers that make a member dead, or all live members if there are fewer
+	IndirectProbes       int     // members that are asked to probe a target that doesn't answer
 }
 
 // The defaults of Tuning.
 const (
-	defaultProbeIntervalMs    = 350
-	defaultProbeRetryMs       = 100
-	defaultGossipIntervalMs   = 100
-	defaultSuspicionTimeoutMs = 500
-	defaultDeadRetentionMs    = 600_000
-	defaultLeftRetentionMs    = 30_000
-	defaultDeathQuorum        = 4
-	defaultIndirectProbes     = 4
+	defaultProbeIntervalMs      = 350
+	defaultMinAttemptIntervalMs = 100
+	defaultGossipIntervalMs     = 100
+	defaultSuspicionTimeoutMs   = 500
+	defaultDeadRetentionMs      = 600_000
+	defaultLeftRetentionMs      = 30_000
+	defaultDeathQuorum          = 4
+	defaultIndirectProbes       = 4
 )
 
 // The bounds of Tuning.
@@ -71,14 +71,14 @@
 // check validates the configuration and fills in the defaults. Its errors are of type *ConfigError.
 func (c *Config) check() error {
 	switch {
-	case c.Name == "" || len(c.Name) > MaxName:
-		return configError("name", "1 to %d bytes are needed, %q has %d", MaxName, c.Name, len(c.Name))
+	case c.Name == "" || len(c.Name) > MaxNameBytes:
+		return configError("name", "1 to %d bytes are needed, %q has %d", MaxNameBytes, c.Name, len(c.Name))
 	case !c.Addr.IsValid() || c.Addr.Port() == 0:
 		return configError("address", "the others need an address and a port")
-	case len(c.Zone) > MaxZone:
-		return configError("zone", "%q is longer than %d bytes", c.Zone, MaxZone)
-	case len(c.Payload) > MaxPayload:
-		return configError("payload", "%d bytes, %d at most", len(c.Payload), MaxPayload)
+	case len(c.Zone) > MaxZoneBytes:
+		return configError("zone", "%q is longer than %d bytes", c.Zone, MaxZoneBytes)
+	case len(c.Payload) > MaxPayloadBytes:
+		return configError("payload", "%d bytes, %d at most", len(c.Payload), MaxPayloadBytes)
 	case c.BootID == 0:
 		return configError("boot", "0 tells no processes apart")
 	case c.Version > Version:
@@ -100,7 +100,7 @@
 		defaultMs float64
 	}{
 		{&t.ProbeIntervalMs, defaultProbeIntervalMs},
-		{&t.ProbeRetryMs, defaultProbeRetryMs},
+		{&t.MinAttemptIntervalMs, defaultMinAttemptIntervalMs},
 		{&t.GossipIntervalMs, defaultGossipIntervalMs},
 		{&t.SuspicionTimeoutMs, defaultSuspicionTimeoutMs},
 		{&t.DeadRetentionMs, defaultDeadRetentionMs},
--- a/membership/config_test.go
+++ b/membership/config_test.go
@@ -9,10 +9,10 @@
 
 func TestConfigErrorNamesTheField(t *testing.T) {
 	for field, change := range map[string]func(*Config){
-		"name":    func(c *Config) { c.Name = strings.Repeat("x", MaxName+1) },
+		"name":    func(c *Config) { c.Name = strings.Repeat("x", MaxNameBytes+1) },
 		"address": func(c *Config) { c.Addr = netip.AddrPort{} },
-		"zone":    func(c *Config) { c.Zone = strings.Repeat("z", MaxZone+1) },
-		"payload": func(c *Config) { c.Payload = make([]byte, MaxPayload+1) },
+		"zone":    func(c *Config) { c.Zone = strings.Repeat("z", MaxZoneBytes+1) },
+		"payload": func(c *Config) { c.Payload = make([]byte, MaxPayloadBytes+1) },
 		"boot":    func(c *Config) { c.BootID = 0 },
 		"version": func(c *Config) { c.Version = Version + 1 },
 		"tuning":  func(c *Config) { c.ProbeIntervalMs = -1 },
--- a/membership/event.go
+++ b/membership/event.go
@@ -14,7 +14,7 @@
 // Leave makes this member leave the fleet: it notifies the others and answers nobody afterwards.
 type Leave struct{}
 
-// SetPayload changes this member's payload, up to MaxPayload bytes; a longer one is ignored.
+// SetPayload changes this member's payload, up to MaxPayloadBytes; a longer one is ignored.
 type SetPayload struct{ Payload []byte }
 
 func (Received) event()   {}
--- a/membership/probe_schedule.go
+++ b/membership/probe_schedule.go
@@ -23,7 +23,7 @@
 func (v *View) startRegularProbe() {
 	interval := v.cfg.ProbeIntervalMs
 	if v.isFailureBurst() {
-		interval = v.cfg.ProbeRetryMs
+		interval = v.cfg.MinAttemptIntervalMs
 	}
 	v.nextProbeAt = v.now + interval*v.health.factor()*v.jitter(0.9, 0.2)
 	if v.countProbes(regularProbe) >= maxConcurrentRegularProbes {
--- a/membership/round_trip.go
+++ b/membership/round_trip.go
@@ -55,7 +55,7 @@
 
 // attemptIntervalMs is the time between two attempts of a probe.
 func (v *View) attemptIntervalMs() float64 {
-	return v.roundTrip.timeoutMs(v.cfg.ProbeRetryMs) * v.health.factor()
+	return v.roundTrip.timeoutMs(v.cfg.MinAttemptIntervalMs) * v.health.factor()
 }
 
 // recordRoundTrip records the round trip of an answer to an attempt of a probe that started at some time. countLoss
--- a/membership/view.go
+++ b/membership/view.go
@@ -76,7 +76,7 @@
 }
 
 func (v *View) setPayload(payload []byte) {
-	if len(payload) > MaxPayload || bytes.Equal(payload, v.self.Payload) {
+	if len(payload) > MaxPayloadBytes || bytes.Equal(payload, v.self.Payload) {
 		return
 	}
 	v.self.Payload = bytes.Clone(payload)
