--- a/fleet/poll_policy.go
+++ b/fleet/poll_policy.go
@@ -75,7 +75,7 @@
 	watchWaitMs           = 2000.0   // least time for which a watch waits for an update
 	watchWaitPerGatewayMs = 20.0     // that time for each gateway of the fleet, if this one knows its slot
 	maxWatchWaitMs        = 20_000.0 // greatest time that the size of the fleet leads to
-	firstWatchWaitMs      = 100.0    // of the first watch: the program waits for its answer
+	shortWatchWaitMs      = 100.0    // of the first watch: the program waits for its answer
 	responseTimeoutMs     = 1000.0   // beyond the time for which the poll may wait
 	// firstResponseTimeoutMs is for the first poll: the polls of a whole fleet queue in discovery, and a repeated poll
 	// goes to the end of that queue.
@@ -96,7 +96,7 @@
 			wait = max(watchWaitMs, min(maxWatchWaitMs, watchWaitPerGatewayMs*float64(p.GatewayCount)))
 		}
 	default:
-		wait = firstWatchWaitMs
+		wait = shortWatchWaitMs
 	}
 	if p.answered || p.lastTimedOut || p.Pushed {
 		return wait, wait + responseTimeoutMs
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -56,37 +56,37 @@
 }
 
 // enqueueRumor has a member's present state gossiped, or its whole record.
-func (v *View) enqueueRumor(m *member, withRecord bool) { v.rumors.push(m, withRecord) }
+func (v *View) enqueueRumor(subject *member, withRecord bool) { v.rumors.push(subject, withRecord) }
 
 // rumorAbout is the rumor about a member's present state.
-func (v *View) rumorAbout(m *member) Rumor {
-	if m.suspicion == nil {
-		return m.rumor(m.State.advertised())
-	}
-	r := m.rumor(m.State)
-	accusers := m.suspicion.accusers
-	r.Accusers = slices.Clone(accusers[:min(len(accusers), v.cfg.DeathQuorum+1)])
-	return r
+func (v *View) rumorAbout(subject *member) Rumor {
+	if subject.suspicion == nil {
+		return subject.rumor(subject.State.advertised())
+	}
+	rumor := subject.rumor(subject.State)
+	accusers := subject.suspicion.accusers
+	rumor.Accusers = slices.Clone(accusers[:min(len(accusers), v.cfg.DeathQuorum+1)])
+	return rumor
 }
 
 // transmissionsFactor times the decimal logarithm of the fleet's size is how often a rumor is sent.
 const transmissionsFactor = 4.0
 
 // piggyback adds queued rumors to a message, as many as limitBytes allows for all its rumors and records.
-func (v *View) piggyback(m *Message, limitBytes int) {
+func (v *View) piggyback(message *Message, limitBytes int) {
 	remainingBytes := limitBytes
-	for i := range m.Rumors {
-		remainingBytes -= m.Rumors[i].Size()
+	for i := range message.Rumors {
+		remainingBytes -= message.Rumors[i].Size()
 	}
-	for i := range m.Records {
-		remainingBytes -= m.Records[i].Size()
+	for i := range message.Records {
+		remainingBytes -= message.Records[i].Size()
 	}
 	if remainingBytes < rumorBytes || len(v.rumors.entries) == 0 {
 		return
 	}
 	added := 0
 	for _, entry := range v.rumors.entries {
-		size := v.appendUpdate(m, entry, remainingBytes)
+		size := v.appendUpdate(message, entry, remainingBytes)
 		if size == 0 {
 			break
 		}
@@ -100,7 +100,7 @@
 // appendUpdate adds a queued rumor to a message and returns its size, or returns 0 if it doesn't fit. A record
 // carries no accusers, and receivers verify a death in a record, so a rumor goes with the record unless the member is
 // alive.
-func (v *View) appendUpdate(m *Message, entry *queuedRumor, remainingBytes int) int {
+func (v *View) appendUpdate(message *Message, entry *queuedRumor, remainingBytes int) int {
 	size, state := 0, entry.subject.State
 	var record Record
 	if entry.withRecord {
@@ -117,10 +117,10 @@
 		return 0
 	}
 	if entry.withRecord {
-		m.Records = append(m.Records, record)
+		message.Records = append(message.Records, record)
 	}
 	if withRumor {
-		m.Rumors = append(m.Rumors, rumor)
+		message.Rumors = append(message.Rumors, rumor)
 	}
 	return size
 }
--- a/membership/indirect_probe.go
+++ b/membership/indirect_probe.go
@@ -30,17 +30,17 @@
 const maxConcurrentIndirectProbes = 64
 
 // handlePingRequest probes a target for another member. sender is nil for one that is not known.
-func (v *View) handlePingRequest(from netip.AddrPort, sender *member, m *Message) {
-	if m.Target == v.id {
-		v.send(from, sender, &Message{Kind: Ack, Seq: m.Seq, Target: v.id}, 0)
+func (v *View) handlePingRequest(from netip.AddrPort, sender *member, message *Message) {
+	if message.Target == v.id {
+		v.send(from, sender, &Message{Kind: Ack, Seq: message.Seq, Target: v.id}, 0)
 		return
 	}
-	target := v.members[m.Target]
-	if target == nil || target.Addr != m.Addr || v.countProbes(indirectProbe) >= maxConcurrentIndirectProbes {
+	target := v.members[message.Target]
+	if target == nil || target.Addr != message.Addr || v.countProbes(indirectProbe) >= maxConcurrentIndirectProbes {
 		return
 	}
 	probeInFlight := target.probeInFlight // an indirect probe does not keep this member from probing the target itself
-	v.startProbe(&probe{kind: indirectProbe, target: target, requester: requester{from, sender, m.Seq}})
+	v.startProbe(&probe{kind: indirectProbe, target: target, requester: requester{from, sender, message.Seq}})
 	target.probeInFlight = probeInFlight
 }
 
@@ -51,9 +51,9 @@
 }
 
 // handleNack handles a member's report that the target of a probe doesn't answer it.
-func (v *View) handleNack(sender *member, m *Message) {
-	p := v.findProbe(m.Seq)
-	if p == nil || p.target.id != m.Target || slices.Contains(p.confirmedBy, sender.id) {
+func (v *View) handleNack(sender *member, message *Message) {
+	p := v.findProbe(message.Seq)
+	if p == nil || p.target.id != message.Target || slices.Contains(p.confirmedBy, sender.id) {
 		return
 	}
 	if len(p.confirmedBy) < maxAccusers-1 { // this member is the last one
--- a/membership/join.go
+++ b/membership/join.go
@@ -70,29 +70,29 @@
 
 // handleJoin accepts a member, unless another process lives under its name at another address. There can be only one
 // process at an address, so an earlier one at the same address is gone.
-func (v *View) handleJoin(from netip.AddrPort, m *Message) {
-	r := m.introduction()
-	if !v.joined || r == nil || len(m.Records) != 1 {
+func (v *View) handleJoin(from netip.AddrPort, message *Message) {
+	record := message.introduction()
+	if !v.joined || record == nil || len(message.Records) != 1 {
 		return
 	}
-	if m.From == v.id {
+	if message.From == v.id {
 		v.rejectJoin(from, v.cfg.Addr)
 		return
 	}
-	joiner := v.members[m.From]
+	joiner := v.members[message.From]
 	switch {
 	case joiner == nil:
-		joiner = v.acceptMember(r, causeJoined)
-	case joiner.BootID == r.BootID:
-		if r.Incarnation > joiner.Incarnation {
-			v.acceptIncarnation(joiner, r.Incarnation, causeRejoined)
+		joiner = v.acceptMember(record, causeJoined)
+	case joiner.BootID == record.BootID:
+		if record.Incarnation > joiner.Incarnation {
+			v.acceptIncarnation(joiner, record.Incarnation, causeRejoined)
 		}
-	case joiner.Addr != r.Addr && joiner.isInUse():
+	case joiner.Addr != record.Addr && joiner.isInUse():
 		v.scheduleCheck(joiner, nil)
 		v.rejectJoin(from, joiner.Addr)
 		return
 	default:
-		v.replaceProcess(joiner, r)
+		v.replaceProcess(joiner, record)
 	}
 	v.acceptJoin(from, joiner)
 }
@@ -101,17 +101,17 @@
 func (m *member) isInUse() bool { return m.State == Alive || m.State == Suspect }
 
 // acceptMember adds a member that introduces itself.
-func (v *View) acceptMember(r *Record, cause string) *member {
-	m := v.addMember(r, cause)
+func (v *View) acceptMember(record *Record, cause string) *member {
+	m := v.addMember(record, cause)
 	v.enqueueRumor(m, true)
 	return m
 }
 
 // replaceProcess replaces the process of a member's name by one that introduces itself.
-func (v *View) replaceProcess(m *member, r *Record) {
-	v.updateFromRecord(m, r)
-	v.setState(m, Alive, max(r.Incarnation, m.Incarnation+1), causeRestarted)
-	v.enqueueRumor(m, true)
+func (v *View) replaceProcess(subject *member, record *Record) {
+	v.updateFromRecord(subject, record)
+	v.setState(subject, Alive, max(record.Incarnation, subject.Incarnation+1), causeRestarted)
+	v.enqueueRumor(subject, true)
 }
 
 // acceptJoin sends a joiner what is believed of it, and records of some members.
@@ -144,8 +144,8 @@
 
 // handleJoinAccepted completes the join and completes the view from a random member, so that not all joiners ask the
 // seed.
-func (v *View) handleJoinAccepted(from netip.AddrPort, m *Message) {
-	if m.From == v.id {
+func (v *View) handleJoinAccepted(from netip.AddrPort, message *Message) {
+	if message.From == v.id {
 		return
 	}
 	isFirst := !v.joined
@@ -154,14 +154,14 @@
 		v.joinAttempts = 0
 		v.updateStatus()
 	}
-	for i := range m.Records {
-		v.handleRecord(&m.Records[i], false)
+	for i := range message.Records {
+		v.handleRecord(&message.Records[i], false)
 	}
-	v.handleRumorsAboutSelf(m.Rumors)
-	if !isFirst && m.Digest == v.digest {
+	v.handleRumorsAboutSelf(message.Rumors)
+	if !isFirst && message.Digest == v.digest {
 		return
 	}
-	receiver, addr := v.members[m.From], from
+	receiver, addr := v.members[message.From], from
 	if other := v.randomMember(nil); isFirst && other != nil {
 		receiver, addr = other, other.Addr
 	}
@@ -170,10 +170,10 @@
 
 // handleJoinRejected keeps this process out of the fleet: its name is taken. A member that has joined gives way only to
 // another process of its name with a lower boot ID.
-func (v *View) handleJoinRejected(m *Message) {
-	hasPrecedence := m.From == v.id && m.BootID < v.cfg.BootID
+func (v *View) handleJoinRejected(message *Message) {
+	hasPrecedence := message.From == v.id && message.BootID < v.cfg.BootID
 	if v.joined && !hasPrecedence {
 		return
 	}
-	v.yieldName(m.Addr)
+	v.yieldName(message.Addr)
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -73,11 +73,11 @@
 }
 
 // addMember adds a member that was not known.
-func (v *View) addMember(r *Record, cause string) *member {
-	m := &member{id: IDOf(r.Name), Member: Member{
-		Name: r.Name, Addr: r.Addr, Zone: v.internZone(r.Zone), Version: r.Version, BootID: r.BootID,
-		Incarnation: r.Incarnation, State: Alive, Payload: bytes.Clone(r.Payload), PayloadVersion: r.PayloadVersion,
-		Since: v.driverMs,
+func (v *View) addMember(record *Record, cause string) *member {
+	m := &member{id: IDOf(record.Name), Member: Member{
+		Name: record.Name, Addr: record.Addr, Zone: v.internZone(record.Zone), Version: record.Version, BootID: record.BootID,
+		Incarnation: record.Incarnation, State: Alive, Since: v.driverMs,
+		Payload: bytes.Clone(record.Payload), PayloadVersion: record.PayloadVersion,
 	}}
 	v.members[m.id] = m
 	v.addToList(m)
@@ -127,12 +127,12 @@
 }
 
 // updateFromRecord copies everything but state and incarnation from a record.
-func (v *View) updateFromRecord(m *member, r *Record) {
+func (v *View) updateFromRecord(m *member, record *Record) {
 	if m.State.isLive() {
 		v.toggleDigest(m)
 	}
-	m.Addr, m.Zone, m.Version, m.BootID = r.Addr, v.internZone(r.Zone), r.Version, r.BootID
-	m.Payload, m.PayloadVersion = bytes.Clone(r.Payload), r.PayloadVersion
+	m.Addr, m.Zone, m.Version, m.BootID = record.Addr, v.internZone(record.Zone), record.Version, record.BootID
+	m.Payload, m.PayloadVersion = bytes.Clone(record.Payload), record.PayloadVersion
 	if m.State.isLive() {
 		v.toggleDigest(m)
 	}
@@ -164,7 +164,8 @@
 	}
 }
 
-// randomMemberDraws is how often randomMember draws before it gives up.
+// randomMemberDraws is how often randomMember draws before it gives up. It bounds the work if most members are excluded
+// or unreachable.
 const randomMemberDraws = 8
 
 // randomMember is a random live member that is not unreachable and not excluded, or nil if the draws find none.
--- a/membership/name_conflict.go
+++ b/membership/name_conflict.go
@@ -23,25 +23,25 @@
 }
 
 // handleNameConflict handles a message of another process under this member's name.
-func (v *View) handleNameConflict(from netip.AddrPort, m *Message) {
-	if m.BootID < v.cfg.BootID {
+func (v *View) handleNameConflict(from netip.AddrPort, message *Message) {
+	if message.BootID < v.cfg.BootID {
 		v.yieldName(from)
 		return
 	}
-	v.keepName(from, m.Incarnation)
+	v.keepName(from, message.Incarnation)
 }
 
 // handleRecordAboutSelf handles a record under this member's name: of itself, or of another process.
-func (v *View) handleRecordAboutSelf(r *Record) {
-	isSelf := r.BootID == v.cfg.BootID || r.Addr == v.cfg.Addr
+func (v *View) handleRecordAboutSelf(record *Record) {
+	isSelf := record.BootID == v.cfg.BootID || record.Addr == v.cfg.Addr
 	switch {
-	case isSelf || r.State != Alive:
-		rumor := r.rumor()
+	case isSelf || record.State != Alive:
+		rumor := record.rumor()
 		v.handleRumorAboutSelf(&rumor)
-	case r.Incarnation < v.self.Incarnation: // the others prefer this process already
-	case r.BootID < v.cfg.BootID:
-		v.yieldName(r.Addr)
+	case record.Incarnation < v.self.Incarnation: // the others prefer this process already
+	case record.BootID < v.cfg.BootID:
+		v.yieldName(record.Addr)
 	default:
-		v.keepName(r.Addr, r.Incarnation)
+		v.keepName(record.Addr, record.Incarnation)
 	}
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -154,11 +154,11 @@
 }
 
 // handlePing answers a Ping. sender is nil for one that is not known.
-func (v *View) handlePing(from netip.AddrPort, sender *member, m *Message) {
-	if m.Target != v.id {
+func (v *View) handlePing(from netip.AddrPort, sender *member, message *Message) {
+	if message.Target != v.id {
 		return // for the process that had this address before
 	}
-	ack := &Message{Kind: Ack, Seq: m.Seq, Attempt: m.Attempt}
+	ack := &Message{Kind: Ack, Seq: message.Seq, Attempt: message.Attempt}
 	if sender != nil && (sender.State == Suspect || !sender.State.isLive()) {
 		ack.Rumors = append(ack.Rumors, v.rumorAbout(sender))
 	}
@@ -166,27 +166,27 @@
 }
 
 // handleAck handles an answer of the target itself, or of a member that probed the target for this one.
-func (v *View) handleAck(sender *member, m *Message) {
-	p := v.findProbe(m.Seq)
+func (v *View) handleAck(sender *member, message *Message) {
+	p := v.findProbe(message.Seq)
 	switch {
 	case p == nil:
-		v.handleLateAck(sender, m)
-	case p.target == sender && m.Target == 0:
-		v.recordRoundTrip(p.startedAt, p.attemptIntervalMs, m.Attempt, p.kind == regularProbe)
+		v.handleLateAck(sender, message)
+	case p.target == sender && message.Target == 0:
+		v.recordRoundTrip(p.startedAt, p.attemptIntervalMs, message.Attempt, p.kind == regularProbe)
 		v.noteDirectAck()
 		v.probeSucceeded(p)
-	case m.Target == p.target.id:
+	case message.Target == p.target.id:
 		v.probeSucceeded(p)
 	}
 }
 
 // handleLateAck handles an answer of the target itself after the probe has ended.
-func (v *View) handleLateAck(sender *member, m *Message) {
-	p := &v.finished[m.Seq%finishedProbeCount]
-	if p.seq != m.Seq || p.target != sender || m.Target != 0 {
+func (v *View) handleLateAck(sender *member, message *Message) {
+	p := &v.finished[message.Seq%finishedProbeCount]
+	if p.seq != message.Seq || p.target != sender || message.Target != 0 {
 		return
 	}
-	v.recordRoundTrip(p.startedAt, p.attemptIntervalMs, m.Attempt, false)
+	v.recordRoundTrip(p.startedAt, p.attemptIntervalMs, message.Attempt, false)
 	v.noteDirectAck()
 	sender.unconfirmedProbes = 0
 	if sender.State == Unreachable {
--- a/membership/refutation.go
+++ b/membership/refutation.go
@@ -1,16 +1,16 @@
 package membership
 
 // handleRumorAboutSelf refutes whatever others believe of this member but that it is alive in its present incarnation.
-func (v *View) handleRumorAboutSelf(r *Rumor) {
+func (v *View) handleRumorAboutSelf(rumor *Rumor) {
 	switch {
-	case r.State == Alive && r.Incarnation <= v.self.Incarnation:
-	case r.Incarnation >= v.self.Incarnation:
-		if r.State != Alive {
+	case rumor.State == Alive && rumor.Incarnation <= v.self.Incarnation:
+	case rumor.Incarnation >= v.self.Incarnation:
+		if rumor.State != Alive {
 			v.counters.refutations++
 			v.health.degrade()
 		}
-		v.advanceIncarnation(r.Incarnation)
-	case r.State == Dead && v.now-v.lastRefutedAt > refutationTimeMs:
+		v.advanceIncarnation(rumor.Incarnation)
+	case rumor.State == Dead && v.now-v.lastRefutedAt > refutationTimeMs:
 		v.disputedAt = append(v.disputedAt, v.now)
 	}
 }
--- a/membership/rumor.go
+++ b/membership/rumor.go
@@ -3,101 +3,101 @@
 import "bytes"
 
 // handleRumor handles a rumor. senderIsLive says whether the sender may accuse members and declare them dead.
-func (v *View) handleRumor(r *Rumor, senderIsLive bool) {
-	if r.Subject == v.id {
-		v.handleRumorAboutSelf(r)
+func (v *View) handleRumor(rumor *Rumor, senderIsLive bool) {
+	if rumor.Subject == v.id {
+		v.handleRumorAboutSelf(rumor)
 		return
 	}
-	subject := v.members[r.Subject]
-	if subject == nil || subject.isOutdated(r) {
+	subject := v.members[rumor.Subject]
+	if subject == nil || subject.isOutdated(rumor) {
 		return
 	}
-	switch r.State {
+	switch rumor.State {
 	case Alive:
-		if r.Incarnation > subject.Incarnation {
-			v.acceptIncarnation(subject, r.Incarnation, causeRefutedReport)
+		if rumor.Incarnation > subject.Incarnation {
+			v.acceptIncarnation(subject, rumor.Incarnation, causeRefutedReport)
 		}
 	case Suspect:
 		if !senderIsLive {
 			return
 		}
-		if r.Incarnation > subject.Incarnation {
-			v.setState(subject, Alive, r.Incarnation, causeReaccused)
+		if rumor.Incarnation > subject.Incarnation {
+			v.setState(subject, Alive, rumor.Incarnation, causeReaccused)
 		}
-		v.suspect(subject, r.Accusers, causeAccused)
+		v.suspect(subject, rumor.Accusers, causeAccused)
 	case Dead:
 		if senderIsLive {
-			v.setState(subject, Dead, r.Incarnation, causeDeclaredDead)
+			v.setState(subject, Dead, rumor.Incarnation, causeDeclaredDead)
 			v.enqueueRumor(subject, false)
 		}
 	case Left:
-		v.setState(subject, Left, r.Incarnation, causeLeft)
+		v.setState(subject, Left, rumor.Incarnation, causeLeft)
 		v.enqueueRumor(subject, false)
 	}
 }
 
 // isOutdated reports whether a rumor is about another process of the member's name, about an earlier incarnation, or
 // about one that is dead or has left already.
-func (m *member) isOutdated(r *Rumor) bool {
-	return r.BootTag != uint32(m.BootID) || r.Incarnation < m.Incarnation ||
-		r.Incarnation == m.Incarnation && !m.State.isLive()
+func (m *member) isOutdated(rumor *Rumor) bool {
+	return rumor.BootTag != uint32(m.BootID) || rumor.Incarnation < m.Incarnation ||
+		rumor.Incarnation == m.Incarnation && !m.State.isLive()
 }
 
 // acceptIncarnation records a newer incarnation of a live member. One that doesn't answer this member stays unreachable
 // until it does, and is checked.
-func (v *View) acceptIncarnation(m *member, incarnation uint64, cause string) {
+func (v *View) acceptIncarnation(subject *member, incarnation uint64, cause string) {
 	state := Alive
-	if m.State == Unreachable {
+	if subject.State == Unreachable {
 		state = Unreachable
-		v.scheduleCheck(m, nil)
+		v.scheduleCheck(subject, nil)
 	}
-	v.setState(m, state, incarnation, cause)
-	v.enqueueRumor(m, false)
+	v.setState(subject, state, incarnation, cause)
+	v.enqueueRumor(subject, false)
 }
 
 // handleRecord handles a record. A death in a record may be an old one, so it is verified unless the member is suspect
 // here as well. gossip says whether what is new is gossiped.
-func (v *View) handleRecord(r *Record, gossip bool) {
-	id := IDOf(r.Name)
+func (v *View) handleRecord(record *Record, gossip bool) {
+	id := IDOf(record.Name)
 	if id == v.id {
-		v.handleRecordAboutSelf(r)
+		v.handleRecordAboutSelf(record)
 		return
 	}
 	subject := v.members[id]
 	if subject == nil {
-		v.handleNewRecord(r, gossip)
+		v.handleNewRecord(record, gossip)
 		return
 	}
-	sameProcess := r.BootID == subject.BootID
-	if sameProcess && r.PayloadVersion > subject.PayloadVersion {
-		subject.Payload, subject.PayloadVersion = bytes.Clone(r.Payload), r.PayloadVersion
+	sameProcess := record.BootID == subject.BootID
+	if sameProcess && record.PayloadVersion > subject.PayloadVersion {
+		subject.Payload, subject.PayloadVersion = bytes.Clone(record.Payload), record.PayloadVersion
 		if gossip {
 			v.enqueueRumor(subject, true)
 		}
 	}
 	switch {
-	case r.State == Alive && r.Incarnation > subject.Incarnation:
-		v.updateFromRecord(subject, r)
-		v.setState(subject, Alive, r.Incarnation, causeReported)
+	case record.State == Alive && record.Incarnation > subject.Incarnation:
+		v.updateFromRecord(subject, record)
+		v.setState(subject, Alive, record.Incarnation, causeReported)
 		if gossip {
 			v.enqueueRumor(subject, true)
 		}
-	case r.State == Dead && subject.State == Suspect && r.Incarnation == subject.Incarnation && sameProcess:
-		v.setState(subject, Dead, r.Incarnation, causeDeclaredDead)
-	case r.State == Dead && subject.State.isLive() && r.Incarnation >= subject.Incarnation:
-		rumor := r.rumor()
+	case record.State == Dead && subject.State == Suspect && record.Incarnation == subject.Incarnation && sameProcess:
+		v.setState(subject, Dead, record.Incarnation, causeDeclaredDead)
+	case record.State == Dead && subject.State.isLive() && record.Incarnation >= subject.Incarnation:
+		rumor := record.rumor()
 		v.scheduleCheck(subject, &rumor)
-	case r.State == Left && subject.State != Left && r.Incarnation >= subject.Incarnation:
-		v.setState(subject, Left, r.Incarnation, causeLeft)
+	case record.State == Left && subject.State != Left && record.Incarnation >= subject.Incarnation:
+		v.setState(subject, Left, record.Incarnation, causeLeft)
 	}
 }
 
 // handleNewRecord handles a record of a member that is not known.
-func (v *View) handleNewRecord(r *Record, gossip bool) {
-	if r.State != Alive || r.Name == "" || !r.Addr.IsValid() {
+func (v *View) handleNewRecord(record *Record, gossip bool) {
+	if record.State != Alive || record.Name == "" || !record.Addr.IsValid() {
 		return
 	}
-	m := v.addMember(r, causeReported)
+	m := v.addMember(record, causeReported)
 	if gossip {
 		v.enqueueRumor(m, true)
 	}
--- a/membership/send_test.go
+++ b/membership/send_test.go
@@ -29,14 +29,14 @@
 	}
 }
 
-func wantVersion1(t *testing.T, from, to int, m *Message) {
+func wantVersion1(t *testing.T, from, to int, message *Message) {
 	t.Helper()
-	for _, r := range m.Rumors {
+	for _, r := range message.Rumors {
 		if len(r.Accusers) > 1 {
 			t.Errorf("g%d sends g%d %d accusers", from, to, len(r.Accusers))
 		}
 	}
-	for _, r := range m.Records {
+	for _, r := range message.Records {
 		if r.Payload != nil {
 			t.Errorf("g%d sends g%d a payload", from, to)
 		}
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -24,34 +24,34 @@
 func (v *View) quorum() int { return min(v.cfg.DeathQuorum, v.counts[Alive]+1) }
 
 // suspect records an accusation. It is gossiped if it adds anything.
-func (v *View) suspect(m *member, accusers []ID, cause string) {
+func (v *View) suspect(subject *member, accusers []ID, cause string) {
 	changed := false
-	if m.State != Suspect {
-		v.setState(m, Suspect, m.Incarnation, cause)
-		m.suspicion = &suspicion{checkAt: v.nextSuspicionCheckAt()}
-		v.suspects = append(v.suspects, m)
+	if subject.State != Suspect {
+		v.setState(subject, Suspect, subject.Incarnation, cause)
+		subject.suspicion = &suspicion{checkAt: v.nextSuspicionCheckAt()}
+		v.suspects = append(v.suspects, subject)
 		changed = true
 	}
 	for _, id := range accusers {
-		if v.addAccuser(m, id) {
-			changed = changed || len(m.suspicion.accusers) <= v.cfg.DeathQuorum
+		if v.addAccuser(subject, id) {
+			changed = changed || len(subject.suspicion.accusers) <= v.cfg.DeathQuorum
 		}
 	}
 	if changed {
-		v.enqueueRumor(m, false)
+		v.enqueueRumor(subject, false)
 	}
 }
 
 // addAccuser adds an accuser to a suspect and reports whether it did. Only members that are live here count.
-func (v *View) addAccuser(m *member, id ID) bool {
-	accuser, accusers := v.members[id], m.suspicion.accusers
-	if accuser == nil || id == m.id || accuser.State == Dead || accuser.State == Left {
+func (v *View) addAccuser(subject *member, id ID) bool {
+	accuser, accusers := v.members[id], subject.suspicion.accusers
+	if accuser == nil || id == subject.id || accuser.State == Dead || accuser.State == Left {
 		return false
 	}
 	if slices.Contains(accusers, id) || len(accusers) >= maxAccusers {
 		return false
 	}
-	m.suspicion.accusers = append(accusers, id)
+	subject.suspicion.accusers = append(accusers, id)
 	return true
 }
 
@@ -77,8 +77,8 @@
 	}
 }
 
-func (v *View) resolveSuspicion(m *member) {
-	s := m.suspicion
+func (v *View) resolveSuspicion(subject *member) {
+	s := subject.suspicion
 	if s.quorumAt == 0 && len(s.accusers) >= v.quorum() {
 		s.quorumAt = v.now
 	}
@@ -88,16 +88,16 @@
 	switch {
 	case s.quorumAt == 0:
 		s.checkAt = v.nextSuspicionCheckAt()
-		v.scheduleCheck(m, nil)
+		v.scheduleCheck(subject, nil)
 	case v.isSilent() || v.hasResumedRecently(): // a refutation would not have arrived
 		s.quorumAt = v.now
 	case v.roundTrip.lossRate > significantLossRate && !s.checked && !slices.Contains(s.accusers, v.id):
 		// A refutation may have been lost.
 		s.checked, s.quorumAt = true, v.now
-		v.scheduleCheck(m, nil)
+		v.scheduleCheck(subject, nil)
 	default:
-		v.setState(m, Dead, m.Incarnation, fmt.Sprintf(causeQuorumFormat, countWord(len(s.accusers))))
-		v.enqueueRumor(m, false)
+		v.setState(subject, Dead, subject.Incarnation, fmt.Sprintf(causeQuorumFormat, countWord(len(s.accusers))))
+		v.enqueueRumor(subject, false)
 	}
 }
 
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -51,12 +51,12 @@
 
 // handleSyncRequest answers with the records of the buckets that differ, from a random bucket on. One request gets a
 // bounded number of answers; a later one gets the others. sender is nil for one that is not known.
-func (v *View) handleSyncRequest(from netip.AddrPort, sender *member, m *Message) {
-	if len(m.Buckets) != bucketCount {
+func (v *View) handleSyncRequest(from netip.AddrPort, sender *member, message *Message) {
+	if len(message.Buckets) != bucketCount {
 		return
 	}
 	first := v.rng.IntN(bucketCount)
-	differing := v.membersOfDifferingBuckets(m.Buckets)
+	differing := v.membersOfDifferingBuckets(message.Buckets)
 	response, remainingBytes, sent := &Message{Kind: SyncResponse}, maxUpdateBytes, 0
 	for i := range bucketCount {
 		for _, subject := range differing[(first+i)%bucketCount] {
--- a/membership/unknown_sender.go
+++ b/membership/unknown_sender.go
@@ -7,11 +7,11 @@
 
 // handleUnknownSender handles a message of a process that is not known. old is the earlier process of its name, or nil.
 // The sender is sent what is known of its name and asked for what it knows.
-func (v *View) handleUnknownSender(from netip.AddrPort, old *member, m *Message) {
-	v.handleRumorsAboutSelf(m.Rumors)
-	for i := range m.Records {
-		if IDOf(m.Records[i].Name) == v.id {
-			v.handleRecordAboutSelf(&m.Records[i])
+func (v *View) handleUnknownSender(from netip.AddrPort, old *member, message *Message) {
+	v.handleRumorsAboutSelf(message.Rumors)
+	for i := range message.Records {
+		if IDOf(message.Records[i].Name) == v.id {
+			v.handleRecordAboutSelf(&message.Records[i])
 		}
 	}
 	if !v.joined {
@@ -24,17 +24,17 @@
 		})
 		return
 	}
-	if m.Kind == SyncRequest && m.introduction() != nil {
-		v.handleIntroduction(from, old, m)
+	if message.Kind == SyncRequest && message.introduction() != nil {
+		v.handleIntroduction(from, old, message)
 		return
 	}
-	switch m.Kind { // the sender may know this member although this member doesn't know it yet
+	switch message.Kind { // the sender may know this member although this member doesn't know it yet
 	case Ping:
-		v.handlePing(from, nil, m)
+		v.handlePing(from, nil, message)
 	case PingRequest:
-		v.handlePingRequest(from, nil, m)
+		v.handlePingRequest(from, nil, message)
 	}
-	if m.Kind != Ping && m.Kind != Ack && m.Kind != SyncRequest {
+	if message.Kind != Ping && message.Kind != Ack && message.Kind != SyncRequest {
 		return
 	}
 	v.replyToUnknown(from, func(request *Message) {
@@ -57,15 +57,15 @@
 
 // handleIntroduction accepts a process that introduces itself with a SyncRequest. old is the earlier process of its
 // name, or nil.
-func (v *View) handleIntroduction(from netip.AddrPort, old *member, m *Message) {
+func (v *View) handleIntroduction(from netip.AddrPort, old *member, message *Message) {
 	sender := old
 	if sender == nil {
-		sender = v.acceptMember(m.introduction(), causeIntroduced)
+		sender = v.acceptMember(message.introduction(), causeIntroduced)
 	} else {
-		v.replaceProcess(sender, m.introduction())
+		v.replaceProcess(sender, message.introduction())
 	}
-	v.handleSyncRequest(from, sender, m)
-	if m.Digest != v.digest {
+	v.handleSyncRequest(from, sender, message)
+	if message.Digest != v.digest {
 		v.sendSyncRequest(from, sender)
 	}
 }
