--- a/fleet/aperture.go
+++ b/fleet/aperture.go
@@ -13,10 +13,10 @@
 	extraHostStaggerMs = 1_000.0
 )
 
-// Aperture decides which hosts of a group this gateway uses now: its subset, and where that has less capacity than as
-// many healthy hosts, further hosts in order of preference until they have it together. So it widens at once if hosts
-// of the subset fail, warm up or have no capacity. Hosts beyond the subset stay in use for a while and are released one
-// at a time.
+// Aperture decides which hosts of a group this gateway uses now: its subset and, while that has less capacity than
+// subsetSize healthy hosts, further hosts in order of preference until all of them together have as much. So it widens
+// at once if hosts of the subset fail, warm up or have no capacity. Hosts beyond the subset stay in use for a while and
+// are released one at a time.
 type Aperture struct {
 	hosts           []Host
 	preferenceOrder []int
@@ -38,8 +38,9 @@
 }
 
 // InUse reports for each host, by index, whether it is in use. capacity is what a host can serve now: 0 for one that
-// fails or is full, its capacity share for one that warms up, 1 for a healthy one. A group with any capacity never has
-// no host in use.
+// fails or is full, its capacity share for one that warms up, 1 for a healthy one. If any host has capacity, at least
+// one such host is in use. InUse also changes the aperture: it extends the use of the hosts beyond the subset that are
+// needed now, and ends that of hosts whose time is over.
 func (a *Aperture) InUse(now float64, capacity func(host int) float64) []bool {
 	inUse, total := make([]bool, len(a.preferenceOrder)), 0.0
 	for rank, host := range a.preferenceOrder {
--- a/fleet/poll_policy.go
+++ b/fleet/poll_policy.go
@@ -75,17 +75,18 @@
 	watchWaitMs           = 2000.0   // least time for which a watch waits for an update
 	watchWaitPerGatewayMs = 20.0     // that time for each gateway of the fleet, if this one knows its slot
 	maxWatchWaitMs        = 20_000.0 // greatest time that the size of the fleet leads to
-	shortWatchWaitMs      = 100.0    // of the first watch: the program waits for its answer
-	responseTimeoutMs     = 1000.0   // beyond the time for which the poll may wait
+	// shortWatchWaitMs is of a watch before any answer, for which the program waits, and of a watch after a time-out.
+	shortWatchWaitMs  = 100.0
+	responseTimeoutMs = 1000.0 // beyond the time for which the poll may wait
 	// firstResponseTimeoutMs is for the first poll: the polls of a whole fleet queue in discovery, and a repeated poll
 	// goes to the end of that queue.
 	firstResponseTimeoutMs = 4000.0
 )
 
 // NextPoll is how long the next poll may wait for an update, and after which time without an answer it times out. watch
-// says that the poll is for updates of a known version.
+// says that the poll is for updates of a known revision.
 //
-// A poll that follows a time-out waits only firstWatchWaitMs. Updates that the earlier poll missed count as notified
+// A poll that follows a time-out waits only shortWatchWaitMs. Updates that the earlier poll missed count as notified
 // unansweredPollNotifiedMs after it was made, and a second long wait would end later than that.
 func (p *PollPolicy) NextPoll(watch bool) (wait, timeout float64) {
 	switch {
@@ -104,7 +105,7 @@
 	return wait, wait + firstResponseTimeoutMs
 }
 
-// minPollIntervalMs is the time between two polls of which the first was answered without an update.
+// minPollIntervalMs is the least time between two polls of which the first was answered without an update.
 const minPollIntervalMs = 100.0
 
 // IdleDelay is how long to wait after an answer before the next poll. updated says that the answer had an update,
--- a/fleet/poll_policy_test.go
+++ b/fleet/poll_policy_test.go
@@ -15,8 +15,8 @@
 		t.Run(fmt.Sprintf("grace %v", grace), func(t *testing.T) {
 			policy := PollPolicy{SlotSchedule: SlotSchedule{300, -1}, DrainGraceMs: grace, Pushed: true}
 			policy.Started(1000)
-			if first, move := policy.FirstDelay(true, 0.99), policy.AddressChangeDelay(0.99); first != 0 || move != 0 {
-				t.Errorf("the first poll comes after %v ms, after a move %v ms", first, move)
+			if first, change := policy.FirstDelay(true, 0.99), policy.AddressChangeDelay(0.99); first != 0 || change != 0 {
+				t.Errorf("the first poll comes after %v ms, after a change of address %v ms", first, change)
 			}
 			if _, timeout := policy.NextPoll(true); timeout > 1500 {
 				t.Errorf("the first poll may take %v ms", timeout)
--- a/membership/config.go
+++ b/membership/config.go
@@ -30,11 +30,11 @@
 	ProbeIntervalMs      float64 // between two regular probes of a member
 	MinAttemptIntervalMs float64 // least time between two attempts of a probe
 	GossipIntervalMs     float64 // between two rounds of gossip while there are rumors
-	SuspicionTimeoutMs   float64 // from a quorum of accusers to dead
+	SuspicionTimeoutMs   float64 // least time from a quorum of accusers to dead, see suspicionDueAt
 	DeadRetentionMs      float64 // for which dead members are remembered and probed
 	LeftRetentionMs      float64 // for which members that left are remembered
-	DeathQuorum          int     // accusers that make a member dead, or all live members if there are fewer
-	IndirectProbes       int     // members that are asked to probe a target that doesn't answer
+	DeathQuorum          int     // accusers that make a member dead; fewer if fewer members are Alive, see quorum
+	IndirectProbes       int     // members that usually probe a silent target too, see requestIndirectProbes
 }
 
 // The defaults of Tuning.
@@ -80,7 +80,7 @@
 	case len(c.Payload) > MaxPayloadBytes:
 		return configError("payload", "%d bytes, %d at most", len(c.Payload), MaxPayloadBytes)
 	case c.BootID == 0:
-		return configError("boot", "0 tells no processes apart")
+		return configError("boot", "BootID must not be 0")
 	case c.Version > Version:
 		return configError("version", "%d is not spoken, %d at most", c.Version, Version)
 	}
@@ -96,21 +96,22 @@
 // check validates the tuning and fills in the defaults.
 func (t *Tuning) check() error {
 	for _, duration := range []struct {
+		field     string
 		ms        *float64
 		defaultMs float64
 	}{
-		{&t.ProbeIntervalMs, defaultProbeIntervalMs},
-		{&t.MinAttemptIntervalMs, defaultMinAttemptIntervalMs},
-		{&t.GossipIntervalMs, defaultGossipIntervalMs},
-		{&t.SuspicionTimeoutMs, defaultSuspicionTimeoutMs},
-		{&t.DeadRetentionMs, defaultDeadRetentionMs},
-		{&t.LeftRetentionMs, defaultLeftRetentionMs},
+		{"ProbeIntervalMs", &t.ProbeIntervalMs, defaultProbeIntervalMs},
+		{"MinAttemptIntervalMs", &t.MinAttemptIntervalMs, defaultMinAttemptIntervalMs},
+		{"GossipIntervalMs", &t.GossipIntervalMs, defaultGossipIntervalMs},
+		{"SuspicionTimeoutMs", &t.SuspicionTimeoutMs, defaultSuspicionTimeoutMs},
+		{"DeadRetentionMs", &t.DeadRetentionMs, defaultDeadRetentionMs},
+		{"LeftRetentionMs", &t.LeftRetentionMs, defaultLeftRetentionMs},
 	} {
 		if *duration.ms == 0 {
 			*duration.ms = duration.defaultMs
 		}
 		if !(*duration.ms >= minDurationMs && *duration.ms <= maxDurationMs) {
-			return configError("tuning", "%v ms is out of range", *duration.ms)
+			return configError("tuning", "%s is %v ms, which is out of range", duration.field, *duration.ms)
 		}
 	}
 	if t.DeathQuorum == 0 {
@@ -119,8 +120,11 @@
 	if t.IndirectProbes == 0 {
 		t.IndirectProbes = defaultIndirectProbes
 	}
-	if t.DeathQuorum < 1 || t.DeathQuorum > maxAccusers || t.IndirectProbes < 1 || t.IndirectProbes > maxIndirectProbes {
-		return configError("tuning", "observers and helpers have to be 1 to %d", maxAccusers)
+	if t.DeathQuorum < 1 || t.DeathQuorum > maxAccusers {
+		return configError("tuning", "DeathQuorum is %d, it has to be 1 to %d", t.DeathQuorum, maxAccusers)
+	}
+	if t.IndirectProbes < 1 || t.IndirectProbes > maxIndirectProbes {
+		return configError("tuning", "IndirectProbes is %d, it has to be 1 to %d", t.IndirectProbes, maxIndirectProbes)
 	}
 	return nil
 }
--- a/membership/config_test.go
+++ b/membership/config_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"math"
 	"net/netip"
 	"strings"
 	"testing"
@@ -28,3 +29,24 @@
 		})
 	}
 }
+
+func TestTuningErrorNamesTheField(t *testing.T) {
+	for field, tuning := range map[string]Tuning{
+		"ProbeIntervalMs":      {ProbeIntervalMs: -1},
+		"MinAttemptIntervalMs": {MinAttemptIntervalMs: 9},
+		"GossipIntervalMs":     {GossipIntervalMs: 2e8},
+		"SuspicionTimeoutMs":   {SuspicionTimeoutMs: math.NaN()},
+		"DeadRetentionMs":      {DeadRetentionMs: -1},
+		"LeftRetentionMs":      {LeftRetentionMs: -1},
+		"DeathQuorum":          {DeathQuorum: maxAccusers + 1},
+		"IndirectProbes":       {IndirectProbes: -1},
+	} {
+		t.Run(field, func(t *testing.T) {
+			_, err := New(Config{Name: "a", Addr: addrOf(1), BootID: 1, Tuning: tuning}, 1)
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) || configErr.Field != "tuning" || !strings.HasPrefix(configErr.Problem, field+" ") {
+				t.Errorf("error: %v", err)
+			}
+		})
+	}
+}
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -69,7 +69,8 @@
 	return rumor
 }
 
-// transmissionsFactor times the decimal logarithm of the fleet's size is how often a rumor is sent.
+// transmissionsFactor times the decimal logarithm of the fleet's size is how often a rumor is sent. As in SWIM, a small
+// multiple of the logarithm reaches all members with high probability.
 const transmissionsFactor = 4.0
 
 // piggyback adds queued rumors to a message, as many as limitBytes allows for all its rumors and records.
--- a/membership/health.go
+++ b/membership/health.go
@@ -1,7 +1,7 @@
 package membership
 
 const (
-	maxHealthScore          = 8
+	maxHealthScore          = 8      // Lifeguard's bound of the local health multiplier
 	healthRecoveryMs        = 1000.0 // an answered probe improves the score once in this time
 	maxHealthScoreAfterLoss = 2      // after a time without answers: the network was at fault rather than this member
 	lateStepPenaltyMs       = 1000.0 // of lateness for one point, besides the one for any late step
@@ -21,19 +21,21 @@
 	failuresAt     []float64 // when members were accused or died; recent ones
 }
 
-// localHealth is Lifeguard's local health multiplier: a member that has reason to doubt itself stretches its time-outs.
+// localHealth is Lifeguard's local health multiplier: a member that has reason to doubt itself probes more slowly, and
+// waits longer for answers and refutations.
 type localHealth struct {
 	score     int     // 0 is healthy
 	improveAt float64 // earliest time of the next improvement
 }
 
-// factor stretches time-outs.
+// factor multiplies the interval of regular probes, the interval of attempts and the suspicion time-out. It grows by a
+// half with each point of the score, from 1 to 5 at maxHealthScore.
 func (h *localHealth) factor() float64 { return 1 + float64(h.score)/2 }
 
 // degrade counts evidence that this member is at fault.
 func (h *localHealth) degrade() { h.score = min(maxHealthScore, h.score+1) }
 
-// penalizeLateStep counts a step that came so much too late.
+// penalizeLateStep counts a step that came lateMs too late.
 func (h *localHealth) penalizeLateStep(now, lateMs float64) {
 	h.score = min(maxHealthScore, h.score+1+int(min(lateMs/lateStepPenaltyMs, maxLateStepPenalty)))
 	h.improveAt = now + healthRecoveryMs
--- a/membership/indirect_probe.go
+++ b/membership/indirect_probe.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// requestIndirectProbes asks other members to probe the target of a probe.
+// requestIndirectProbes asks other members to probe the target of a probe: Tuning.IndirectProbes of them, or
+// maxIndirectProbes after an earlier probe of the target that failed unconfirmed and in a failure burst.
 func (v *View) requestIndirectProbes(p *probe) {
 	count := v.cfg.IndirectProbes
 	if p.target.unconfirmedProbes > 0 || v.isFailureBurst() { // members that are asked may be dead as well
--- a/membership/message.go
+++ b/membership/message.go
@@ -23,7 +23,7 @@
 	Nack                         // answers a PingRequest: Target did not answer
 	Gossip                       // carries rumors only
 	Join                         // Records[0] is the sender, which asks to join the fleet
-	JoinAccepted                 // answers a Join: the sender is a member now
+	JoinAccepted                 // answers a Join: the joiner is a member now
 	JoinRejected                 // answers a Join: another process with that name lives at Addr
 	SyncRequest                  // Buckets holds the digests of the sender's view
 	SyncResponse                 // answers a SyncRequest: records of the buckets that differ
@@ -33,7 +33,10 @@
 // Known reports whether a kind is one of this version's.
 func (k Kind) Known() bool { return k > 0 && k < kindCount }
 
-// String is the kind's name in logs and reports.
+// String is the kind's name in logs and reports. These names don't change with the identifiers:
+//
+//	Ping "ping", Ack "ack", PingRequest "ask", Nack "nack", Gossip "gossip", Join "join", JoinAccepted "welcome",
+//	JoinRejected "refused", SyncRequest "compare", SyncResponse "page"
 func (k Kind) String() string {
 	if !k.Known() {
 		return fmt.Sprintf("kind %d", uint8(k))
@@ -50,7 +53,7 @@
 	Incarnation uint64 // of the sender
 	Seq         uint32 // of the Ping or PingRequest, and of its answer
 	Attempt     uint8  // of the Ping, from 0; its answer repeats it
-	Target      ID
+	Target      ID     // of the kinds that name it; in an Ack 0: the answer to a Ping comes from its target itself
 	Addr        netip.AddrPort
 	Digest      uint64 // of all members that the sender believes to be live
 	Buckets     []uint64
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -165,7 +165,8 @@
 	v.send(from, sender, ack, pingUpdateBytes)
 }
 
-// handleAck handles an answer of the target itself, or of a member that probed the target for this one.
+// handleAck handles an answer of the target itself, whose Target is 0, or of a member that probed the target for this
+// one.
 func (v *View) handleAck(sender *member, message *Message) {
 	p := v.findProbe(message.Seq)
 	switch {
@@ -237,6 +238,8 @@
 const maxUnconfirmedProbes = 2
 
 // probeUnconfirmed handles a probe that failed without any confirmation by others: this member may well be at fault.
+// Without a third member that answers, a crashed target can't be confirmed and becomes Unreachable at most. It stays
+// Alive if this member has received nothing for silenceMs before the second failure, see mayAccuse.
 func (v *View) probeUnconfirmed(p *probe) {
 	target := p.target
 	if p.indirectRequests > 0 && !v.isFailureBurst() { // in a burst the members that were asked are dead as well
--- a/membership/probe_schedule.go
+++ b/membership/probe_schedule.go
@@ -159,7 +159,8 @@
 	}
 }
 
-// hasRecentDeath reports whether the member that was found dead last died recently.
+// hasRecentDeath reports whether the last member in the list of the dead died recently. That is the latest death until
+// a member is removed from the list, which may put an earlier death last: then this reports false too early.
 func (v *View) hasRecentDeath() bool {
 	return len(v.dead) > 0 && v.now-v.dead[len(v.dead)-1].stateChangedAt < recentLossMs
 }
--- a/membership/rumor.go
+++ b/membership/rumor.go
@@ -43,8 +43,8 @@
 		rumor.Incarnation == m.Incarnation && !m.State.isLive()
 }
 
-// acceptIncarnation records a newer incarnation of a live member. One that doesn't answer this member stays unreachable
-// until it does, and is checked.
+// acceptIncarnation records a newer incarnation of a member, which refutes a suspicion and is how a member that is dead
+// or has left usually becomes alive again. An unreachable member stays so until it answers this member, and is checked.
 func (v *View) acceptIncarnation(subject *member, incarnation uint64, cause string) {
 	state := Alive
 	if subject.State == Unreachable {
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -20,7 +20,8 @@
 	checked  bool    // this member probed the suspect although there was a quorum
 }
 
-// quorum is how many accusers make a member dead.
+// quorum is how many accusers make a member dead: Tuning.DeathQuorum, or all members that are Alive here and this one
+// if they are fewer. Suspect and Unreachable members don't count.
 func (v *View) quorum() int { return min(v.cfg.DeathQuorum, v.counts[Alive]+1) }
 
 // suspect records an accusation. It is gossiped if it adds anything.
@@ -58,7 +59,8 @@
 // nextSuspicionCheckAt is when a suspicion without a quorum is checked next.
 func (v *View) nextSuspicionCheckAt() float64 { return v.now + suspicionCheckMs*v.jitter(1, 1) }
 
-// suspicionDueAt is when a suspicion has to be resolved or checked.
+// suspicionDueAt is when a suspicion has to be resolved or checked. With a quorum that is Tuning.SuspicionTimeoutMs
+// later, stretched by the health factor, or minRefutationAttempts attempt intervals later if that is more.
 func (v *View) suspicionDueAt(s *suspicion) float64 {
 	if s.quorumAt > 0 {
 		return s.quorumAt + max(v.cfg.SuspicionTimeoutMs*v.health.factor(), minRefutationAttempts*v.attemptIntervalMs())
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -9,8 +9,8 @@
 	syncIntervalMs     = 600.0 // least time between two syncs
 	joinSyncIntervalMs = 200.0 // the same, of a member that has just joined
 	joinSyncPeriodMs   = 5000.0
-	digestSettleMs     = 300.0  // without a change of the digest, after which a difference is no gossip on its way
-	forcedSyncMs       = 1200.0 // after the last sync a difference is synced in any case
+	digestSettleMs     = 300.0  // after a change of the digest, in which gossip may still level a difference
+	forcedSyncMs       = 1200.0 // after the last sync, from which a difference is synced even if gossip has not settled
 	maxSyncResponses   = 8      // datagrams that answer one SyncRequest
 )
 
@@ -19,7 +19,8 @@
 	lastSyncAt float64
 }
 
-// compareDigests asks a member for what differs if its digest does and gossip has settled.
+// compareDigests asks a member for what differs if its digest does. While gossip may still level the difference it
+// does so only for a member that has just joined, or if the last sync is forcedSyncMs ago.
 func (v *View) compareDigests(from netip.AddrPort, sender *member, digest uint64) {
 	if digest == v.digest {
 		return
