--- a/routing/admission.go
+++ b/routing/admission.go
@@ -5,7 +5,8 @@
 // Load shedding by priority. Each group has an admission gate for each role of its hosts: the probability
 // that a request of the mean weight rate is let through to a host of the role. Many gateways with a single
 // attempt each can overrun a host without one of them reaching its concurrency limit; by the gates each
-// sheds a part of its requests.
+// sheds a part of its requests. The gates move as in AIMD: they open by additive increase and close by
+// multiplicative decrease. For the other places that reject requests see the package comment.
 
 const (
 	// maxAdmissionGate is how far a gate opens. It is above 1, so that after answers in time a late one doesn't
@@ -13,7 +14,7 @@
 	maxAdmissionGate = 1.6
 	// admissionGateIncrease is added to a gate by an answer in time.
 	admissionGateIncrease = 0.1
-	// admissionGateDecrease is the factor by which a late answer, a time-out or a rejection narrows a gate.
+	// admissionGateDecrease is the factor by which a late answer, a time-out or a rejection lowers a gate.
 	admissionGateDecrease = 0.75
 	// otherGroupsGateStep is the part of each step that the gates of the other groups take: a gateway with
 	// little traffic gets too few answers from each group alone.
@@ -59,8 +60,9 @@
 	}
 }
 
-// passesAdmissionGate draws whether a request is let through to a host, once for each role. The more it
-// weighs for the time that it takes, the likelier it passes.
+// passesAdmissionGate draws whether a request is let through to a host, and reports it. It draws only while
+// the gate is below 1, and once for each role of a request, which it marks in request.gateDrawn: what has
+// passed once passes again. The more a request weighs for the time that it takes, the likelier it passes.
 func (r *Router) passesAdmissionGate(request *request, target *host) bool {
 	role := target.role()
 	gate := request.group.admissionGates[role]
--- a/routing/consistency.go
+++ b/routing/consistency.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Session consistency, after Harmonia: the dirty set holds the writes in flight, the stamp is the position
-// of the last completed write. Both are kept for each session and each gateway.
+// Session consistency, after Harmonia (Zhu and others, "Harmonia: Near-linear scalability for replicated
+// storage with in-network conflict detection", VLDB 2019): the dirty set holds the writes in flight, the
+// stamp is the position of the last completed write. Both are kept for each session and each gateway.
 //
 // Invariant: the stamp of a session that isn't in the table is at most stampFloor, so that evicting a
 // session never lets one of its reads miss its writes.
 
 const (
-	sessionRetention = 30 * time.Second // after its last write a session is evicted
+	sessionRetention = 30 * time.Second // after the end of its last write a session is evicted
 	maxSessions      = 50_000           // above this number all sessions without a write in flight are evicted
 )
 
@@ -57,7 +58,8 @@
 	if count := len(session.dirtyWrites); count > 0 && request.writeNumber >= session.dirtyWrites[count-1] {
 		session.dirtyWrites = nil
 	}
-	r.raiseStamp(session, committed)
+	session.raiseStamp(committed)
+	r.restartRetention(session)
 }
 
 // removeDirtyWrite takes a write that is finished, with or without success, from its session's dirty set, if
@@ -72,16 +74,16 @@
 		return number == request.writeNumber
 	})
 	if request.mayHaveRun {
-		session.stamp = max(session.stamp, r.currentPosition())
+		session.raiseStamp(r.currentPosition())
 	}
-	r.raiseStamp(session, 0)
+	r.restartRetention(session)
 }
 
-// raiseStamp makes the session's reads need at least a position, and restarts its retention.
-func (r *Router) raiseStamp(session *session, least Position) {
-	session.stamp = max(session.stamp, least)
-	session.updatedAt = r.now
-}
+// raiseStamp makes the session's reads need at least a position.
+func (s *session) raiseStamp(least Position) { s.stamp = max(s.stamp, least) }
+
+// restartRetention lets sessionRetention begin now.
+func (r *Router) restartRetention(session *session) { session.updatedAt = r.now }
 
 // requiredPosition returns the position that a host needs to have for a read, 0 for any, and whether only
 // the primary may serve it, whatever the replicas have. Writes need none.
@@ -129,7 +131,7 @@
 	}
 	r.stampFloor = max(r.stampFloor, r.currentPosition())
 	for _, session := range r.sessions {
-		session.stamp = max(session.stamp, r.currentPosition())
+		session.raiseStamp(r.currentPosition())
 	}
 }
 
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -34,11 +34,11 @@
 	required, primaryOnly := r.requiredPosition(request)
 	target := r.selectHost(request, required, primaryOnly)
 	if target != nil && target.receivesAsPrimary(request) && !r.acquireSlowStartAsPrimary(target, request) {
-		request.shed = r.isAdmittedByChance(target)
+		request.droppedBySlowStart = r.isAdmittedByChance(target)
 		target = nil
 	}
 	switch {
-	case request.shed:
+	case request.droppedBySlowStart:
 		r.giveUp(request)
 	case target == nil:
 		request.group.waiting = append(request.group.waiting, request)
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -69,7 +69,7 @@
 		}
 		host = r.addHost(endpoint)
 	}
-	if endpoint.StartedAt > host.StartedAt { // it has restarted: what it owed before is void
+	if endpoint.StartedAt > host.StartedAt { // it has restarted: its strikes no longer count
 		host.StartedAt, host.strikes, host.unresponsive = endpoint.StartedAt, 0, false
 	}
 	if endpoint.Primary && !host.Primary {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -6,27 +6,36 @@
 //
 //   - struck: it gets a strike for each overdue answer, for each failed connection, and for a time-out
 //     during which nothing came from it. Each strike halves how often it is picked, and with a whole strike
-//     it gets one request at a time. Strikes fade by a tenth a second; an answer that isn't overdue ends
-//     them.
+//     it gets one request at a time. Strikes fade by a tenth a second. OutcomeOK and OutcomeMisdirected end
+//     them where the answer isn't overdue; no other outcome does.
 //   - ejected: it gets nothing until ejectedUntil. That is rejectionEjectionTime after it rejected a request.
 //     After a failed connection it is the same where the host has responded lately and has no recent strike,
 //     else connectFailureEjectionTime, doubled by each whole strike: 12.8 s at maxStrikes.
-//   - unresponsive: it has a strike, and nothing came from it during one more attempt; or a connection to it
-//     fails although connections aren't scarce. While a primary is unresponsive, writes search another (see
-//     primary.go); reads are still sent to an unresponsive host. An answer of any kind to an attempt, a
-//     rejection or a lost connection ends it. The result of a health check doesn't.
+//   - unresponsive: it has a recent strike, and nothing came from it during one more attempt; or a
+//     connection to it fails although connections aren't scarce, unless it has responded lately and has no
+//     recent strike. A host that was just listed or included counts as having responded lately. While a
+//     primary is unresponsive, writes search another (see primary.go); reads are still sent to an
+//     unresponsive host. An answer of any kind to an attempt, a rejection or a lost connection ends it. The
+//     result of a health check doesn't.
 //
 // A failed connection is OutcomeNoConnection, whatever its cause: the host refused it, the connect time-out
 // passed, this gateway's own limit of connections was reached, the address is invalid, or it broke before the
 // whole request was written.
 //
 // A restart in the endpoint list ends strikes and unresponsiveness, IncludeHost ends all three.
+//
+// The durations here and in the constants are those before scaleToObjective, which shortens them where a
+// latency objective is short. The fading of strikes isn't scaled.
+//
+// Only unresponsiveness that addStrike finds is logged, and Router.log drops lines that follow another
+// closely. Strikes, ejections, unresponsiveness after a failed connection and the end of any of the three
+// have no log line; UnavailableHosts counts the hosts that are ejected or unresponsive.
 
 const (
 	// maxStrikes is the greatest number of strikes of a host.
 	maxStrikes = 6
-	// recentStrikeThreshold is the number of strikes above which the next one makes a host unresponsive: a
-	// single lost answer doesn't, nor does one that has faded.
+	// recentStrikeThreshold is the number of strikes above which a host has a recent one. The next lost answer
+	// makes such a host unresponsive: a single one doesn't, nor does one after a strike that has faded.
 	recentStrikeThreshold = 0.5
 	// strikeRetentionPerSecond is the part of a host's strikes that is left after a second.
 	strikeRetentionPerSecond = 0.9
@@ -150,9 +159,10 @@
 	r.latencyOf(ended.request).observe(latency.Seconds(), latencyGain)
 }
 
-// recordRequestCausedError reports whether an outcome is an error that the request causes at whichever host
-// is used: such errors are quick and move from host to host. They don't count against hosts, and the
-// request is not retried. Several hosts that fail quickly at the same time look alike.
+// recordRequestCausedError counts an outcome in the share of quick errors, sets request.causedError, and
+// reports it: whether the outcome is an error that the request causes at whichever host is used. Such errors
+// are quick and move from host to host. They don't count against hosts, and the request is not retried.
+// Several hosts that fail quickly at the same time look alike.
 func (r *Router) recordRequestCausedError(ended *attempt, outcome Outcome) bool {
 	quickWithin := quickErrorLatencyShare * r.latencyOf(ended.request).meanSeconds
 	isQuick := outcome == OutcomeError && (r.now-ended.sentAt).Seconds() < quickWithin
@@ -188,7 +198,8 @@
 func (a *attempt) nothingReceivedSince() bool { return a.host.lastOutcomeAt < a.sentAt }
 
 // addStrike counts an overdue answer, a time-out or a failed connection. nothingReceived means that nothing
-// has come from the host since it got the request: if that happens again soon, it is unresponsive.
+// has come from the host since it got the request: where the host has a recent strike already, of any of
+// these kinds, it is unresponsive then.
 func (r *Router) addStrike(host *host, nothingReceived bool) {
 	isRepeated := host.hasRecentStrike()
 	host.strikes = min(host.strikes+1, maxStrikes)
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -7,10 +7,11 @@
 // list, since a host that isn't primary any more would answer them with old data.
 
 const (
-	// primarySearchPause is how long writes wait after a round of a search, which comes to each host once.
+	// primarySearchPause is the least time that writes wait after a round of a search, which comes to each host
+	// once: the pause ends at the next slot of this gateway. This is the value before scaleToObjective.
 	primarySearchPause = 50 * time.Millisecond
 	// gatewaySlotGap is the least time between the slots of two gateways that do the same: the ends of two
-	// pauses in a search, or two health checks of one lagging replica.
+	// pauses in a search, or two health checks of one lagging replica. It isn't scaled.
 	gatewaySlotGap = 2 * time.Millisecond
 )
 
@@ -113,8 +114,11 @@
 	return next
 }
 
-// receivesAsPrimary reports whether a request comes to a host because it is the primary, or is listed as
-// such.
+// receivesAsPrimary reports whether the host of a request is the primary or, for a write, the listed primary.
+//
+// Known weakness: it is true too where searchPrimary returned that host, an unresponsive primary for example.
+// searchPrimary has acquired the host's slow start then, and dispatch acquires it again: a warming host is
+// charged twice for the write.
 func (h *host) receivesAsPrimary(request *request) bool {
 	isListed := request.class.Consistency == ConsistencyWrite && h == h.group.listedPrimary
 	return h == h.group.primary || isListed
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -14,7 +14,8 @@
 	// between zones costs. The others keep a part, since a zone's traffic may be more than its hosts can
 	// serve.
 	ownZoneWeight = 4.0
-	// positionCheckTimeout is how long a read waits for a replica's answer to a health check.
+	// positionCheckTimeout is how long a read waits for a replica's answer to a health check, before
+	// scaleToObjective.
 	positionCheckTimeout = 50 * time.Millisecond
 )
 
@@ -38,18 +39,18 @@
 
 // selectForRead returns a random replica among those at or past the required position. If there is none, it
 // returns the most advanced replica where replicas check, else the primary. It returns nil where the read
-// has to wait, or is to be shed (request.shed).
+// has to wait, or is to be given up (request.droppedBySlowStart).
 func (r *Router) selectForRead(request *request, required Position) *host {
 	candidates := r.findReadCandidates(request, required)
 	replica := r.pickReplica(request, r.preferSubset(request.group, candidates.upToDate))
-	if replica != nil || request.shed {
+	if replica != nil || request.droppedBySlowStart {
 		return replica
 	}
 	return r.fallbackForRead(request, candidates)
 }
 
-// findReadCandidates sorts the hosts of a read's group by their fitness, and sends health checks to those
-// behind.
+// findReadCandidates sorts the hosts of a read's group by their fitness. Besides, it sends health checks that
+// are due to those behind (healthCheckLagging).
 func (r *Router) findReadCandidates(request *request, required Position) readCandidates {
 	var candidates readCandidates
 	for _, host := range request.group.hosts {
@@ -106,8 +107,8 @@
 }
 
 // pickReplica returns a random replica by selectionWeight, or nil where there is none. If the one drawn is
-// warming up and gets enough already, it returns nil, whatever the others have free; the request is shed then
-// if requests are admitted to the one drawn by chance.
+// warming up and gets enough already, it returns nil, whatever the others have free, and sets
+// request.droppedBySlowStart if requests are admitted to the one drawn by chance.
 func (r *Router) pickReplica(request *request, replicas []*host) *host {
 	sum := 0.0
 	for _, replica := range replicas {
@@ -123,7 +124,7 @@
 	}
 	picked := replicas[index]
 	if !r.acquireSlowStart(picked, r.selectionWeight(picked)/sum, 0) {
-		request.shed = r.isAdmittedByChance(picked)
+		request.droppedBySlowStart = r.isAdmittedByChance(picked)
 		return nil
 	}
 	return picked
--- a/routing/request.go
+++ b/routing/request.go
@@ -23,10 +23,10 @@
 	mayHaveRun     bool          // an attempt that has ended may have had its effect
 	uncertainSince time.Duration // when the first such attempt was sent
 
-	shed        bool            // a warming host didn't admit it by chance; other hosts may be free
-	gateDrawn   [hostRoles]bool // the admission gate of a role was drawn for it already
-	causedError bool            // any host answers it with a quick error; see recordRequestCausedError
-	finished    bool            // it has its final answer, or its client is gone
+	droppedBySlowStart bool            // the draw for a warming host failed; other hosts may be free
+	gateDrawn          [hostRoles]bool // the admission gate of a role was drawn for it already
+	causedError        bool            // any host answers it with a quick error; see recordRequestCausedError
+	finished           bool            // it has its final answer, or its client is gone
 }
 
 // An attempt is one sending of a request to a host.
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -14,7 +14,7 @@
 	dedupWindowMargin = 20 * time.Millisecond
 	// dedupWindowMarginDivisor is the part of a short deduplication window that is left unused: one fifth.
 	dedupWindowMarginDivisor = 5
-	// waitingCheckInterval is the interval at which requests that wait are looked at.
+	// waitingCheckInterval is the interval at which requests that wait are looked at, before scaleToObjective.
 	waitingCheckInterval = 10 * time.Millisecond
 )
 
@@ -32,8 +32,8 @@
 	return r.mayRepeat(request)
 }
 
-// hasWaited reports whether a request arrived before this moment. What has just arrived is attempted
-// in any case.
+// hasWaited reports whether a request arrived before this moment. What has just arrived is not given up for
+// lack of time, unless its deadline has passed; slow start or an admission gate may still drop it.
 func (r *Router) hasWaited(request *request) bool { return r.now > request.arrivedAt }
 
 // deadlineIsDue reports whether a request's deadline has passed, or would pass before it is looked at
@@ -57,7 +57,7 @@
 }
 
 // isTooLateToCount reports whether an answer would come after the latency objective to a request whose late
-// answers have no weight. It is shed at once.
+// answers have no weight. mayAttempt then has it given up at once.
 func (r *Router) isTooLateToCount(request *request) bool {
 	if request.class.LateWeightShare != 0 || !r.hasWaited(request) {
 		return false
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -26,6 +26,19 @@
 // (endpoint list and draining), exclusion.go (exclusion by hand), maintenance.go and timer.go. router.go
 // and dispatch.go connect them.
 //
+// # Where requests are rejected
+//
+// Load is shed, and requests without a chance of a good answer are turned away, at these places. The last
+// three are in this package; giveUp (retry.go) then rejects the request, or fails it where a repeat may do
+// harm.
+//
+//   - the client's connection, before there is a request: ClientPool.MaxClients of package pg is reached
+//   - Core.Submit of package proxy: Limits.MaxRequests is reached, or no time is left
+//   - mayAttempt (retry.go): no time or no attempt is left, a repeat may do harm, or the request itself
+//     causes its errors
+//   - slow start (dispatch.go, replica.go): the draw for a warming host failed
+//   - the admission gate (dispatch.go, admission.go): answers are late, and the draw at the gate failed
+//
 // # Invariants
 //
 //   - A request has at most one attempt in flight, and gets at most one final answer: Reject, Fail, or the
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -14,7 +14,8 @@
 const (
 	// slowStartBurstSeconds is how long a host's unused budget of sends is kept.
 	slowStartBurstSeconds = 0.3
-	// slowStartUsableShare is the part used of the load under which a warming host fails.
+	// slowStartUsableShare is the part used of the load under which a warming host fails. The rest covers uneven
+	// traffic, and facts that differ between gateways.
 	slowStartUsableShare = 0.8
 	// clientAttemptsPerRequest is how often clients are assumed to send a request that is rejected, the first
 	// time included: no setting gives it.
@@ -66,11 +67,12 @@
 }
 
 // isAdmittedByChance reports whether requests to a warming host are admitted by chance rather than by a
-// budget. One that is not admitted is shed then: to draw again for it later would undo the draw.
+// budget. One that is not admitted is given up then (request.droppedBySlowStart): to draw again for it later
+// would undo the draw.
 func (r *Router) isAdmittedByChance(host *host) bool { return r.slowStartRate(host) < minBudgetRate }
 
-// acquireSlowStartAsPrimary is acquireSlowStart for a request that comes to a host because it is the primary,
-// or is listed as such.
+// acquireSlowStartAsPrimary is acquireSlowStart for a request whose host is the primary, or is listed as such
+// (receivesAsPrimary).
 func (r *Router) acquireSlowStartAsPrimary(primary *host, request *request) bool {
 	return r.acquireSlowStart(primary, r.primaryLoadSent/r.totalLoadSent, r.now-request.arrivedAt)
 }
