--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,12 +14,14 @@
 	request *request
 	// number is the attempt's among the request's, from 0. The router counts them on its own side, in the same order:
 	// routing.CancelAttempt and routing.AttemptResult name an attempt by it.
-	number       int
-	host         *host
-	conn         *pooledConn // nil while it waits for one
-	sendBeforeMs float64     // it is not sent at or after this time; 0: there is no such time
-	// written: the last byte of the command was handed to the system, so it may run. The connection keeps such a flag of
-	// its own for the command that is on it; this one stays with the attempt when the connection is closed.
+	number int
+	host   *host
+	// conn is nil while the attempt waits for a connection. It stays set after the attempt has ended, when the connection
+	// may carry another one already: only the check of ended keeps abortAttempt from closing it then.
+	conn         *pooledConn
+	sendBeforeMs float64 // it is not sent at or after this time; 0: there is no such time
+	// written: the last byte of the command was handed to the system, so it may run. An UpstreamConn may keep such a flag
+	// of its own for the command that is on it (pg.hostConn does); this one stays with the attempt.
 	written bool
 	ended   bool
 	timer   *eventloop.Timer // aborts it
@@ -37,7 +39,7 @@
 	req.openAttempt = attempt
 	h := c.hosts[action.Host]
 	// The client may have left during this Step. After the expiry of the request nothing would end the attempt.
-	if h == nil || req.answered || c.Now() >= req.answerByMs {
+	if h == nil || req.finished || c.Now() >= req.answerByMs {
 		c.finishAttempt(attempt, routing.OutcomeNotSent, Response{})
 		return
 	}
@@ -67,8 +69,8 @@
 	}
 }
 
-// abortAttempt ends an attempt from this side and closes its connection, which cancels the command at the host. The
-// outcome of an attempt whose last byte was not written is NotSent: it can't run.
+// abortAttempt ends an attempt from this side and closes its connection. No cancel request is sent: a host that has got
+// the command may still run it. The outcome of an attempt whose last byte was not written is NotSent: it can't run.
 func (c *Core) abortAttempt(attempt *hostAttempt, outcome routing.Outcome) {
 	if attempt.ended {
 		return
@@ -97,10 +99,10 @@
 	}
 	req := attempt.request
 	req.openAttempt = nil
-	if !req.answered && req.stream != nil && outcome != routing.OutcomeOK {
+	if !req.finished && req.stream != nil && outcome != routing.OutcomeOK {
 		c.abortStream(attempt, outcome)
 	}
-	if !req.answered && (outcome == routing.OutcomeOK || response.StatementError) {
+	if !req.finished && (outcome == routing.OutcomeOK || response.StatementError) {
 		c.answerWithResponse(req, outcome, response)
 	}
 	if outcome == routing.OutcomeError {
@@ -112,7 +114,7 @@
 
 // answerWithResponse passes a host's response to the client as the final answer.
 func (c *Core) answerWithResponse(req *request, outcome routing.Outcome, response Response) {
-	req.answered = true
+	req.finished = true
 	counts := &c.replyCounts[req.Class]
 	if outcome == routing.OutcomeOK {
 		counts.Success++
@@ -130,7 +132,7 @@
 		Request:     req.id,
 		Attempt:     attempt.number,
 		Outcome:     outcome,
-		RequestDone: req.answered,
+		RequestDone: req.finished,
 		Role:        response.Role,
 		Position:    c.position(response.PositionMs),
 	}
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -14,8 +14,10 @@
 //     command is on them: in the list dialing until they are established, and in the list idle between two commands.
 //   - While an attempt or a health check runs on a connection, only its hostAttempt refers to it (hostAttempt.conn) and
 //     it is in no list. An attempt has at most one connection, from the time it is sent until its result.
-//   - The Core counts all connections (openConns). Only pooledConn.close takes one out of the pool: at the connect
-//     timeout, while it is idle, at the abort of the attempt on it, or after its host has ended it.
+//     The exception is the known fault at assignConn: a connection that neither a list nor an attempt refers to.
+//   - The Core counts all connections (openConns). Only pooledConn.close takes one out of that count: at the connect
+//     timeout, while it is idle, at the abort of the attempt on it, when it is released to a host that is gone, or
+//     after its host has ended it.
 //
 // Invariants:
 //   - A request gets at most one final answer, and has at most one open attempt.
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -29,11 +29,12 @@
 // Known fault (TestSettledConnectionStaysInThePool): where attempts wait already, a connection that takeSettled
 // returned is in no list any more; it stays open and unused, and counts in openConns, until its host closes it. That
 // happens to an attempt that arrives after the end of a settle period and before the timer that then calls
-// serveWaiting.
+// serveWaiting. Such connections bring openConns to Limits.MaxConns sooner, where the weakness of dialIfNeeded shows:
+// the gateway's own limit counts as a failed connection of the host.
 func (c *Core) assignConn(attempt *hostAttempt) {
 	h := attempt.host
 	if conn := h.takeSettled(); conn != nil && len(h.waiting) == 0 {
-		conn.send(attempt)
+		conn.sendIfAllowed(attempt)
 		return
 	}
 	h.waiting = append(h.waiting, attempt)
@@ -63,7 +64,7 @@
 		if conn == nil {
 			return
 		}
-		conn.send(h.takeOldestWaiting())
+		conn.sendIfAllowed(h.takeOldestWaiting())
 	}
 }
 
--- a/internal/proxy/pooled_conn.go
+++ b/internal/proxy/pooled_conn.go
@@ -21,9 +21,10 @@
 	settledAtMs  float64 // it gets no command before
 }
 
-// send sends an attempt on an idle connection. Since the router started the attempt it may have waited for the
-// connection, so what allows it is checked again.
-func (p *pooledConn) send(attempt *hostAttempt) {
+// sendIfAllowed sends an attempt on an idle connection. Since the router started the attempt it may have waited for the
+// connection, so what allows it is checked again. Where it isn't allowed any more, the connection goes back to the pool
+// and the attempt ends with OutcomeNotSent.
+func (p *pooledConn) sendIfAllowed(attempt *hostAttempt) {
 	core := p.host.core
 	timeLeftMs := healthCheckTimeoutMs
 	command := core.healthCheckCommand
@@ -41,8 +42,9 @@
 	p.upstream.Send(command, timeLeftMs)
 }
 
-// release makes the connection idle; after the settle period the oldest waiting attempt gets it. A connection to a
-// host that is gone is closed where no attempt waits.
+// release makes the connection idle. Where attempts wait, serveWaiting runs after the settle period; it serves them in
+// their order, with whichever idle connection is settled then. A connection to a host that is gone is closed where no
+// attempt waits.
 func (p *pooledConn) release(settleMs float64) {
 	h := p.host
 	p.attempt = nil
@@ -84,7 +86,8 @@
 	return p.host.ID < other.host.ID
 }
 
-// Established makes the connection available to attempts.
+// Established makes the connection available to attempts. It calls serveWaiting itself, so that they are sent at once:
+// release only sets a timer for that.
 func (p *pooledConn) Established() {
 	h := p.host
 	p.established, h.connectFailed = true, false
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -36,20 +36,22 @@
 )
 
 const (
-	// lateExpiryMs is how late the expiry of a request may be handled before that is logged.
+	// lateExpiryMs is how late the expiry of a request may be handled before that is logged. It is as long as
+	// answerMarginMs: where the expiry is handled later, the final answer goes out after the client has given up.
 	lateExpiryMs = 5.0
-	// missingAnswerDelayMs is how long after the expiry of a request a missing answer is logged.
+	// missingAnswerDelayMs is how long after the expiry of a request a missing answer is logged. The delay leaves time for
+	// the Step that follows the expiry, in which the router decides on the final answer.
 	missingAnswerDelayMs = 20.0
 )
 
-// request is a request that was accepted, until it is answered and no attempt of it is open.
+// request is a request that was accepted, until it is finished and no attempt of it is open.
 type request struct {
 	Request
 	id            uint64
 	deadlineMs    float64 // the client gives up then
 	answerByMs    float64 // the open attempt is aborted then, so that the final answer is out by the deadline
 	expiryTimer   *eventloop.Timer
-	answered      bool
+	finished      bool // it has its final answer, or its client is gone
 	attemptCount  int
 	openAttempt   *hostAttempt
 	stream        Streamer // takes the streamed answer, which has begun; no deadline and no retry from then on
@@ -89,10 +91,10 @@
 // not sent. An attempt whose answer is being streamed ends as cancelled, as nobody takes the rest.
 func (c *Core) ClientGone(id uint64) {
 	req := c.requests[id]
-	if req == nil || req.answered {
+	if req == nil || req.finished {
 		return
 	}
-	req.answered = true
+	req.finished = true
 	c.events = append(c.events, routing.ClientGone{Request: id})
 	if open := req.openAttempt; open != nil && (!open.written || req.stream != nil) {
 		c.abortAttempt(open, routing.OutcomeCancelled)
@@ -116,7 +118,7 @@
 
 // rejectRequest gives the final answer that the request was not answered and that repeating it is safe.
 func (c *Core) rejectRequest(action routing.Reject) {
-	req := c.markAnswered(action.Request)
+	req := c.finishRequest(action.Request)
 	if req == nil {
 		return
 	}
@@ -126,7 +128,7 @@
 
 // failRequest gives the final answer that promises nothing.
 func (c *Core) failRequest(action routing.Fail) {
-	req := c.markAnswered(action.Request)
+	req := c.finishRequest(action.Request)
 	if req == nil {
 		return
 	}
@@ -134,20 +136,21 @@
 	req.Responder.Fail(req.lastErrorBody)
 }
 
-// markAnswered marks a request as answered and returns it; nil where it was answered before.
-func (c *Core) markAnswered(id uint64) *request {
+// finishRequest marks a request as finished and returns it; nil where it was finished before. The caller passes the
+// final answer to the client.
+func (c *Core) finishRequest(id uint64) *request {
 	req := c.requests[id]
-	if req == nil || req.answered {
+	if req == nil || req.finished {
 		return nil
 	}
-	req.answered = true
+	req.finished = true
 	c.removeIfDone(req)
 	return req
 }
 
-// removeIfDone removes a request that is answered and has no open attempt.
+// removeIfDone removes a request that is finished and has no open attempt.
 func (c *Core) removeIfDone(req *request) {
-	if req.answered && req.openAttempt == nil {
+	if req.finished && req.openAttempt == nil {
 		req.expiryTimer.Stop()
 		delete(c.requests, req.id)
 	}
@@ -169,14 +172,14 @@
 	if lateMs := c.Now() - req.answerByMs; lateMs > lateExpiryMs {
 		c.log.Warn("request expiry was handled late", zap.Float64("late_ms", lateMs))
 	}
-	if !req.answered {
+	if !req.finished {
 		c.timers.After(missingAnswerDelayMs, func() { c.logMissingAnswer(req) })
 	}
 }
 
 // logMissingAnswer logs a request that expired and still has no final answer, which is a fault of this program.
 func (c *Core) logMissingAnswer(req *request) {
-	if req.answered {
+	if req.finished {
 		return
 	}
 	c.log.Error("request has no final answer after its expiry",
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -40,11 +40,11 @@
 // AcceptedRequests returns how many requests Submit has accepted in all.
 func (c *Core) AcceptedRequests() int { return int(c.lastID) }
 
-// OpenRequests returns how many requests have no final answer yet.
+// OpenRequests returns how many requests have no final answer yet and a client that waits for it.
 func (c *Core) OpenRequests() int {
 	open := 0
 	for _, req := range c.requests {
-		if !req.answered {
+		if !req.finished {
 			open++
 		}
 	}
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -25,7 +25,7 @@
 // BeginStream starts to pass a large response to the client in parts, if the frontend can take it so.
 func (p *pooledConn) BeginStream(resume func()) bool {
 	attempt := p.attempt
-	if attempt == nil || attempt.request == nil || attempt.request.answered {
+	if attempt == nil || attempt.request == nil || attempt.request.finished {
 		return false
 	}
 	req := attempt.request
@@ -70,7 +70,7 @@
 // abortStream ends the streamed answer to a request whose attempt didn't complete.
 func (c *Core) abortStream(attempt *hostAttempt, outcome routing.Outcome) {
 	req := attempt.request
-	req.answered = true
+	req.finished = true
 	c.replyCounts[req.Class].Error++
 	c.log.Warn("streamed answer was aborted",
 		zap.String("host", attempt.host.ID),
