--- a/internal/protocol/discovery/watcher.go
+++ b/internal/protocol/discovery/watcher.go
@@ -137,6 +137,7 @@
 	w.log.Debug("discovery poll failed", zap.String("address", w.address), zap.Error(cause))
 	now, draw := w.loop.Clock.Now(), w.rng.Float64()
 	if !w.awaitingResponse {
+		// No poll is in flight that may have missed updates: the policy counts from now on what may be missed.
 		w.lastPollAtMs = now
 	}
 	w.disconnect()
