--- a/internal/server/exclusion_file.go
+++ b/internal/server/exclusion_file.go
@@ -18,7 +18,7 @@
 	exclusionFileMode    = 0o600
 )
 
-// exclusion is an operator's last order about a host.
+// exclusion is an operator's last exclusion of a host, or its last inclusion where Excluded is false.
 type exclusion struct {
 	Excluded bool    `json:"out"`
 	AtMs     float64 `json:"at"` // Unix time in milliseconds
@@ -31,11 +31,11 @@
 }
 
 // exclusionFile is the file through which sibling processes share exclusions. Each process reads it at an interval, and
-// replaces it as a whole. The newest order on a host counts.
+// replaces it as a whole. The newest entry of a host counts.
 type exclusionFile struct {
 	log      *zap.Logger
 	path     string
-	newest   map[string]exclusion // on each host
+	newest   map[string]exclusion // by host
 	lastSeen fs.FileInfo          // of the file as it was read or written last; nil before
 	// lastError is the error logged last. It is never cleared: the same error is logged once, and stays silent where it
 	// comes back after a repair.
@@ -46,8 +46,8 @@
 	return &exclusionFile{log: log, path: path, newest: map[string]exclusion{}}
 }
 
-// readNewer reads the file if it has changed, and returns the orders that are newer than the ones that this process
-// knows, by host. Where the file then lacks an order that this process knows, because a sibling replaced the file at
+// readNewer reads the file if it has changed, and returns the entries that are newer than the ones that this process
+// knows, by host. Where the file then lacks an entry that this process knows, because a sibling replaced the file at
 // the same time, it is written again.
 func (f *exclusionFile) readNewer() map[string]exclusion {
 	info, err := os.Stat(f.path)
@@ -67,9 +67,9 @@
 		return nil
 	}
 	newer := map[string]exclusion{}
-	for id, order := range hosts {
-		if id != "" && order.AtMs > f.newest[id].AtMs {
-			newer[id], f.newest[id] = order, order
+	for id, entry := range hosts {
+		if id != "" && entry.AtMs > f.newest[id].AtMs {
+			newer[id], f.newest[id] = entry, entry
 		}
 	}
 	if !maps.Equal(f.newest, hosts) {
@@ -83,7 +83,7 @@
 	return f.lastSeen != nil && os.SameFile(info, f.lastSeen) && info.ModTime().Equal(f.lastSeen.ModTime())
 }
 
-// read returns the orders in the file, by host. The error is the system's, the JSON decoder's, or names an unknown
+// read returns the entries of the file, by host. The error is the system's, the JSON decoder's, or names an unknown
 // version.
 func (f *exclusionFile) read() (map[string]exclusion, error) {
 	text, err := os.ReadFile(f.path)
@@ -109,12 +109,12 @@
 	f.log.Error("ignoring unreadable exclusion file", zap.String("path", f.path), zap.Error(err))
 }
 
-// record writes an order of this process to the file, if it changes anything.
-func (f *exclusionFile) record(id string, order exclusion) {
-	if previous, ok := f.newest[id]; ok && previous.Excluded == order.Excluded {
+// record writes an exclusion or inclusion by this process to the file, if it changes anything.
+func (f *exclusionFile) record(id string, entry exclusion) {
+	if previous, ok := f.newest[id]; ok && previous.Excluded == entry.Excluded {
 		return
 	}
-	f.newest[id] = order
+	f.newest[id] = entry
 	f.write()
 }
 
@@ -129,7 +129,7 @@
 	}
 }
 
-// replace writes the orders to a temporary file of this process and renames it, which replaces the file in one step.
+// replace writes the entries to a temporary file of this process and renames it, which replaces the file in one step.
 func (f *exclusionFile) replace() error {
 	text, err := json.Marshal(exclusionDocument{Version: exclusionFileVersion, Hosts: f.newest})
 	if err != nil {
--- a/internal/server/exclusion_file_test.go
+++ b/internal/server/exclusion_file_test.go
@@ -76,13 +76,13 @@
 	}
 }
 
-// Two processes write at a time: the newest order on each host counts, and an order that the other has written over is
+// Two processes write at a time: the newest entry of each host counts, and an entry that the other has written over is
 // written again.
 func TestNewestExclusionOfHostCounts(t *testing.T) {
 	first := openTestState(t, t.TempDir(), "n").exclusions
 	second := newExclusionFile(zap.NewNop(), first.path)
 	first.record("x", exclusion{Excluded: true, AtMs: 10})
-	second.newest["y"] = exclusion{Excluded: true, AtMs: 11} // second has not read first's order and writes over it
+	second.newest["y"] = exclusion{Excluded: true, AtMs: 11} // second has not read first's entry and writes over it
 	second.write()
 	future := time.Now().Add(time.Second)
 	if err := os.Chtimes(first.path, future, future); err != nil {
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -13,8 +13,9 @@
 const (
 	// loadSampleMs is the interval at which the load of this gateway is sampled and announced.
 	loadSampleMs = 1000.0
-	// rosterUpdateDelayMs is how long after a load sample changes of members are gathered: many come at a time. The
-	// sample itself updates the roster too; from this time on until the next sample every change does so at once.
+	// rosterUpdateDelayMs is the time after a load sample in which changes of members don't update the roster: many come
+	// at a time, and the first round of the event loop after it takes them in together. From then until the next sample,
+	// which updates the roster too, each change does so in its own round.
 	rosterUpdateDelayMs = 200.0
 )
 
--- a/internal/server/readiness.go
+++ b/internal/server/readiness.go
@@ -7,8 +7,8 @@
 const firstListTimeoutMs = 500.0
 
 // ready reports whether clients can be served: the endpoint list has been received, or the wait for it is over, and
-// some host counts as reachable, as one that was never dialed does (proxy.Core.Ready). An evacuated gateway is not
-// ready.
+// some host counts as reachable, as one that was never dialed does (proxy.Core.Ready). An evacuated gateway, which an
+// operator has taken out of service by Evacuate and not yet put back by Rejoin, is not ready.
 func (s *Server) ready() bool {
 	listSettled := s.endpointListReceived || s.loop.Clock.Now() >= s.discoveryWaitEndMs
 	return !s.evacuated && listSettled && s.core.Ready()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -54,7 +54,7 @@
 	reloadFailures  int
 	reloadSuccesses int
 
-	evacuated       bool             // not ready, by an operator's order
+	evacuated       bool             // out of service by the management call Evacuate, until Rejoin
 	evacuationTimer *eventloop.Timer // until clients are disconnected as they become idle
 
 	shuttingDown         bool
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -11,7 +11,7 @@
 	// killMarginMs more.
 	maxKillDeadlineMs = 3000.0
 	killMarginMs      = 700.0
-	// finalResponseMarginMs is how long before the end the last responses are written.
+	// finalResponseMarginMs is how long before finalDeadlineMs of drain the requests that still arrive are answered.
 	finalResponseMarginMs = 50.0
 	// idlePollMs is the interval at which a draining gateway checks whether all clients have gone.
 	idlePollMs = 5.0
@@ -22,6 +22,9 @@
 
 // shutDown starts a graceful shutdown: new clients are accepted for drainNoticeMs, then the gateway drains. Where a
 // sibling process may have taken over the listener the gateway drains at once.
+//
+// The gateway leaves the fleet at once: without a sibling, drainNoticeMs before it stops accepting clients. A further
+// call, at a second SIGTERM, does nothing. SIGHUP still reloads the configuration.
 func (s *Server) shutDown() {
 	if s.shuttingDown {
 		return
@@ -41,7 +44,8 @@
 	})
 }
 
-// drain accepts no more clients, and ends the event loop when those that are connected have gone or their time is over.
+// drain accepts no more clients, and ends the event loop when those that are connected have gone, at drainEndMs at the
+// latest. finalDeadlineMs is drainEndMs or, on the platform, the time of its SIGKILL where that comes first.
 func (s *Server) drain() {
 	longestDeadlineMs := s.longestDeadlineMs()
 	// The minimum is for large responses, which have no deadline once they have begun.
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -10,7 +10,8 @@
 	"merlinjunction/internal/eventloop"
 )
 
-// signalQueueLength is how many signals wait at most while the event loop is set up.
+// signalQueueLength is how many signals wait at most until handleSignals takes them, which it begins to do once the
+// event loop is set up. Signals beyond it are dropped.
 const signalQueueLength = 4
 
 // Serve runs a gateway until SIGTERM or SIGINT, and until the graceful shutdown that follows has ended. SIGHUP reloads
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -81,11 +81,11 @@
 	if s.shared == nil {
 		return
 	}
-	for id, order := range s.shared.exclusions.readNewer() {
+	for id, received := range s.shared.exclusions.readNewer() {
 		s.log.Info("exclusion received from sibling process",
-			zap.String("host", id), zap.Bool("excluded", order.Excluded))
-		if order.Excluded {
-			s.core.RestoreExclusion(id, order.AtMs)
+			zap.String("host", id), zap.Bool("excluded", received.Excluded))
+		if received.Excluded {
+			s.core.RestoreExclusion(id, received.AtMs)
 		} else {
 			s.core.Include(id)
 		}
