--- a/internal/protocol/discovery/watcher.go
+++ b/internal/protocol/discovery/watcher.go
@@ -49,13 +49,13 @@
 	rng      *rand.Rand
 	policy   fleet.PollPolicy
 
-	conn             *eventloop.Conn  // nil while there is none
-	pollTimer        *eventloop.Timer // next poll, or the timeout of the one in flight
-	moveTimer        *eventloop.Timer // start of polling at another address
-	firstPollAtMs    float64
-	lastPollAtMs     float64
-	revision         int64 // of the list that is known; NoRevision: none
-	awaitingResponse bool
+	conn               *eventloop.Conn  // nil while there is none
+	pollTimer          *eventloop.Timer // next poll, or the timeout of the one in flight
+	addressChangeTimer *eventloop.Timer // start of polling at another address
+	firstPollAtMs      float64
+	lastPollAtMs       float64
+	revision           int64 // of the list that is known; NoRevision: none
+	awaitingResponse   bool
 	// lastEntryError is the error logged last. It is never cleared: the same error is logged once, and stays silent
 	// where it comes back after a repair.
 	lastEntryError string
@@ -98,8 +98,8 @@
 // SetAddress follows the list at another address, after a random delay of its own for each gateway. The list that is
 // known stays in use until the new address has sent a complete one: its revisions may be numbered otherwise.
 func (w *Watcher) SetAddress(address string) {
-	w.moveTimer.Stop()
-	w.moveTimer = w.loop.After(w.policy.AddressChangeDelay(w.rng.Float64()), func() {
+	w.addressChangeTimer.Stop()
+	w.addressChangeTimer = w.loop.After(w.policy.AddressChangeDelay(w.rng.Float64()), func() {
 		w.address, w.revision = address, NoRevision
 		w.policy.AddressChanged(w.loop.Clock.Now())
 		w.disconnect()
