--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -180,10 +180,10 @@
 }
 
 // lookup returns the value for the platform's word in a setting.
-func lookup[V any](values map[string]V, word, key string) (V, error) {
-	value, known := values[word]
+func lookup[V any](values map[string]V, name, key string) (V, error) {
+	value, known := values[name]
 	if !known {
-		return value, &SettingError{Key: key, Reason: fmt.Sprintf("unknown word %q", word)}
+		return value, &SettingError{Key: key, Reason: fmt.Sprintf("unknown word %q", name)}
 	}
 	return value, nil
 }
--- a/routing/attempt_timeout.go
+++ b/routing/attempt_timeout.go
@@ -24,7 +24,7 @@
 	return max(r.scaleToObjective(minAttemptTimeout), secondsToDuration(mean+margin))
 }
 
-// checkOverdueAttempts finds the attempts at a host whose answers have become overdue. Each is a strike, and
+// checkOverdueAttempts finds the attempts at a host whose answers have become overdue. Each is a failure, and
 // is cancelled where mayRetryAfterCancel allows it. A single request that runs very long is treated alike.
 func (r *Router) checkOverdueAttempts(host *host) {
 	for _, open := range host.openAttempts {
@@ -34,7 +34,7 @@
 		}
 		r.latencyOf(request).observe(age.Seconds(), overdueLatencyGain)
 		open.overdue = true
-		r.addStrike(host, open.nothingReceivedSince())
+		r.addFailure(host, open.nothingReceivedSince())
 		if !request.finished && r.settings.CancelAllowed && r.mayRetryAfterCancel(open) {
 			r.emit(CancelAttempt{request.ID, open.number})
 		}
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -69,8 +69,8 @@
 		}
 		host = r.addHost(endpoint)
 	}
-	if endpoint.StartedAt > host.StartedAt { // it has restarted: its strikes no longer count
-		host.StartedAt, host.strikes, host.unresponsive = endpoint.StartedAt, 0, false
+	if endpoint.StartedAt > host.StartedAt { // it has restarted: its recent failures no longer count
+		host.StartedAt, host.recentFailures, host.unresponsive = endpoint.StartedAt, 0, false
 	}
 	if endpoint.Primary && !host.Primary {
 		host.group.listedPrimary, host.group.listedPrimaryAt = host, r.currentPosition()
--- a/routing/exclusion.go
+++ b/routing/exclusion.go
@@ -29,7 +29,7 @@
 	if host == nil {
 		return
 	}
-	host.strikes, host.unresponsive, host.ejectedUntil = 0, false, 0
+	host.recentFailures, host.unresponsive, host.ejectedUntil = 0, false, 0
 	host.lag, host.lastOutcomeAt = 0, r.now
 	host.concurrencyLimit = max(host.concurrencyLimit, initialConcurrencyLimit)
 }
--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("%d hosts are unavailable", unavailable)
 	}
 	excluded := router.hosts["a"]
-	excluded.strikes, excluded.unresponsive, excluded.ejectedUntil = 6, true, harness.now+time.Hour
+	excluded.recentFailures, excluded.unresponsive, excluded.ejectedUntil = 6, true, harness.now+time.Hour
 	harness.step(ms, IncludeHost{Host: "a"})
 	reads := map[string]int{}
 	for read := range uint64(400) {
--- a/routing/host.go
+++ b/routing/host.go
@@ -11,7 +11,7 @@
 //
 //	inService     the endpoint list and the exclusions by hand allow requests to it
 //	isResponsive  inService and not unresponsive: writes wait for such a primary, else they search another
-//	eligible      inService, not ejected, and without an open attempt if it has a strike
+//	eligible      inService, not ejected, and without an open attempt if it has a recent failure
 //	mayReceive    eligible and below its concurrency limit (hasCapacity)
 type host struct {
 	Endpoint
@@ -26,10 +26,10 @@
 	answeredAsReplicaAt Position      // position at the time when it last answered as replica; 0: never
 	lastOutcomeAt       time.Duration // when an attempt last had a result from it; at first, when it was added
 
-	openAttempts []*attempt // oldest first
-	strikes      float64    // overdue answers and failed connections; they fade; see addStrike
-	unresponsive bool       // nothing comes from it, or connections to it fail; see outlier.go
-	ejectedUntil time.Duration
+	openAttempts   []*attempt // oldest first
+	recentFailures float64    // overdue answers and failed connections; they fade; see addFailure
+	unresponsive   bool       // nothing comes from it, or connections to it fail; see outlier.go
+	ejectedUntil   time.Duration
 
 	concurrencyLimit  float64       // open attempts that it may have from this gateway
 	limitCutAllowedAt time.Duration // when the limit may be lowered again
--- a/routing/lag.go
+++ b/routing/lag.go
@@ -53,7 +53,7 @@
 
 // onHealthCheckResult handles a load report. A report of RolePrimary makes the host the primary if it is
 // newer than the other evidence; a primary's position is the time of its report. A report of RoleReplica
-// changes no role. No report ends an ejection, strikes or unresponsiveness.
+// changes no role. No report ends an ejection, recent failures or unresponsiveness.
 func (r *Router) onHealthCheckResult(event HealthCheckResult) {
 	host := r.hosts[event.Host]
 	if host == nil {
--- a/routing/maintenance.go
+++ b/routing/maintenance.go
@@ -51,11 +51,11 @@
 	r.loadEstimator.UpdateBaseline(durationToMillis(r.now), r.allWarmedUp())
 }
 
-// fadeGroup lets the strikes and the answer rate of a group fade, and removes its hosts that are gone. While
+// fadeGroup lets the failures and the answer rate of a group fade, and removes its hosts that are gone. While
 // one of its hosts is warming up the answer rate stays: what the group answers then is only what it was sent.
 func (r *Router) fadeGroup(group *group, seconds float64) {
 	for _, host := range group.hosts {
-		host.strikes *= math.Pow(strikeRetentionPerSecond, seconds)
+		host.recentFailures *= math.Pow(failureRetentionPerSecond, seconds)
 	}
 	if !r.anyWarmingUp(group) {
 		faded := group.peakAnswerRate * math.Pow(answerRateRetentionPerSecond, seconds)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -4,16 +4,16 @@
 
 // Outlier detection and ejection, by symptom rather than by cause. A host can be
 //
-//   - struck: it gets a strike for each overdue answer, for each failed connection, and for a time-out
-//     during which nothing came from it. Each strike halves how often it is picked, and with a whole strike
-//     it gets one request at a time. Strikes fade by a tenth a second. OutcomeOK and OutcomeMisdirected end
-//     them where the answer isn't overdue; no other outcome does.
+//   - failing: a failure counts for each overdue answer, for each failed connection, and for a time-out
+//     during which nothing came from it. The count of recent failures fades by a tenth a second. Each failure
+//     in it halves how often the host is picked, and from 1 on it gets one request at a time. OutcomeOK and
+//     OutcomeMisdirected clear the count where the answer isn't overdue; no other outcome does.
 //   - ejected: it gets nothing until ejectedUntil. That is rejectionEjectionTime after it rejected a request.
-//     After a failed connection it is the same where the host has responded lately and has no recent strike,
-//     else connectFailureEjectionTime, doubled by each whole strike: 12.8 s at maxStrikes.
-//   - unresponsive: it has a recent strike, and nothing came from it during one more attempt; or a
+//     After a failed connection it is the same where the host has responded lately and has no recent failure,
+//     else connectFailureEjectionTime, doubled by each whole failure in the count: 12.8 s at its maximum.
+//   - unresponsive: it has a recent failure, and nothing came from it during one more attempt; or a
 //     connection to it fails although connections aren't scarce, unless it has responded lately and has no
-//     recent strike. A host that was just listed or included counts as having responded lately. While a
+//     recent failure. A host that was just listed or included counts as having responded lately. While a
 //     primary is unresponsive, writes search another (see primary.go); reads are still sent to an
 //     unresponsive host. An answer of any kind to an attempt, a rejection or a lost connection ends it. The
 //     result of a health check doesn't.
@@ -22,27 +22,27 @@
 // passed, this gateway's own limit of connections was reached, the address is invalid, or it broke before the
 // whole request was written.
 //
-// A restart in the endpoint list ends strikes and unresponsiveness, IncludeHost ends all three.
+// A restart in the endpoint list clears the count and unresponsiveness, IncludeHost ends all three.
 //
 // The durations here and in the constants are those before scaleToObjective, which shortens them where a
-// latency objective is short. The fading of strikes isn't scaled.
+// latency objective is short. The fading of the count isn't scaled.
 //
-// Only unresponsiveness that addStrike finds is logged, and Router.log drops lines that follow another
-// closely. Strikes, ejections, unresponsiveness after a failed connection and the end of any of the three
+// Only unresponsiveness that addFailure finds is logged, and Router.log drops lines that follow another
+// closely. Failures, ejections, unresponsiveness after a failed connection and the end of any of the three
 // have no log line; UnavailableHosts counts the hosts that are ejected or unresponsive.
 
 const (
-	// maxStrikes is the greatest number of strikes of a host.
-	maxStrikes = 6
-	// recentStrikeThreshold is the number of strikes above which a host has a recent one. The next lost answer
-	// makes such a host unresponsive: a single one doesn't, nor does one after a strike that has faded.
-	recentStrikeThreshold = 0.5
-	// strikeRetentionPerSecond is the part of a host's strikes that is left after a second.
-	strikeRetentionPerSecond = 0.9
+	// maxRecentFailures is the greatest count of recent failures of a host.
+	maxRecentFailures = 6
+	// recentFailureThreshold is the count above which a host has a recent failure. The next lost answer makes
+	// such a host unresponsive: a single one doesn't, nor does one after a failure that has faded.
+	recentFailureThreshold = 0.5
+	// failureRetentionPerSecond is the part of the count that is left after a second.
+	failureRetentionPerSecond = 0.9
 	// rejectionEjectionTime is how long a host is ejected after it rejected a request for lack of capacity.
 	rejectionEjectionTime = 50 * time.Millisecond
-	// connectFailureEjectionTime is how long a host without strikes is ejected after a failed connection; each
-	// whole strike doubles it.
+	// connectFailureEjectionTime is how long a host without failures is ejected after a failed connection; each
+	// whole failure in the count doubles it.
 	connectFailureEjectionTime = 200 * time.Millisecond
 	// minConclusiveTimeout is the least time after the send from which a time-out counts against the host.
 	minConclusiveTimeout = 200 * time.Millisecond
@@ -96,10 +96,10 @@
 	r.adjustAdmissionGates(ended, outcome)
 	switch outcome {
 	case OutcomeOK:
-		ended.endStrikes()
+		ended.clearFailures()
 		r.recordAnswer(ended)
 	case OutcomeMisdirected:
-		ended.endStrikes()
+		ended.clearFailures()
 	case OutcomeRejected:
 		r.recordRejection(host)
 	case OutcomeNoConnection:
@@ -126,10 +126,10 @@
 	return false
 }
 
-// endStrikes ends the strikes of the attempt's host, unless its answer came late.
-func (a *attempt) endStrikes() {
+// clearFailures clears the count of the attempt's host, unless its answer came late.
+func (a *attempt) clearFailures() {
 	if !a.overdue {
-		a.host.strikes = 0
+		a.host.recentFailures = 0
 	}
 }
 
@@ -140,12 +140,12 @@
 	host.ejectedUntil = r.now + ejection
 }
 
-// recordTimeout counts a time-out: a strike, where nothing came from the host and the attempt has not got one
-// already for being overdue.
+// recordTimeout counts a time-out: a failure, where nothing came from the host and the attempt has not counted
+// as one already for being overdue.
 func (r *Router) recordTimeout(ended *attempt) {
 	r.lowerConcurrencyLimit(ended.host, r.now-ended.sentAt)
 	if !ended.overdue && ended.nothingReceivedSince() {
-		r.addStrike(ended.host, true)
+		r.addFailure(ended.host, true)
 	}
 }
 
@@ -176,49 +176,49 @@
 	return ended.request.causedError
 }
 
-// recordConnectFailure counts a failed connection and ejects the host, the longer the more strikes it has.
+// recordConnectFailure counts a failed connection and ejects the host, the longer the more failures it has.
 // Where connections to one host after another fail while others answer, connections are scarce and the hosts
 // are well: none becomes unresponsive, so writes don't search another primary. Many hosts that are really
 // down at the same time look alike.
 func (r *Router) recordConnectFailure(host *host) {
 	r.connectFailures.failed(host)
 	respondedLately := r.now < host.lastOutcomeAt+r.scaleToObjective(recentResponseTime)
-	if respondedLately && !host.hasRecentStrike() { // it is up: a single connection was lost
+	if respondedLately && !host.hasRecentFailure() { // it is up: a single connection was lost
 		host.ejectedUntil = r.now + r.scaleToObjective(rejectionEjectionTime)
 	} else {
-		host.ejectedUntil = r.now + r.scaleToObjective(connectFailureEjectionTime)<<int(host.strikes)
+		host.ejectedUntil = r.now + r.scaleToObjective(connectFailureEjectionTime)<<int(host.recentFailures)
 		connectionsAreScarce := r.connectFailures.share >= connectionScarcityThreshold
-		host.unresponsive = host.unresponsive || !connectionsAreScarce // without a log line, unlike in addStrike
+		host.unresponsive = host.unresponsive || !connectionsAreScarce // without a log line, unlike in addFailure
 	}
-	r.addStrike(host, false)
+	r.addFailure(host, false)
 }
 
 // nothingReceivedSince reports whether no outcome has come from the attempt's host since the attempt was
 // sent.
 func (a *attempt) nothingReceivedSince() bool { return a.host.lastOutcomeAt < a.sentAt }
 
-// addStrike counts an overdue answer, a time-out or a failed connection. nothingReceived means that nothing
-// has come from the host since it got the request: where the host has a recent strike already, of any of
+// addFailure counts an overdue answer, a time-out or a failed connection. nothingReceived means that nothing
+// has come from the host since it got the request: where the host has a recent failure already, of any of
 // these kinds, it is unresponsive then.
-func (r *Router) addStrike(host *host, nothingReceived bool) {
-	isRepeated := host.hasRecentStrike()
-	host.strikes = min(host.strikes+1, maxStrikes)
+func (r *Router) addFailure(host *host, nothingReceived bool) {
+	isRepeated := host.hasRecentFailure()
+	host.recentFailures = min(host.recentFailures+1, maxRecentFailures)
 	if nothingReceived && isRepeated && !host.unresponsive {
 		host.unresponsive = true
 		r.log(host, "is unresponsive")
 	}
 }
 
-// hasRecentStrike reports whether a host has a strike that hasn't faded much.
-func (h *host) hasRecentStrike() bool { return h.strikes > recentStrikeThreshold }
+// hasRecentFailure reports whether a host has a failure that hasn't faded much.
+func (h *host) hasRecentFailure() bool { return h.recentFailures > recentFailureThreshold }
 
 // eligible reports whether a host may get a request now: it is in service, not ejected, and if it has a
-// strike it has no other attempt open.
+// recent failure it has no other attempt open.
 func (r *Router) eligible(host *host) bool {
 	if !r.inService(host) || r.now < host.ejectedUntil {
 		return false
 	}
-	return host.strikes < 1 || len(host.openAttempts) == 0
+	return host.recentFailures < 1 || len(host.openAttempts) == 0
 }
 
 // mayReceive reports whether a host is eligible and has capacity left.
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -70,8 +70,8 @@
 			}
 		}
 		hosts := harness.router.hosts
-		if strikes := hosts["a"].strikes + hosts["b"].strikes; strikes > 0 {
-			t.Errorf("%v strikes for quick errors", strikes)
+		if failures := hosts["a"].recentFailures + hosts["b"].recentFailures; failures > 0 {
+			t.Errorf("%v recent failures for quick errors", failures)
 		}
 		return count
 	}
@@ -109,25 +109,25 @@
 	}
 }
 
-// A host that refuses connections is ejected, twice as long for each strike that it has; one that has responded just
+// A host that refuses connections is ejected, twice as long for each recent failure that it has; one that has responded just
 // before only for a short time.
 func TestEjectionAfterRefusedConnections(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		strikes      float64
+		failures     float64
 		sinceOutcome time.Duration
 		want         time.Duration
 	}{
 		{"responded just before", 0, 0, rejectionEjectionTime},
 		{"responded long ago", 0, time.Second, connectFailureEjectionTime},
-		{"responded just before, with a strike", 1, 0, 2 * connectFailureEjectionTime},
-		{"with as many strikes as can be", maxStrikes, time.Second, 64 * connectFailureEjectionTime},
+		{"responded just before, with a failure", 1, 0, 2 * connectFailureEjectionTime},
+		{"with as many failures as can be", maxRecentFailures, time.Second, 64 * connectFailureEjectionTime},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness := newHarness(t, nil)
 			harness.listGroup()
 			host := harness.router.hosts["a"]
-			host.strikes, host.lastOutcomeAt = test.strikes, harness.now-test.sinceOutcome
+			host.recentFailures, host.lastOutcomeAt = test.failures, harness.now-test.sinceOutcome
 			harness.router.recordConnectFailure(host)
 			if ejection := host.ejectedUntil - harness.now; ejection != test.want {
 				t.Errorf("ejected for %v, want %v", ejection, test.want)
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -131,10 +131,10 @@
 }
 
 // selectionWeight is how often a host is picked in comparison with others: by the share of its capacity
-// that it has for certain, half as often for each strike, and more often in the gateway's own zone. Two
+// that it has for certain, half as often for each failure, and more often in the gateway's own zone. Two
 // unknown zones ("") count as the same zone here, unlike in package fleet.
 func (r *Router) selectionWeight(host *host) float64 {
-	weight := r.capacityShare(host) * math.Exp2(-host.strikes)
+	weight := r.capacityShare(host) * math.Exp2(-host.recentFailures)
 	if host.Zone == r.settings.Zone {
 		weight *= ownZoneWeight
 	}
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -28,8 +28,8 @@
 		}
 	}
 	for _, host := range []string{"a", "b"} {
-		if strikes := harness.router.hosts[host].strikes; strikes > 0 {
-			t.Errorf("%s has %v strikes", host, strikes)
+		if failures := harness.router.hosts[host].recentFailures; failures > 0 {
+			t.Errorf("%s has %v recent failures", host, failures)
 		}
 	}
 	host := harness.router.requests[1].openAttempt.host.ID
