--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -140,8 +140,8 @@
 	host.ejectedUntil = r.now + ejection
 }
 
-// recordTimeout counts a time-out: a failure, where nothing came from the host and the attempt has not counted
-// as one already for being overdue.
+// recordTimeout counts a time-out as a failure, where nothing came from the host and the attempt has not
+// counted already for being overdue.
 func (r *Router) recordTimeout(ended *attempt) {
 	r.lowerConcurrencyLimit(ended.host, r.now-ended.sentAt)
 	if !ended.overdue && ended.nothingReceivedSince() {
