--- a/membership/cause.go
+++ b/membership/cause.go
@@ -1,29 +1,29 @@
 package membership
 
-// CauseNoAnswer begins the causes of changes that rest on this member's own failed probes.
+// CauseNoAnswer is the prefix of the causes of state changes that follow from this member's own failed probes.
 const CauseNoAnswer = "no answer here"
 
-// Causes of a change of a member's state.
+// Causes of changes of a member's state.
 const (
 	causeJoined        = "joined"
 	causeRejoined      = "joined again"                   // a newer incarnation of the same process
-	causeRestarted     = "restarted"                      // another process of that name
-	causeIntroduced    = "introduced itself"              // in a SyncRequest
+	causeRestarted     = "restarted"                      // another process of the same name joined
+	causeIntroduced    = "introduced itself"              // with a record in a SyncRequest
 	causeReported      = "reported by others"             // in a record
 	causeRefuted       = "refuted"                        // the member itself sent a newer incarnation
 	causeRefutedReport = "refuted, as others report"      // others gossip a newer incarnation
-	causeReaccused     = "accused in a newer incarnation" // than is known here
-	causeAccused       = "accused by others"              // and not refuted yet
+	causeReaccused     = "accused in a newer incarnation" // an accusation of a newer incarnation than the known one
+	causeAccused       = "accused by others"              // and has not refuted it yet
 	causeUnconfirmed   = CauseNoAnswer + ", and nobody has confirmed it"
 	causeAnswered      = "answers again"
 	causeAnsweredLate  = "answers again, late"
 	causeDeclaredDead  = "declared dead by others"
 	causeLeft          = "announced that it leaves"
-	causeForgotten     = "forgotten" // it died or left long ago
+	causeForgotten     = "forgotten" // its retention time after death or leave has passed
 	causeQuorumFormat  = "no answer to %s observers"
 )
 
-// Causes of a change of this member's status.
+// Causes of changes of this member's status.
 const (
 	causeIsSeed          = "is a seed"
 	causeNotAccepted     = "no member has accepted it"
--- a/membership/clock.go
+++ b/membership/clock.go
@@ -1,24 +1,24 @@
 package membership
 
 const (
-	// lateStepMs is how much later than Wake a step must come to mean that the process did not run in between. A View
-	// never asks to be called later than that, or it would not notice.
+	// lateStepMs is the lateness of a step, relative to Wake, above which the process is assumed not to have run in
+	// between. Wake is never later than lateStepMs after a step. With longer waits a View would not notice a short pause.
 	lateStepMs         = 100.0
-	resumeGraceMs      = 1000.0      // after a late step, in which nobody is accused
-	leftStepIntervalMs = 3_600_000.0 // of a member that has left and has nothing to do
-	longBeforeStartMs  = -1e9
+	resumeGraceMs      = 1000.0      // after a late step, during which this member accuses nobody
+	leftStepIntervalMs = 3_600_000.0 // between two steps of a member that has left and has nothing to do
+	longBeforeStartMs  = -1e9        // initial value of times in the past
 )
 
-// clock is the time of a View.
+// clock holds the times of a View.
 type clock struct {
 	started   bool
 	driverMs  float64 // the driver's time of the last step
-	now       float64 // the View's own time, which stands still while the process doesn't run
-	wakeAt    float64 // when the next step is due
-	resumedAt float64 // when the process ran again after a late step
+	now       float64 // time of the View's own clock, which stands still while the process doesn't run
+	wakeAt    float64 // when the next step is due, on the View's clock
+	resumedAt float64 // when the process resumed after the last late step, on the View's clock
 }
 
-// advanceClock moves the View's time on by the driver's. Time in which the process did not run doesn't count.
+// advanceClock advances the View's clock to the driver's time. Time in which the process did not run doesn't count.
 func (v *View) advanceClock(driverMs float64) {
 	if !v.started {
 		v.started, v.driverMs = true, driverMs
@@ -38,17 +38,17 @@
 	v.now += elapsed
 }
 
-// resume continues after a late step. Only the time that was waited for counts, and probes are dropped as their answers
-// may have been lost.
-func (v *View) resume(elapsed, late float64) {
+// resume handles a step that came lateMs after Wake. The View's clock advances only by untilWakeMs, the time that
+// remained until Wake. Probes are dropped, as their answers may have been lost.
+func (v *View) resume(untilWakeMs, lateMs float64) {
 	v.counters.lateSteps++
-	v.health.penalizeLateStep(v.now+elapsed, late)
+	v.health.penalizeLateStep(v.now+untilWakeMs, lateMs)
 	v.dropProbes()
-	v.now += elapsed
+	v.now += untilWakeMs
 	v.resumedAt, v.lastReceivedAt, v.lastAckAt = v.now, v.now, v.now
 }
 
-// start sets the first times. A member that is a seed itself, or has none, founds a fleet.
+// start initializes the times. A member that is a seed itself, or has no seeds, founds a fleet.
 func (v *View) start() {
 	v.nextProbeAt = v.rng.Float64() * v.cfg.ProbeIntervalMs
 	v.nextReconnectAt = reconnectIntervalMs
@@ -59,8 +59,8 @@
 	}
 }
 
-// jitter is a random factor from least to least+width, so that members don't act in step.
-func (v *View) jitter(least, width float64) float64 { return least + width*v.rng.Float64() }
+// jitter returns a random factor from minFactor to minFactor+width, so that members don't act in lockstep.
+func (v *View) jitter(minFactor, width float64) float64 { return minFactor + width*v.rng.Float64() }
 
 // setWake determines when the next step is due.
 func (v *View) setWake() {
--- a/membership/config.go
+++ b/membership/config.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// Limits of a member's fields in bytes, so that one record always fits into a datagram.
+// Limits of a member's fields in bytes. They ensure that a record always fits into a datagram.
 const (
 	MaxNameBytes    = 64
 	MaxZoneBytes    = 32
@@ -14,30 +14,30 @@
 
 // Config is the configuration of a View.
 type Config struct {
-	Name    string         // 1 to MaxNameBytes, unique in the fleet
-	Addr    netip.AddrPort // where the others reach this member
-	Zone    string         // up to MaxZoneBytes
-	Payload []byte         // up to MaxPayloadBytes; opaque to this package
-	BootID  uint64         // random, not 0
+	Name    string         // 1 to MaxNameBytes bytes, unique in the fleet
+	Addr    netip.AddrPort // at which the other members reach this member
+	Zone    string         // up to MaxZoneBytes bytes
+	Payload []byte         // up to MaxPayloadBytes bytes, opaque to this package
+	BootID  uint64         // random and not 0, distinguishes processes of one name
 	Seeds   []netip.AddrPort
-	Version uint8 // of messages; 0: the newest
+	Version uint8 // of messages; 0 means the newest
 	Tuning
 }
 
-// Tuning holds the protocol's durations in milliseconds and counts. 0 stands for the default, which docs/membership.md
-// derives.
+// Tuning holds the protocol's durations in milliseconds and its counts. 0 means the default. docs/membership.md derives
+// the defaults.
 type Tuning struct {
-	ProbeIntervalMs      float64 // between two regular probes of a member
-	MinAttemptIntervalMs float64 // least time between two attempts of a probe
-	GossipIntervalMs     float64 // between two rounds of gossip while there are rumors
-	SuspicionTimeoutMs   float64 // least time from a quorum of accusers to dead, see suspicionDueAt
-	DeadRetentionMs      float64 // for which dead members are remembered and probed
-	LeftRetentionMs      float64 // for which members that left are remembered
-	DeathQuorum          int     // accusers that make a member dead; fewer if fewer members are Alive, see quorum
-	IndirectProbes       int     // members that usually probe a silent target too, see requestIndirectProbes
+	ProbeIntervalMs      float64 // between two regular probes that this member starts
+	MinAttemptIntervalMs float64 // minimum time between two attempts of a probe
+	GossipIntervalMs     float64 // between two gossip rounds while rumors are queued
+	SuspicionTimeoutMs   float64 // minimum time from a quorum of accusers to Dead, see suspicionDueAt
+	DeadRetentionMs      float64 // for which a dead member is remembered and probed
+	LeftRetentionMs      float64 // for which a member that left is remembered
+	DeathQuorum          int     // accusers needed to declare a member dead; fewer if fewer members are Alive, see quorum
+	IndirectProbes       int     // members usually asked to probe a target that doesn't answer, see requestIndirectProbes
 }
 
-// The defaults of Tuning.
+// Defaults of the fields of Tuning.
 const (
 	defaultProbeIntervalMs      = 350
 	defaultMinAttemptIntervalMs = 100
@@ -49,16 +49,16 @@
 	defaultIndirectProbes       = 4
 )
 
-// The bounds of Tuning.
+// Bounds of the fields of Tuning.
 const (
 	minDurationMs     = 10
 	maxDurationMs     = 1e8
 	maxIndirectProbes = maxAccusers
 )
 
-// ConfigError is the error of New for a field of Config with an invalid value.
+// ConfigError reports a field of Config with an invalid value.
 type ConfigError struct {
-	Field   string // in lower case, or "tuning" for a field of Tuning
+	Field   string // name of the field in lower case, "boot" for BootID, or "tuning" for any field of Tuning
 	Problem string
 }
 
@@ -68,23 +68,23 @@
 	return &ConfigError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// check validates the configuration and fills in the defaults. Its errors are of type *ConfigError.
-func (c *Config) check() error {
+// validate checks the configuration and fills in the defaults. Its errors are of type *ConfigError.
+func (c *Config) validate() error {
 	switch {
 	case c.Name == "" || len(c.Name) > MaxNameBytes:
-		return configError("name", "1 to %d bytes are needed, %q has %d", MaxNameBytes, c.Name, len(c.Name))
+		return configError("name", "must have 1 to %d bytes, %q has %d", MaxNameBytes, c.Name, len(c.Name))
 	case !c.Addr.IsValid() || c.Addr.Port() == 0:
-		return configError("address", "the others need an address and a port")
+		return configError("address", "must be a valid IP address and a port other than 0, got %v", c.Addr)
 	case len(c.Zone) > MaxZoneBytes:
 		return configError("zone", "%q is longer than %d bytes", c.Zone, MaxZoneBytes)
 	case len(c.Payload) > MaxPayloadBytes:
-		return configError("payload", "%d bytes, %d at most", len(c.Payload), MaxPayloadBytes)
+		return configError("payload", "has %d bytes, at most %d are allowed", len(c.Payload), MaxPayloadBytes)
 	case c.BootID == 0:
 		return configError("boot", "BootID must not be 0")
 	case c.Version > Version:
-		return configError("version", "%d is not spoken, %d at most", c.Version, Version)
+		return configError("version", "%d is not supported, the newest is %d", c.Version, Version)
 	}
-	if err := c.Tuning.check(); err != nil {
+	if err := c.Tuning.validate(); err != nil {
 		return err
 	}
 	if c.Version == 0 {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// check validates the tuning and fills in the defaults.
-func (t *Tuning) check() error {
+// validate checks the tuning and fills in the defaults.
+func (t *Tuning) validate() error {
 	for _, duration := range []struct {
 		field     string
 		ms        *float64
@@ -111,7 +111,7 @@
 			*duration.ms = duration.defaultMs
 		}
 		if !(*duration.ms >= minDurationMs && *duration.ms <= maxDurationMs) {
-			return configError("tuning", "%s is %v ms, which is out of range", duration.field, *duration.ms)
+			return configError("tuning", "%s is %v ms, must be %v to %v", duration.field, *duration.ms, minDurationMs, maxDurationMs)
 		}
 	}
 	if t.DeathQuorum == 0 {
@@ -121,10 +121,10 @@
 		t.IndirectProbes = defaultIndirectProbes
 	}
 	if t.DeathQuorum < 1 || t.DeathQuorum > maxAccusers {
-		return configError("tuning", "DeathQuorum is %d, it has to be 1 to %d", t.DeathQuorum, maxAccusers)
+		return configError("tuning", "DeathQuorum is %d, must be 1 to %d", t.DeathQuorum, maxAccusers)
 	}
 	if t.IndirectProbes < 1 || t.IndirectProbes > maxIndirectProbes {
-		return configError("tuning", "IndirectProbes is %d, it has to be 1 to %d", t.IndirectProbes, maxIndirectProbes)
+		return configError("tuning", "IndirectProbes is %d, must be 1 to %d", t.IndirectProbes, maxIndirectProbes)
 	}
 	return nil
 }
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -1,16 +1,17 @@
 package membership
 
-// bucketCount is the number of buckets that members fall into by their ID. A sync sends a digest of each.
+// bucketCount is the number of buckets into which members are divided by their ID. A SyncRequest holds a digest of each.
 const bucketCount = 64
 
-// digests are over the name, process and incarnation of all live members, this one included.
+// digests holds digests of the live members, this one included. They cover each member's name, boot ID and incarnation.
 type digests struct {
-	digest          uint64
-	buckets         [bucketCount]uint64
+	digest          uint64              // of all live members
+	buckets         [bucketCount]uint64 // of the live members of each bucket
 	digestChangedAt float64
 }
 
-// toggleDigest adds a member to the digests, or removes it: they are sums by exclusive or.
+// toggleDigest adds a member to the digests, or removes it if it is included. Digests combine the members' hashes by
+// exclusive or, so both are the same operation.
 func (v *View) toggleDigest(m *member) {
 	hash := mix64(uint64(m.id)^mix64(m.Incarnation)) ^ mix64(m.BootID)
 	v.digest ^= hash
--- a/membership/failure_burst.go
+++ b/membership/failure_burst.go
@@ -1,18 +1,19 @@
 package membership
 
 const (
-	burstWindowMs          = 2000.0
-	maxBurstFailures       = 3  // failures within burstWindowMs that are a burst in a fleet of any size
-	membersPerBurstFailure = 10 // live members for each failure that a burst needs
+	burstWindowMs          = 2000.0 // period in which failures are counted
+	maxBurstThreshold      = 3      // failures within burstWindowMs that are a burst in a fleet of any size
+	membersPerBurstFailure = 10     // live members, this one included, for each failure that a burst requires
 )
 
-// isFailureBurst reports whether members failed recently in such a number that speed matters more than traffic: probes
-// come as fast as their attempts, gossip twice as often, and more indirect probes are requested. A failure is a change
-// to Suspect or to Dead, so one crash usually counts twice. Below 20 live members, this one included, a single failure
-// is a burst, below 30 two are, from there on three.
+// isFailureBurst reports whether so many members failed within burstWindowMs that fast detection matters more than low
+// traffic. During a burst, regular probes start at the interval of probe attempts, gossip rounds run twice as often, and
+// more indirect probes are requested. A change to Suspect and a change to Dead each count as a failure, so one crash
+// usually counts twice. With fewer than 20 live members, this one included, one failure is a burst, with fewer than 30
+// two are, and with 30 or more three are.
 func (v *View) isFailureBurst() bool {
-	for len(v.failuresAt) > 0 && v.now-v.failuresAt[0] > burstWindowMs {
-		v.failuresAt = v.failuresAt[1:]
+	for len(v.failureTimes) > 0 && v.now-v.failureTimes[0] > burstWindowMs {
+		v.failureTimes = v.failureTimes[1:]
 	}
-	return len(v.failuresAt) >= min(max(1, (len(v.live)+1)/membersPerBurstFailure), maxBurstFailures)
+	return len(v.failureTimes) >= min(max(1, (len(v.live)+1)/membersPerBurstFailure), maxBurstThreshold)
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// gossipState is the state of gossip.
+// gossipState holds the rumors to gossip and the time of the next gossip round.
 type gossipState struct {
 	rumors       rumorQueue
 	nextGossipAt float64
 }
 
-// queuedRumor is an update about a member that is still to be gossiped. Its content is determined when it is sent.
+// queuedRumor is an update about a member that is still to be disseminated. Its content is determined at each
+// transmission.
 type queuedRumor struct {
 	subject       *member
-	withRecord    bool // the whole record is sent
+	withRecord    bool // the member's whole record is sent
 	transmissions int
 }
 
-// rumorQueue holds one queued rumor for each member, the next one to send first.
+// rumorQueue holds at most one rumor about each member, in the order in which they are sent.
 type rumorQueue struct {
 	entries  []*queuedRumor
 	byMember map[ID]*queuedRumor
@@ -26,7 +27,7 @@
 
 func newRumorQueue() rumorQueue { return rumorQueue{byMember: map[ID]*queuedRumor{}} }
 
-// push puts a rumor about a member before all others. It replaces an older one about that member.
+// push puts a rumor about a member at the front of the queue. It replaces an earlier rumor about the member.
 func (q *rumorQueue) push(subject *member, withRecord bool) {
 	if old := q.byMember[subject.id]; old != nil {
 		withRecord = withRecord || old.withRecord
@@ -37,28 +38,29 @@
 	q.entries = slices.Insert(q.entries, 0, entry)
 }
 
-// transmitted counts a transmission of the first entries. They go to the end of the queue, or are removed if they have
-// been sent maxTransmissions times.
-func (q *rumorQueue) transmitted(count, maxTransmissions int) {
+// markTransmitted counts one transmission of each of the first count entries. It moves them to the end of the queue, or
+// removes those that have been sent maxTransmissions times.
+func (q *rumorQueue) markTransmitted(count, maxTransmissions int) {
 	if count == 0 {
 		return
 	}
-	var again []*queuedRumor
+	var requeued []*queuedRumor
 	for _, entry := range q.entries[:count] {
 		entry.transmissions++
 		if entry.transmissions < maxTransmissions {
-			again = append(again, entry)
+			requeued = append(requeued, entry)
 		} else {
 			delete(q.byMember, entry.subject.id)
 		}
 	}
-	q.entries = append(slices.Delete(q.entries, 0, count), again...)
+	q.entries = append(slices.Delete(q.entries, 0, count), requeued...)
 }
 
-// enqueueRumor has a member's present state gossiped, or its whole record.
+// enqueueRumor queues a rumor about a member's current state for gossip, with the member's whole record if withRecord is
+// set.
 func (v *View) enqueueRumor(subject *member, withRecord bool) { v.rumors.push(subject, withRecord) }
 
-// rumorAbout is the rumor about a member's present state.
+// rumorAbout returns the rumor about a member's current state, with the accusers of a suspect.
 func (v *View) rumorAbout(subject *member) Rumor {
 	if subject.suspicion == nil {
 		return subject.rumor(subject.State.advertised())
@@ -69,11 +71,12 @@
 	return rumor
 }
 
-// transmissionsFactor times the decimal logarithm of the fleet's size is how often a rumor is sent. As in SWIM, a small
-// multiple of the logarithm reaches all members with high probability.
+// transmissionsFactor times the decimal logarithm of the fleet's size is the number of transmissions of a rumor. As in
+// SWIM, a small multiple of the logarithm is enough for the rumor to reach all members with high probability.
 const transmissionsFactor = 4.0
 
-// piggyback adds queued rumors to a message, as many as limitBytes allows for all its rumors and records.
+// piggyback adds as many queued rumors to a message as fit. limitBytes is the limit for all rumors and records of the
+// message.
 func (v *View) piggyback(message *Message, limitBytes int) {
 	remainingBytes := limitBytes
 	for i := range message.Rumors {
@@ -95,12 +98,12 @@
 		added++
 	}
 	maxTransmissions := int(math.Ceil(transmissionsFactor * math.Log10(float64(len(v.live)+2))))
-	v.rumors.transmitted(added, maxTransmissions)
+	v.rumors.markTransmitted(added, maxTransmissions)
 }
 
-// appendUpdate adds a queued rumor to a message and returns its size, or returns 0 if it doesn't fit. A record
-// carries no accusers, and receivers verify a death in a record, so a rumor goes with the record unless the member is
-// alive.
+// appendUpdate adds a queued rumor to a message and returns its size, or returns 0 if it doesn't fit into remainingBytes.
+// A record has no accusers, and receivers verify a death in a record before they accept it. Therefore the record of a
+// Suspect, Dead or Left member is accompanied by a rumor.
 func (v *View) appendUpdate(message *Message, entry *queuedRumor, remainingBytes int) int {
 	size, state := 0, entry.subject.State
 	var record Record
@@ -127,11 +130,11 @@
 }
 
 const (
-	gossipFanout       = 3
-	maxGossipDatagrams = 3 // for one receiver in a round
+	gossipFanout       = 3 // receivers in a round
+	maxGossipDatagrams = 3 // to one receiver in a round
 )
 
-// sendGossip sends queued rumors to a few random members, round by round while there are any.
+// sendGossip runs a gossip round if one is due and rumors are queued. A round sends them to gossipFanout random members.
 func (v *View) sendGossip() {
 	if len(v.rumors.entries) == 0 || v.now < v.nextGossipAt || !v.joined {
 		return
@@ -143,7 +146,7 @@
 	v.nextGossipAt = v.now + interval
 	var chosen []*member
 	for range gossipFanout {
-		// A suspect learns of the accusation from those who probe it; in a mass crash most suspects are dead.
+		// A suspect learns of its accusation from members that probe it. In a mass crash most suspects are dead.
 		receiver := v.randomMember(func(m *member) bool { return m.State == Suspect || slices.Contains(chosen, m) })
 		if receiver == nil {
 			continue
@@ -155,7 +158,8 @@
 	}
 }
 
-// gossipTo sends queued rumors to one member and reports whether any are left to send to others.
+// gossipTo sends queued rumors to one member in at most maxGossipDatagrams messages. It returns false if it finds the
+// queue empty.
 func (v *View) gossipTo(receiver *member) bool {
 	for range maxGossipDatagrams {
 		queued := len(v.rumors.entries)
--- a/membership/health.go
+++ b/membership/health.go
@@ -1,47 +1,47 @@
 package membership
 
 const (
-	maxHealthScore          = 8      // Lifeguard's bound of the local health multiplier
-	healthRecoveryMs        = 1000.0 // an answered probe improves the score once in this time
-	maxHealthScoreAfterLoss = 2      // after a time without answers: the network was at fault rather than this member
-	lateStepPenaltyMs       = 1000.0 // of lateness for one point, besides the one for any late step
-	maxLateStepPenalty      = 2
+	maxHealthScore            = 8      // upper bound of the score, as in Lifeguard
+	healthRecoveryMs          = 1000.0 // minimum time between two improvements of the score
+	maxHealthScoreAfterOutage = 2      // upper bound after an outage, as the network was at fault rather than this member
+	lateStepPenaltyMs         = 1000.0 // lateness per additional point; any late step costs one point
+	maxLateStepPenalty        = 2      // additional points for one late step
 )
 
-// selfAssessment is what this member knows of its own condition.
+// selfAssessment holds what this member has observed about its own condition.
 type selfAssessment struct {
 	status         Status
 	health         localHealth
 	roundTrip      roundTripEstimator
-	lastReceivedAt float64   // any message
-	lastAckAt      float64   // a direct answer to this member's own probe
-	acksResumedAt  float64   // when such an answer came after a time without any
-	lastRefutedAt  float64   // when this member took its present incarnation
-	disputedAt     []float64 // when it was declared dead although it had refuted that; recent ones
-	failuresAt     []float64 // when members were accused or died; recent ones
+	lastReceivedAt float64   // last arrival of any message
+	lastAckAt      float64   // last direct answer to a probe of this member
+	acksResumedAt  float64   // first direct answer after the last outage
+	lastRefutedAt  float64   // when this member advanced its incarnation last
+	disputeTimes   []float64 // recent declarations of its death that arrived although it had refuted its death
+	failureTimes   []float64 // recent changes of members to Suspect or Dead
 }
 
-// localHealth is Lifeguard's local health multiplier: a member that has reason to doubt itself probes more slowly, and
-// waits longer for answers and refutations.
+// localHealth is Lifeguard's local health multiplier. A member with evidence that it is at fault itself probes more
+// slowly and waits longer for answers and refutations.
 type localHealth struct {
 	score     int     // 0 is healthy
 	improveAt float64 // earliest time of the next improvement
 }
 
-// factor multiplies the interval of regular probes, the interval of attempts and the suspicion time-out. It grows by a
-// half with each point of the score, from 1 to 5 at maxHealthScore.
+// factor returns the multiplier of the regular probe interval, the attempt interval and the suspicion timeout. It grows
+// by 0.5 with each point of the score, from 1 to 5 at maxHealthScore.
 func (h *localHealth) factor() float64 { return 1 + float64(h.score)/2 }
 
-// degrade counts evidence that this member is at fault.
+// degrade adds one point for evidence that this member is at fault.
 func (h *localHealth) degrade() { h.score = min(maxHealthScore, h.score+1) }
 
-// penalizeLateStep counts a step that came lateMs too late.
+// penalizeLateStep adds points for a step that came lateMs after Wake.
 func (h *localHealth) penalizeLateStep(now, lateMs float64) {
 	h.score = min(maxHealthScore, h.score+1+int(min(lateMs/lateStepPenaltyMs, maxLateStepPenalty)))
 	h.improveAt = now + healthRecoveryMs
 }
 
-// improve counts an answered probe.
+// improve removes one point for an answered probe, at most once in healthRecoveryMs.
 func (h *localHealth) improve(now float64) {
 	if now >= h.improveAt {
 		h.score = max(0, h.score-1)
@@ -49,30 +49,32 @@
 	}
 }
 
-// endOfSilence takes back what a time without any answer has added.
-func (h *localHealth) endOfSilence() { h.score = min(h.score, maxHealthScoreAfterLoss) }
+// capAfterOutage limits the score after an outage, in which unanswered probes have raised it.
+func (h *localHealth) capAfterOutage() { h.score = min(h.score, maxHealthScoreAfterOutage) }
 
-// silenceMs is a time without messages after which this member accuses nobody, and without answers after which failures
-// of that time are not counted.
-const silenceMs = 1000.0
+// contactTimeoutMs is the time after which missing contact makes this member distrust its own observations. Without any
+// message for this time, it accuses no member. Without a direct answer for more than this time there is an outage, and
+// unconfirmed failures of probes that started before its end are not counted.
+const contactTimeoutMs = 1000.0
 
-// noteDirectAck records an answer to this member's own probe.
+// noteDirectAck records a direct answer to a probe of this member. An answer after an outage ends the outage.
 func (v *View) noteDirectAck() {
-	if v.now-v.lastAckAt > silenceMs {
+	if v.now-v.lastAckAt > contactTimeoutMs {
 		v.acksResumedAt = v.now
-		v.health.endOfSilence()
+		v.health.capAfterOutage()
 	}
 	v.lastAckAt = v.now
 }
 
-// isSilent reports whether this member has received no message for a while. It would not receive a refutation either.
-func (v *View) isSilent() bool { return v.now-v.lastReceivedAt >= silenceMs }
+// receivesNoMessages reports whether no message has arrived for contactTimeoutMs. In that case a refutation would not
+// have arrived either.
+func (v *View) receivesNoMessages() bool { return v.now-v.lastReceivedAt >= contactTimeoutMs }
 
-// hasResumedRecently reports whether the process did not run a short time ago.
+// hasResumedRecently reports whether a late step came within the last resumeGraceMs.
 func (v *View) hasResumedRecently() bool { return v.now-v.resumedAt < resumeGraceMs }
 
-// mayAccuse reports whether this member may trust its own observations.
+// mayAccuse reports whether this member may accuse others because of its own failed probes.
 func (v *View) mayAccuse() bool {
-	return v.joined && !v.hasResumedRecently() && !v.isSilent() &&
+	return v.joined && !v.hasResumedRecently() && !v.receivesNoMessages() &&
 		v.status != StatusIsolated && v.status != StatusDisputed
 }
--- a/membership/join.go
+++ b/membership/join.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	joinBackoffMs       = 500.0 // before the second attempt to join; it doubles with each attempt
-	maxJoinBackoffMs    = 5000.0
-	maxJoinBackoffShift = 10
-	seedCheckIntervalMs = 10_000.0 // between two attempts of a member to reach seeds that it doesn't know
-	nameRetryIntervalMs = 3000.0   // between two attempts of a process whose name is taken
-	joinRecords         = 16       // of other members in a JoinAccepted
+	joinBackoffMs         = 500.0 // before the second attempt to join; doubles with each attempt
+	maxJoinBackoffMs      = 5000.0
+	maxJoinBackoffShift   = 10       // bounds the doubling so that the shift can't overflow
+	unknownSeedIntervalMs = 10_000.0 // between two attempts of a member to reach seeds at which it knows no reachable member
+	nameRetryIntervalMs   = 3000.0   // between two attempts of a process whose name is taken
+	maxJoinRecords        = 16       // records of other members in a JoinAccepted
 )
 
-// joinState is whether this member takes part in the fleet, and when it asks to.
+// joinState holds whether this member has joined the fleet, and when its next Join is due.
 type joinState struct {
 	joined             bool
 	joinedAt           float64
@@ -28,14 +28,14 @@
 	return len(v.cfg.Seeds) == 0 || slices.Contains(v.cfg.Seeds, v.cfg.Addr)
 }
 
-// completeJoin makes this member take part in the fleet.
+// completeJoin records that this member has joined the fleet, and gossips its record.
 func (v *View) completeJoin() {
 	v.joined, v.joinedAt, v.lastReceivedAt, v.lastAckAt = true, v.now, v.now, v.now
 	v.enqueueRumor(v.self, true)
 }
 
-// sendJoins asks a random seed to accept this member. A member of a fleet asks seeds at whose address it knows nobody,
-// so that fleets that were founded apart, or were cut off for long, merge.
+// sendJoins sends a Join to a random seed if one is due. A member that has joined sends it only to a seed at whose
+// address it knows no reachable member. This merges fleets that were founded separately or were partitioned for long.
 func (v *View) sendJoins() {
 	if v.now < v.nextJoinAt {
 		return
@@ -47,14 +47,14 @@
 	first := v.rng.IntN(len(v.cfg.Seeds))
 	for i := range v.cfg.Seeds {
 		seed := v.cfg.Seeds[(first+i)%len(v.cfg.Seeds)]
-		if seed != v.cfg.Addr && (!v.joined || !v.hasLiveMemberAt(seed)) {
+		if seed != v.cfg.Addr && (!v.joined || !v.hasReachableMemberAt(seed)) {
 			v.send(seed, nil, &Message{Kind: Join, Records: []Record{v.self.record()}}, 0)
 			return
 		}
 	}
 }
 
-// scheduleJoin determines when the next Join is due.
+// scheduleJoin sets the time of the next Join.
 func (v *View) scheduleJoin() {
 	backoff := joinBackoffMs * float64(uint64(1)<<min(v.joinAttempts, maxJoinBackoffShift))
 	interval := min(backoff, maxJoinBackoffMs)
@@ -63,13 +63,13 @@
 	case v.status == StatusNameTaken:
 		interval = nameRetryIntervalMs
 	case v.joined && (len(v.live) > 0 || len(v.cfg.Seeds) < 2):
-		interval = seedCheckIntervalMs
+		interval = unknownSeedIntervalMs
 	}
 	v.nextJoinAt = v.now + interval*v.jitter(0.7, 0.6)
 }
 
-// handleJoin accepts a member, unless another process lives under its name at another address. There can be only one
-// process at an address, so an earlier one at the same address is gone.
+// handleJoin answers a Join. It rejects the joiner if a reachable process has its name at another address. Only one
+// process can run at an address, so a process that was known at the joiner's address has ended.
 func (v *View) handleJoin(from netip.AddrPort, message *Message) {
 	record := message.introduction()
 	if !v.joined || record == nil || len(message.Records) != 1 {
@@ -87,8 +87,8 @@
 		if record.Incarnation > joiner.Incarnation {
 			v.acceptIncarnation(joiner, record.Incarnation, causeRejoined)
 		}
-	case joiner.Addr != record.Addr && joiner.isInUse():
-		v.scheduleCheck(joiner, nil)
+	case joiner.Addr != record.Addr && joiner.isReachable():
+		v.scheduleVerification(joiner, nil)
 		v.rejectJoin(from, joiner.Addr)
 		return
 	default:
@@ -97,31 +97,31 @@
 	v.acceptJoin(from, joiner)
 }
 
-// isInUse reports whether the member is live and not unreachable.
-func (m *member) isInUse() bool { return m.State == Alive || m.State == Suspect }
+// isReachable reports whether the member is live and not Unreachable.
+func (m *member) isReachable() bool { return m.State == Alive || m.State == Suspect }
 
-// acceptMember adds a member that introduces itself.
+// acceptMember adds a member from its own record and gossips it.
 func (v *View) acceptMember(record *Record, cause string) *member {
 	m := v.addMember(record, cause)
 	v.enqueueRumor(m, true)
 	return m
 }
 
-// replaceProcess replaces the process of a member's name by one that introduces itself.
+// replaceProcess replaces the known process of a name by the one that sent its record.
 func (v *View) replaceProcess(subject *member, record *Record) {
 	v.updateFromRecord(subject, record)
 	v.setState(subject, Alive, max(record.Incarnation, subject.Incarnation+1), causeRestarted)
 	v.enqueueRumor(subject, true)
 }
 
-// acceptJoin sends a joiner what is believed of it, and records of some members.
+// acceptJoin sends a joiner the rumor about its current state, this member's record and records of random members.
 func (v *View) acceptJoin(to netip.AddrPort, joiner *member) {
 	accepted := &Message{
 		Kind: JoinAccepted, Rumors: []Rumor{v.rumorAbout(joiner)}, Records: []Record{v.self.record()},
 	}
 	remainingBytes := maxUpdateBytes - accepted.Records[0].Size() - accepted.Rumors[0].Size()
 	var chosen []*member
-	for range joinRecords {
+	for range maxJoinRecords {
 		m := v.randomMember(func(m *member) bool { return m == joiner || slices.Contains(chosen, m) })
 		if m == nil {
 			break
@@ -137,13 +137,13 @@
 	v.send(to, joiner, accepted, 0)
 }
 
-// rejectJoin notifies a process that its name is taken by another one at an address.
+// rejectJoin notifies a process that its name is taken by another process at the address holder.
 func (v *View) rejectJoin(to, holder netip.AddrPort) {
 	v.send(to, nil, &Message{Kind: JoinRejected, Addr: holder}, 0)
 }
 
-// handleJoinAccepted completes the join and completes the view from a random member, so that not all joiners ask the
-// seed.
+// handleJoinAccepted completes the join and requests a sync. The first sync goes to a random member, so that the seed
+// doesn't get the sync requests of all joiners.
 func (v *View) handleJoinAccepted(from netip.AddrPort, message *Message) {
 	if message.From == v.id {
 		return
@@ -168,8 +168,8 @@
 	v.sendSyncRequest(addr, receiver)
 }
 
-// handleJoinRejected keeps this process out of the fleet: its name is taken. A member that has joined gives way only to
-// another process of its name with a lower boot ID.
+// handleJoinRejected gives up the name of this process, as another process has it. A member that has already joined gives
+// it up only to another process of its name with a lower boot ID.
 func (v *View) handleJoinRejected(message *Message) {
 	hasPrecedence := message.From == v.id && message.BootID < v.cfg.BootID
 	if v.joined && !hasPrecedence {
--- a/membership/leave.go
+++ b/membership/leave.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// leaveFanout is how many members are notified when this member leaves. They gossip it.
+// leaveFanout is the number of members that this member notifies when it leaves. They gossip the leave.
 const leaveFanout = 16
 
 // leave makes this member leave the fleet.
--- a/membership/member.go
+++ b/membership/member.go
@@ -5,36 +5,36 @@
 	"slices"
 )
 
-// member is a Member with what the View keeps about it.
+// member is a Member with the View's internal state for it.
 type member struct {
 	Member
 	id                ID
-	suspicion         *suspicion // while Suspect, else nil
-	listIndex         int        // in View.live, View.dead or View.left, by state
+	suspicion         *suspicion // nil unless the member is Suspect
+	listIndex         int        // in the list of its state, see listOf
 	stateChangedAt    float64    // on the View's clock
-	unconfirmedProbes uint8      // probes in a row that failed without a confirmation by others
-	probeInFlight     bool       // a probe by this member
-	inProbeRound      bool       // in View.probeRound
+	unconfirmedProbes uint8      // consecutive probes that failed without a Nack from another member
+	probeInFlight     bool       // a probe that this member started for itself is unanswered
+	inProbeRound      bool       // is in View.probeRound
 }
 
-// memberTable holds all members that are known.
+// memberTable holds all known members.
 type memberTable struct {
-	members  map[ID]*member    // this member included
-	live     []*member         // Alive, Suspect and Unreachable without this member, in no order
-	dead     []*member         // in no order
-	left     []*member         // in no order
-	suspects []*member         // in the order in which they were accused
-	counts   [Left + 1]int     // by state, without this member
-	zones    map[string]string // interned
-	reapAt   float64
+	members    map[ID]*member    // includes this member
+	live       []*member         // Alive, Suspect and Unreachable members without this one, unordered
+	dead       []*member         // unordered
+	left       []*member         // unordered
+	suspects   []*member         // in the order of their first accusation
+	counts     [Left + 1]int     // members in each state, without this one
+	zones      map[string]string // interned names of zones
+	nextReapAt float64
 }
 
-// rumor is a rumor about the member in a state.
+// rumor returns a rumor that the member is in a state, without accusers.
 func (m *member) rumor(state State) Rumor {
 	return Rumor{Subject: m.id, BootTag: uint32(m.BootID), Incarnation: m.Incarnation, State: state}
 }
 
-// record is the member's record as other members are sent it.
+// record returns the member's record in the form that is sent to other members.
 func (m *member) record() Record {
 	return Record{
 		Name: m.Name, Addr: m.Addr, Zone: m.Zone, Version: m.Version, BootID: m.BootID, Incarnation: m.Incarnation,
@@ -42,7 +42,7 @@
 	}
 }
 
-// listOf is the list of members in a state.
+// listOf returns the list that holds the members in a state.
 func (v *View) listOf(state State) *[]*member {
 	switch state {
 	case Dead:
@@ -72,7 +72,7 @@
 	v.counts[m.State]++
 }
 
-// addMember adds a member that was not known.
+// addMember adds an unknown member as Alive.
 func (v *View) addMember(record *Record, cause string) *member {
 	m := &member{id: IDOf(record.Name), Member: Member{
 		Name: record.Name, Addr: record.Addr, Zone: v.internZone(record.Zone), Version: record.Version, BootID: record.BootID,
@@ -87,7 +87,7 @@
 	return m
 }
 
-// setState gives a member a state and an incarnation, and reports a change of state.
+// setState sets a member's state and incarnation, updates the digests, and reports a change of state.
 func (v *View) setState(m *member, state State, incarnation uint64, cause string) {
 	old := m.State
 	if old.isLive() {
@@ -105,7 +105,7 @@
 	}
 }
 
-// changeState moves a member to another state and reports it. The digests are the caller's task.
+// changeState moves a member to another state and reports it. The caller must update the digests.
 func (v *View) changeState(m *member, state State, cause string) {
 	old := m.State
 	v.removeFromList(m)
@@ -121,12 +121,12 @@
 		m.unconfirmedProbes = 0
 	}
 	if state == Dead || state == Suspect {
-		v.failuresAt = append(v.failuresAt, v.now)
+		v.failureTimes = append(v.failureTimes, v.now)
 	}
 	v.actions = append(v.actions, MemberChanged{Member: m.Member, Old: old, New: state, Cause: cause})
 }
 
-// updateFromRecord copies everything but state and incarnation from a record.
+// updateFromRecord copies all fields of a record except state and incarnation to a member.
 func (v *View) updateFromRecord(m *member, record *Record) {
 	if m.State.isLive() {
 		v.toggleDigest(m)
@@ -138,15 +138,15 @@
 	}
 }
 
-// reapIntervalMs is the time between two checks for members to forget.
+// reapIntervalMs is the interval at which members whose retention time has passed are removed.
 const reapIntervalMs = 1000.0
 
-// reapMembers forgets members that left or died long ago.
+// reapMembers removes members that died or left more than their retention time ago.
 func (v *View) reapMembers() {
-	if v.now < v.reapAt {
+	if v.now < v.nextReapAt {
 		return
 	}
-	v.reapAt = v.now + reapIntervalMs
+	v.nextReapAt = v.now + reapIntervalMs
 	v.reapList(&v.dead, v.cfg.DeadRetentionMs)
 	v.reapList(&v.left, v.cfg.LeftRetentionMs)
 }
@@ -158,17 +158,18 @@
 			i++
 			continue
 		}
-		v.removeFromList(m) // which puts another member at i
+		v.removeFromList(m) // moves the last member of the list to i
 		delete(v.members, m.id)
 		v.actions = append(v.actions, MemberChanged{Member: m.Member, Old: m.State, Cause: causeForgotten})
 	}
 }
 
-// randomMemberDraws is how often randomMember draws before it gives up. It bounds the work if most members are excluded
-// or unreachable.
+// randomMemberDraws is the maximum number of draws in randomMember. It bounds the work if most members are excluded or
+// unreachable.
 const randomMemberDraws = 8
 
-// randomMember is a random live member that is not unreachable and not excluded, or nil if the draws find none.
+// randomMember returns a random live member that is neither Unreachable nor excluded, or nil if randomMemberDraws draws
+// find none.
 func (v *View) randomMember(excluded func(*member) bool) *member {
 	for range randomMemberDraws {
 		if len(v.live) == 0 {
@@ -182,10 +183,10 @@
 	return nil
 }
 
-// maxInternedZones bounds the memory that zones of other members can take.
+// maxInternedZones bounds the memory that zone names received from other members can occupy.
 const maxInternedZones = 256
 
-// internZone keeps one copy of each zone's name.
+// internZone returns a shared copy of a zone's name, so that members of one zone don't each hold their own.
 func (v *View) internZone(zone string) string {
 	if interned, ok := v.zones[zone]; ok {
 		return interned
--- a/membership/message.go
+++ b/membership/message.go
@@ -5,35 +5,35 @@
 	"net/netip"
 )
 
-// Version is the newest version of messages that this package speaks. Version 1 has one accuser in a rumor and no
-// payload in a record.
+// Version is the newest message version that this package supports. In version 1 a rumor has at most one accuser and a
+// record has no payload.
 const Version = 2
 
-// quorumVersion is the first version with several accusers in a rumor and a payload in a record.
+// quorumVersion is the first message version with several accusers in a rumor and a payload in a record.
 const quorumVersion = 2
 
-// Kind is the kind of a message.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of messages.
+// The message kinds.
 const (
 	Ping         Kind = iota + 1 // asks Target for an Ack
 	Ack                          // answers a Ping, or a PingRequest for Target
 	PingRequest                  // asks the receiver to ping Target at Addr
-	Nack                         // answers a PingRequest: Target did not answer
-	Gossip                       // carries rumors only
-	Join                         // Records[0] is the sender, which asks to join the fleet
-	JoinAccepted                 // answers a Join: the joiner is a member now
-	JoinRejected                 // answers a Join: another process with that name lives at Addr
-	SyncRequest                  // Buckets holds the digests of the sender's view
-	SyncResponse                 // answers a SyncRequest: records of the buckets that differ
+	Nack                         // answers a PingRequest if Target did not answer the sender
+	Gossip                       // carries only rumors and records
+	Join                         // asks to join the fleet; Records[0] is the sender's record
+	JoinAccepted                 // answers a Join if the joiner has been accepted
+	JoinRejected                 // answers a Join if another process of that name lives at Addr
+	SyncRequest                  // asks for records; Buckets holds the digests of the sender's view
+	SyncResponse                 // answers a SyncRequest with the records of the buckets that differ
 	kindCount
 )
 
-// Known reports whether a kind is one of this version's.
+// Known reports whether the kind is one that this package supports.
 func (k Kind) Known() bool { return k > 0 && k < kindCount }
 
-// String is the kind's name in logs and reports. These names don't change with the identifiers:
+// String returns the kind's name in logs and reports. These names must not change, unlike the identifiers:
 //
 //	Ping "ping", Ack "ack", PingRequest "ask", Nack "nack", Gossip "gossip", Join "join", JoinAccepted "welcome",
 //	JoinRejected "refused", SyncRequest "compare", SyncResponse "page"
@@ -44,24 +44,24 @@
 	return [...]string{"", "ping", "ack", "ask", "nack", "gossip", "join", "welcome", "refused", "compare", "page"}[k]
 }
 
-// Message is a message between two members. Every kind may carry rumors and records.
+// Message is a message from one member to another. Every kind may carry rumors and records.
 type Message struct {
 	Kind        Kind
 	Version     uint8
 	From        ID
-	BootID      uint64 // of the sender
-	Incarnation uint64 // of the sender
-	Seq         uint32 // of the Ping or PingRequest, and of its answer
-	Attempt     uint8  // of the Ping, from 0; its answer repeats it
-	Target      ID     // of the kinds that name it; in an Ack 0: the answer to a Ping comes from its target itself
+	BootID      uint64 // the sender's
+	Incarnation uint64 // the sender's
+	Seq         uint32 // sequence number of a Ping or PingRequest, repeated in its answer
+	Attempt     uint8  // number of the Ping's attempt, from 0, repeated in its answer
+	Target      ID     // of a Ping, PingRequest, Nack or Ack; 0 in an Ack of the target itself to a Ping
 	Addr        netip.AddrPort
-	Digest      uint64 // of all members that the sender believes to be live
+	Digest      uint64 // of all members that are live in the sender's view
 	Buckets     []uint64
 	Rumors      []Rumor
 	Records     []Record
 }
 
-// introduction is the sender's own record if the message begins with it, else nil.
+// introduction returns the sender's own record if it is the first record of the message, else nil.
 func (m *Message) introduction() *Record {
 	if len(m.Records) == 0 || IDOf(m.Records[0].Name) != m.From || m.Records[0].BootID != m.BootID {
 		return nil
@@ -72,13 +72,13 @@
 // Rumor is an update about a member that the receiver knows.
 type Rumor struct {
 	Subject     ID
-	BootTag     uint32 // low half of the subject's BootID: a rumor about another process of that name is ignored
+	BootTag     uint32 // low 32 bits of the subject's BootID; a rumor about another process of that name is ignored
 	Incarnation uint64
 	State       State
-	Accusers    []ID // of a Suspect: who got no answer from it
+	Accusers    []ID // of a Suspect: the members that got no answer from it
 }
 
-// Record is everything that members send about a member.
+// Record is the complete description of a member that members send to each other.
 type Record struct {
 	Name           string
 	Addr           netip.AddrPort
@@ -91,27 +91,27 @@
 	PayloadVersion uint64
 }
 
-// rumor is the record's state as a rumor.
+// rumor returns the record's state as a rumor.
 func (r *Record) rumor() Rumor {
 	return Rumor{Subject: IDOf(r.Name), BootTag: uint32(r.BootID), Incarnation: r.Incarnation, State: r.State}
 }
 
-// Sizes in bytes that every Send keeps to. They are upper bounds of the encoding in internal/transport, whose tests
-// compare them with it.
+// Sizes in bytes that every Send observes. They are upper bounds of the encoded sizes. The tests of internal/transport
+// compare them with the encoding.
 const (
-	MaxDatagramBytes = 1200 // of a datagram with everything around the message
-	DatagramOverhead = 170  // everything but rumors, records and bucket digests
+	MaxDatagramBytes = 1200 // whole datagram, including the message's envelope
+	DatagramOverhead = 170  // whole datagram without rumors, records and bucket digests
 
 	rumorBytes   = 34
 	accuserBytes = 9
-	recordBytes  = 92 // without name, zone and payload
+	recordBytes  = 92 // of a record without name, zone and payload
 
-	maxUpdateBytes  = MaxDatagramBytes - DatagramOverhead // for rumors and records of one message
-	pingUpdateBytes = 330                                 // for those that a Ping or an Ack carries
+	maxUpdateBytes  = MaxDatagramBytes - DatagramOverhead // for all rumors and records of a message
+	pingUpdateBytes = 330                                 // for all rumors and records of a Ping or an Ack
 )
 
-// Size is an upper bound of a record's encoded size, bytes.
+// Size returns an upper bound of the record's encoded size in bytes.
 func (r *Record) Size() int { return recordBytes + len(r.Name) + len(r.Zone) + len(r.Payload) }
 
-// Size is an upper bound of a rumor's encoded size, bytes.
+// Size returns an upper bound of the rumor's encoded size in bytes.
 func (r *Rumor) Size() int { return rumorBytes + accuserBytes*len(r.Accusers) }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -5,52 +5,53 @@
 	"slices"
 )
 
-// probeKind is why a member is probed.
+// probeKind is the reason for which a member is probed.
 type probeKind uint8
 
 const (
-	regularProbe   probeKind = iota
-	indirectProbe            // for another member that sent a PingRequest
-	checkProbe               // a hint or an accusation is verified
-	reconnectProbe           // a dead member may be back
+	regularProbe      probeKind = iota
+	indirectProbe               // for another member that sent a PingRequest
+	verificationProbe           // verifies a hint or an accusation that the target is dead
+	reconnectProbe              // tests whether a dead member answers again
 )
 
-// probe is a Ping that has not been answered yet. It is sent in several attempts.
+// probe is an unanswered probe of a member. Each of its attempts sends a Ping.
 type probe struct {
 	kind              probeKind
 	target            *member
-	rumor             *Rumor // about the target, for it to refute; nil: none
+	rumor             *Rumor // about the target, which can refute it; may be nil
 	seq               uint32
 	startedAt         float64
 	attemptIntervalMs float64
 	maxAttempts       int
-	attempts          int
-	indirectRequests  int  // PingRequests sent
+	attempts          int  // made so far
+	indirectRequests  int  // PingRequests sent for the probe
 	confirmedBy       []ID // members that sent a Nack
 	requester         requester
 }
 
-// requester is who is waiting for the result of an indirect probe.
+// requester identifies the member that requested an indirect probe.
 type requester struct {
 	addr   netip.AddrPort
-	member *member // nil: not known
+	member *member // nil if unknown
 	seq    uint32  // of the PingRequest
 }
 
-// probeState holds the probes of this member and when the next ones are due.
+// probeState holds the probes of this member and the times at which the next ones are due.
 type probeState struct {
-	seq               uint32 // of the last probe
+	seq               uint32 // sequence number of the last probe
 	probes            []*probe
-	finished          [finishedProbeCount]finishedProbe // by seq
-	checks            []check                           // still to be started
-	probeRound        []*member                         // still to be visited by regular probes, the last one first
+	finished          [finishedProbeCount]finishedProbe // by sequence number modulo finishedProbeCount
+	verifications     []verification                    // not started yet
+	probeRound        []*member                         // remaining targets of the round of regular probes, last first
 	nextProbeAt       float64
 	nextReconnectAt   float64
-	pendingReconnects int // additional ones after a success
-	nextRecheckAt     float64
+	pendingReconnects int // additional reconnect probes to start after a successful one
+	nextVerifyAllAt   float64
 }
 
-// deadline is when the probe fails. Indirect probes begin with the last attempt and take as long as the attempts.
+// deadline returns the time at which the probe fails. Indirect probes are requested with the last attempt and get as much
+// time as all attempts.
 func (p *probe) deadline() float64 {
 	attempts := float64(p.maxAttempts)
 	if p.indirectRequests > 0 {
@@ -59,10 +60,10 @@
 	return p.startedAt + attempts*p.attemptIntervalMs
 }
 
-// nextAttemptAt is when the next attempt is due.
+// nextAttemptAt returns the time at which the next attempt is due.
 func (p *probe) nextAttemptAt() float64 { return p.startedAt + float64(p.attempts)*p.attemptIntervalMs }
 
-// dueAt is when the probe needs something done.
+// dueAt returns the time of the probe's next attempt or of its deadline, whichever is earlier.
 func (p *probe) dueAt() float64 {
 	if p.attempts < p.maxAttempts {
 		return min(p.deadline(), p.nextAttemptAt())
@@ -70,7 +71,7 @@
 	return p.deadline()
 }
 
-// startProbe makes the first attempt of a probe.
+// startProbe starts a probe with its first attempt.
 func (v *View) startProbe(p *probe) {
 	v.seq++
 	p.seq, p.startedAt = v.seq, v.now
@@ -83,7 +84,8 @@
 	v.sendPing(p)
 }
 
-// sendPing makes an attempt. The target gets what is rumored of it, so that it can refute that.
+// sendPing makes an attempt of a probe. If the target is Suspect, Dead or Left in this view, or if the probe verifies a
+// rumor, the Ping carries the rumor about the target so that the target can refute it.
 func (v *View) sendPing(p *probe) {
 	ping := &Message{Kind: Ping, Seq: p.seq, Attempt: uint8(p.attempts), Target: p.target.id}
 	p.attempts++
@@ -96,14 +98,14 @@
 	v.send(p.target.Addr, p.target, ping, pingUpdateBytes)
 }
 
-// runProbes makes the attempts that are due, asks for indirect probes with the last one, and ends probes at their
+// runProbes makes the attempts that are due, requests indirect probes with the last attempt, and fails probes at their
 // deadline.
 func (v *View) runProbes() {
 	var expired []*probe
 	for _, p := range v.probes {
 		for p.attempts < p.maxAttempts && v.now >= p.nextAttemptAt() {
 			v.sendPing(p)
-			if p.attempts == p.maxAttempts && (p.kind == regularProbe || p.kind == checkProbe) {
+			if p.attempts == p.maxAttempts && (p.kind == regularProbe || p.kind == verificationProbe) {
 				v.requestIndirectProbes(p)
 			}
 		}
@@ -117,10 +119,10 @@
 	}
 }
 
-// finishedProbeCount is how many finished probes are kept to recognize late answers.
+// finishedProbeCount is the number of finished probes that are kept to recognize late answers.
 const finishedProbeCount = 16
 
-// finishedProbe is a probe that has ended.
+// finishedProbe holds what is needed of a finished probe to handle a late answer.
 type finishedProbe struct {
 	seq               uint32
 	target            *member
@@ -128,14 +130,14 @@
 	attemptIntervalMs float64
 }
 
-// finishProbe removes a probe that has ended.
+// finishProbe removes a probe that was answered or failed, and keeps it among the finished ones.
 func (v *View) finishProbe(p *probe) {
 	p.target.probeInFlight = false
 	v.probes = slices.DeleteFunc(v.probes, func(other *probe) bool { return other == p })
 	v.finished[p.seq%finishedProbeCount] = finishedProbe{p.seq, p.target, p.startedAt, p.attemptIntervalMs}
 }
 
-// dropProbes forgets all probes without a result.
+// dropProbes removes all unanswered probes without counting them as failed.
 func (v *View) dropProbes() {
 	for _, p := range v.probes {
 		p.target.probeInFlight = false
@@ -143,7 +145,7 @@
 	v.probes = v.probes[:0]
 }
 
-// findProbe is the unanswered probe with a sequence number, or nil.
+// findProbe returns the unanswered probe with a sequence number, or nil.
 func (v *View) findProbe(seq uint32) *probe {
 	for _, p := range v.probes {
 		if p.seq == seq {
@@ -153,10 +155,10 @@
 	return nil
 }
 
-// handlePing answers a Ping. sender is nil for one that is not known.
+// handlePing answers a Ping. sender is nil if the sender is unknown.
 func (v *View) handlePing(from netip.AddrPort, sender *member, message *Message) {
 	if message.Target != v.id {
-		return // for the process that had this address before
+		return // meant for a process that had this address before
 	}
 	ack := &Message{Kind: Ack, Seq: message.Seq, Attempt: message.Attempt}
 	if sender != nil && (sender.State == Suspect || !sender.State.isLive()) {
@@ -165,8 +167,8 @@
 	v.send(from, sender, ack, pingUpdateBytes)
 }
 
-// handleAck handles an answer of the target itself, whose Target is 0, or of a member that probed the target for this
-// one.
+// handleAck handles an Ack to a probe. message.Target is 0 if the target itself answers a Ping, and is the target's ID if
+// the Ack answers a PingRequest.
 func (v *View) handleAck(sender *member, message *Message) {
 	p := v.findProbe(message.Seq)
 	switch {
@@ -181,7 +183,7 @@
 	}
 }
 
-// handleLateAck handles an answer of the target itself after the probe has ended.
+// handleLateAck handles an answer of the target itself to a finished probe.
 func (v *View) handleLateAck(sender *member, message *Message) {
 	p := &v.finished[message.Seq%finishedProbeCount]
 	if p.seq != message.Seq || p.target != sender || message.Target != 0 {
@@ -195,7 +197,7 @@
 	}
 }
 
-// probeSucceeded ends a probe with an answer.
+// probeSucceeded finishes a probe that was answered.
 func (v *View) probeSucceeded(p *probe) {
 	v.finishProbe(p)
 	target := p.target
@@ -210,11 +212,12 @@
 	}
 	if target.State == Unreachable {
 		v.setState(target, Alive, target.Incarnation, causeAnswered)
-		v.recheckUnreachable()
+		v.verifyAllUnreachable()
 	}
 }
 
-// probeFailed ends a probe without an answer: the target is accused if others confirm that it doesn't answer.
+// probeFailed handles a probe that was not answered by its deadline. It accuses the target if other members have
+// confirmed with a Nack that the target doesn't answer.
 func (v *View) probeFailed(p *probe) {
 	switch p.kind {
 	case indirectProbe:
@@ -234,21 +237,22 @@
 	v.suspect(p.target, append(p.confirmedBy, v.id), CauseNoAnswer)
 }
 
-// maxUnconfirmedProbes is how many probes in a row without a confirmation make a member unreachable.
+// maxUnconfirmedProbes is the number of consecutive unconfirmed failures that make a member Unreachable.
 const maxUnconfirmedProbes = 2
 
-// probeUnconfirmed handles a probe that failed without any confirmation by others: this member may well be at fault.
-// Without a third member that answers, a crashed target can't be confirmed and becomes Unreachable at most. It stays
-// Alive if this member has received nothing for silenceMs before the second failure, see mayAccuse.
+// probeUnconfirmed handles a probe that failed without confirmation by another member, in which case this member may be
+// at fault itself. Without a third member that answers, the failure of a crashed target can't be confirmed, so the target
+// becomes Unreachable at most. It stays Alive if this member has received no message for contactTimeoutMs before the
+// second failure, see mayAccuse.
 func (v *View) probeUnconfirmed(p *probe) {
 	target := p.target
-	if p.indirectRequests > 0 && !v.isFailureBurst() { // in a burst the members that were asked are dead as well
+	if p.indirectRequests > 0 && !v.isFailureBurst() { // in a burst the helpers may be dead as well
 		v.health.degrade()
 	}
 	if p.startedAt < v.acksResumedAt {
 		return
 	}
-	if v.isFailureBurst() && !target.inProbeRound { // probed again before others, through other members
+	if v.isFailureBurst() && !target.inProbeRound { // is probed next, with newly chosen helpers
 		target.inProbeRound = true
 		v.probeRound = append(v.probeRound, target)
 	}
--- a/membership/probe_schedule.go
+++ b/membership/probe_schedule.go
@@ -2,7 +2,7 @@
 
 const (
 	maxConcurrentRegularProbes = 16
-	maxConcurrentChecks        = 8
+	maxConcurrentVerifications = 8
 )
 
 // startProbes starts the probes that are due.
@@ -14,7 +14,7 @@
 	if v.now >= v.nextProbeAt {
 		v.startRegularProbe()
 	}
-	v.startChecks()
+	v.startVerifications()
 	if v.now >= v.nextReconnectAt {
 		v.startReconnects()
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-// countProbes is the number of unanswered probes of a kind.
+// countProbes returns the number of unanswered probes of a kind.
 func (v *View) countProbes(kind probeKind) int {
 	count := 0
 	for _, p := range v.probes {
@@ -45,8 +45,8 @@
 	return count
 }
 
-// nextProbeTarget is the target of the next regular probe, or nil if there is none. Each live member is visited once
-// before any is visited twice, in a random order.
+// nextProbeTarget returns the target of the next regular probe, or nil if there is none. As in SWIM, targets are
+// chosen in rounds: each round visits every live member once, in random order.
 func (v *View) nextProbeTarget() *member {
 	for range 2 {
 		for len(v.probeRound) > 0 {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// addToProbeRound inserts a member at a random place of the present round.
+// addToProbeRound inserts a member at a random position of the current round.
 func (v *View) addToProbeRound(m *member) {
 	if m.inProbeRound {
 		return
@@ -76,48 +76,48 @@
 	v.probeRound[i], v.probeRound[last] = v.probeRound[last], v.probeRound[i]
 }
 
-// check is a member that is to be probed because of a hint that it may be dead.
-type check struct {
+// verification is a request to probe a member because of a hint that it may be dead.
+type verification struct {
 	target *member
-	rumor  *Rumor // for the target to refute; nil: none
+	rumor  *Rumor // about the target, which can refute it; may be nil
 }
 
-// scheduleCheck has a member probed soon.
-func (v *View) scheduleCheck(target *member, rumor *Rumor) {
-	for _, c := range v.checks {
-		if c.target == target {
+// scheduleVerification queues a verification probe of a member, unless one is queued already.
+func (v *View) scheduleVerification(target *member, rumor *Rumor) {
+	for _, queued := range v.verifications {
+		if queued.target == target {
 			return
 		}
 	}
-	v.checks = append(v.checks, check{target, rumor})
+	v.verifications = append(v.verifications, verification{target, rumor})
 }
 
-func (v *View) startChecks() {
-	for len(v.checks) > 0 && v.countProbes(checkProbe) < maxConcurrentChecks {
-		next := v.checks[0]
-		v.checks = v.checks[1:]
+func (v *View) startVerifications() {
+	for len(v.verifications) > 0 && v.countProbes(verificationProbe) < maxConcurrentVerifications {
+		next := v.verifications[0]
+		v.verifications = v.verifications[1:]
 		if !next.target.probeInFlight && next.target.State.isLive() {
-			v.startProbe(&probe{kind: checkProbe, target: next.target, rumor: next.rumor})
+			v.startProbe(&probe{kind: verificationProbe, target: next.target, rumor: next.rumor})
 		}
 	}
 }
 
 const (
-	reconnectIntervalMs     = 1000.0 // while members are unreachable or died recently
-	slowReconnectIntervalMs = 5000.0
-	fastReconnectIntervalMs = 50.0 // after a success: a healed cut is crossed in growing numbers
-	reconnectsPerSuccess    = 4
+	reconnectIntervalMs     = 1000.0 // while members are Unreachable or died recently
+	slowReconnectIntervalMs = 5000.0 // otherwise
+	fastReconnectIntervalMs = 50.0   // after a success, so that members reconnect ever faster after a partition heals
+	reconnectsPerSuccess    = 4      // reconnect probes that each success adds
 	maxPendingReconnects    = 32
-	reconnectBatch          = 4
+	reconnectBatch          = 4 // dead members to probe, and Unreachable ones to verify, at one time
 )
 
-// reconnectSucceeded adds further attempts after a dead member has answered.
+// reconnectSucceeded schedules further reconnect probes after a dead member has answered one.
 func (v *View) reconnectSucceeded() {
 	v.pendingReconnects = min(maxPendingReconnects, v.pendingReconnects+reconnectsPerSuccess)
 	v.nextReconnectAt = min(v.nextReconnectAt, v.now+fastReconnectIntervalMs)
 }
 
-// startReconnects probes some dead members and checks some unreachable ones.
+// startReconnects probes some dead members and schedules verification probes of some Unreachable ones.
 func (v *View) startReconnects() {
 	count := 1
 	if v.pendingReconnects > 0 {
@@ -129,12 +129,13 @@
 			v.startProbe(&probe{kind: reconnectProbe, target: target})
 		}
 	}
-	v.checkUnreachable()
+	v.verifySomeUnreachable()
 	v.scheduleReconnect()
 }
 
-// checkUnreachable has some unreachable members checked, from a random place of the list on.
-func (v *View) checkUnreachable() {
+// verifySomeUnreachable schedules verification probes of up to reconnectBatch Unreachable members, starting at a random
+// position of the list of live members.
+func (v *View) verifySomeUnreachable() {
 	if v.counts[Unreachable] == 0 {
 		return
 	}
@@ -142,7 +143,7 @@
 	first := v.rng.IntN(len(v.live))
 	for i := 0; i < len(v.live) && scheduled < reconnectBatch; i++ {
 		if m := v.live[(first+i)%len(v.live)]; m.State == Unreachable {
-			v.scheduleCheck(m, nil)
+			v.scheduleVerification(m, nil)
 			scheduled++
 		}
 	}
@@ -159,24 +160,26 @@
 	}
 }
 
-// hasRecentDeath reports whether the last member in the list of the dead died recently. That is the latest death until
-// a member is removed from the list, which may put an earlier death last: then this reports false too early.
+// hasRecentDeath reports whether the last member in the list of dead members died within recentDeathMs. New deaths are
+// appended to the list, but removing a member may move an earlier death to the end. In that case hasRecentDeath may
+// report false although another member died recently.
 func (v *View) hasRecentDeath() bool {
-	return len(v.dead) > 0 && v.now-v.dead[len(v.dead)-1].stateChangedAt < recentLossMs
+	return len(v.dead) > 0 && v.now-v.dead[len(v.dead)-1].stateChangedAt < recentDeathMs
 }
 
-// recheckIntervalMs is the least time between two checks of all unreachable members.
-const recheckIntervalMs = 500.0
+// verifyAllIntervalMs is the minimum time between two verifications of all Unreachable members.
+const verifyAllIntervalMs = 500.0
 
-// recheckUnreachable has all unreachable members checked: what kept this member from them may be over.
-func (v *View) recheckUnreachable() {
-	if v.counts[Unreachable] == 0 || v.now < v.nextRecheckAt {
+// verifyAllUnreachable schedules verification probes of all Unreachable members, as the fault that separated this member
+// from them may have ended.
+func (v *View) verifyAllUnreachable() {
+	if v.counts[Unreachable] == 0 || v.now < v.nextVerifyAllAt {
 		return
 	}
-	v.nextRecheckAt = v.now + recheckIntervalMs
+	v.nextVerifyAllAt = v.now + verifyAllIntervalMs
 	for _, m := range v.live {
 		if m.State == Unreachable {
-			v.scheduleCheck(m, nil)
+			v.scheduleVerification(m, nil)
 		}
 	}
 }
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -2,14 +2,14 @@
 
 import "net/netip"
 
-// receive handles a message.
+// receive handles a message that arrived from an address.
 func (v *View) receive(from netip.AddrPort, message *Message) {
 	if message.From == v.id && message.BootID == v.cfg.BootID {
-		return // its own, sent back
+		return // this member's own message, sent back
 	}
 	v.lastReceivedAt = v.now
 	if v.status == StatusIsolated {
-		v.recheckUnreachable()
+		v.verifyAllUnreachable()
 	}
 	switch message.Kind {
 	case Join:
@@ -26,7 +26,7 @@
 		if message.Kind != Ping || message.Target != v.id || v.status == StatusNameTaken {
 			return
 		}
-		v.completeJoin() // the sender knows this member at this address: the JoinAccepted was lost
+		v.completeJoin() // the sender knows this member at this address, so the JoinAccepted was lost
 	}
 	if message.From == v.id {
 		v.handleNameConflict(from, message)
@@ -40,8 +40,8 @@
 	v.receiveFromMember(from, sender, message)
 }
 
-// receiveFromMember handles a message of a known process. Accusations and deaths count only from senders that are live
-// here: the others may be the ones that are cut off.
+// receiveFromMember handles a message from a known process. Accusations and declarations of death apply only if the
+// sender is live in this view. Otherwise the sender may be the one that is cut off.
 func (v *View) receiveFromMember(from netip.AddrPort, sender *member, message *Message) {
 	if message.Incarnation > sender.Incarnation {
 		v.acceptIncarnation(sender, message.Incarnation, causeRefuted)
--- a/membership/refutation.go
+++ b/membership/refutation.go
@@ -1,6 +1,7 @@
 package membership
 
-// handleRumorAboutSelf refutes whatever others believe of this member but that it is alive in its present incarnation.
+// handleRumorAboutSelf refutes a rumor about this member with a newer incarnation, unless the rumor is outdated or says
+// that this member is alive in its current incarnation.
 func (v *View) handleRumorAboutSelf(rumor *Rumor) {
 	switch {
 	case rumor.State == Alive && rumor.Incarnation <= v.self.Incarnation:
@@ -10,12 +11,12 @@
 			v.health.degrade()
 		}
 		v.advanceIncarnation(rumor.Incarnation)
-	case rumor.State == Dead && v.now-v.lastRefutedAt > refutationTimeMs:
-		v.disputedAt = append(v.disputedAt, v.now)
+	case rumor.State == Dead && v.now-v.lastRefutedAt > refutationGraceMs:
+		v.disputeTimes = append(v.disputeTimes, v.now)
 	}
 }
 
-// handleRumorsAboutSelf handles only those rumors of a message that are about this member.
+// handleRumorsAboutSelf handles the rumors of a message that are about this member, and ignores the others.
 func (v *View) handleRumorsAboutSelf(rumors []Rumor) {
 	for i := range rumors {
 		if rumors[i].Subject == v.id {
@@ -24,7 +25,7 @@
 	}
 }
 
-// advanceIncarnation raises this member's incarnation above its present one and above another one.
+// advanceIncarnation raises this member's incarnation above its current one and above another one, and gossips it.
 func (v *View) advanceIncarnation(above uint64) {
 	v.toggleDigest(v.self)
 	v.self.Incarnation = max(above, v.self.Incarnation) + 1
--- a/membership/round_trip.go
+++ b/membership/round_trip.go
@@ -3,24 +3,24 @@
 import "math"
 
 const (
-	roundTripGain        = 8 // inverse weight of a new sample in the mean and the deviation
-	deviationsInWait     = 4 // as in TCP's retransmission time-out
-	lossGain             = 0.05
-	negligibleLossRate   = 0.01
-	missedShare          = 0.002 // of probes of a live member that may fail because all attempts were lost
+	roundTripGain        = 8     // a new sample has the weight 1/roundTripGain in the mean and the deviation
+	timeoutDeviations    = 4     // deviations above the mean in a timeout, as in TCP's retransmission timeout
+	lossGain             = 0.05  // weight of a new sample in the loss rate
+	negligibleLossRate   = 0.01  // up to which a probe makes at most minProbeAttempts attempts
+	maxFalseFailureRate  = 0.002 // of probes of a live member, because all attempts are lost
 	minProbeAttempts     = 2
 	maxProbeAttempts     = 6
-	maxAttemptIntervalMs = 800.0 // between two attempts, of a healthy member
+	maxAttemptIntervalMs = 800.0 // of a healthy member
 )
 
-// roundTripEstimator measures how long answers take and how many messages are lost.
+// roundTripEstimator estimates the round-trip time and the loss rate of probes.
 type roundTripEstimator struct {
 	meanMs      float64
 	deviationMs float64
 	lossRate    float64 // share of answered probes that needed more than one attempt
 }
 
-// observe adds the round trip of an answered attempt.
+// observe adds the round-trip time of an answered attempt.
 func (e *roundTripEstimator) observe(roundTripMs float64) {
 	if e.meanMs == 0 {
 		e.meanMs, e.deviationMs = roundTripMs, roundTripMs/2
@@ -30,7 +30,7 @@
 	e.meanMs += (roundTripMs - e.meanMs) / roundTripGain
 }
 
-// observeLoss adds whether an answered probe needed more than one attempt.
+// observeLoss adds an answered probe to the loss rate. retried is set if it needed more than one attempt.
 func (e *roundTripEstimator) observeLoss(retried bool) {
 	lost := 0.0
 	if retried {
@@ -39,27 +39,28 @@
 	e.lossRate += lossGain * (lost - e.lossRate)
 }
 
-// timeoutMs is the longest usual round trip, within bounds.
+// timeoutMs returns the longest expected round-trip time, bounded by minMs and maxAttemptIntervalMs.
 func (e *roundTripEstimator) timeoutMs(minMs float64) float64 {
-	return min(max(minMs, e.meanMs+deviationsInWait*e.deviationMs), maxAttemptIntervalMs)
+	return min(max(minMs, e.meanMs+timeoutDeviations*e.deviationMs), maxAttemptIntervalMs)
 }
 
-// attemptsNeeded is how many attempts reach a live member almost certainly at the present loss rate.
+// attemptsNeeded returns the number of attempts with which a probe of a live member fails at a rate of at most
+// maxFalseFailureRate at the current loss rate, from minProbeAttempts to maxProbeAttempts.
 func (e *roundTripEstimator) attemptsNeeded() int {
 	if e.lossRate <= negligibleLossRate {
 		return minProbeAttempts
 	}
-	attempts := int(math.Ceil(math.Log(missedShare) / math.Log(e.lossRate)))
+	attempts := int(math.Ceil(math.Log(maxFalseFailureRate) / math.Log(e.lossRate)))
 	return min(max(minProbeAttempts, attempts), maxProbeAttempts)
 }
 
-// attemptIntervalMs is the time between two attempts of a probe.
+// attemptIntervalMs returns the time between two attempts of a new probe.
 func (v *View) attemptIntervalMs() float64 {
 	return v.roundTrip.timeoutMs(v.cfg.MinAttemptIntervalMs) * v.health.factor()
 }
 
-// recordRoundTrip records the round trip of an answer to an attempt of a probe that started at some time. countLoss
-// says that the probe counts towards the loss rate.
+// recordRoundTrip records the round-trip time of an answer to an attempt of a probe. startedAt and attemptIntervalMs are
+// the probe's. If countLoss is set, the probe counts towards the loss rate.
 func (v *View) recordRoundTrip(startedAt, attemptIntervalMs float64, attempt uint8, countLoss bool) {
 	roundTripMs := v.now - startedAt - float64(attempt)*attemptIntervalMs
 	if roundTripMs < 0 {
--- a/membership/rumor.go
+++ b/membership/rumor.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// handleRumor handles a rumor. senderIsLive says whether the sender may accuse members and declare them dead.
+// handleRumor applies a rumor. Accusations and declarations of death apply only if senderIsLive is set.
 func (v *View) handleRumor(rumor *Rumor, senderIsLive bool) {
 	if rumor.Subject == v.id {
 		v.handleRumorAboutSelf(rumor)
@@ -37,26 +37,27 @@
 }
 
 // isOutdated reports whether a rumor is about another process of the member's name, about an earlier incarnation, or
-// about one that is dead or has left already.
+// about the current incarnation of a member that is already dead or has left.
 func (m *member) isOutdated(rumor *Rumor) bool {
 	return rumor.BootTag != uint32(m.BootID) || rumor.Incarnation < m.Incarnation ||
 		rumor.Incarnation == m.Incarnation && !m.State.isLive()
 }
 
-// acceptIncarnation records a newer incarnation of a member, which refutes a suspicion and is how a member that is dead
-// or has left usually becomes alive again. An unreachable member stays so until it answers this member, and is checked.
+// acceptIncarnation records a newer incarnation of a member. It refutes a suspicion, and it is the usual way in which a
+// member that is dead or has left becomes alive again. An Unreachable member stays Unreachable until it answers this
+// member, which schedules a verification probe.
 func (v *View) acceptIncarnation(subject *member, incarnation uint64, cause string) {
 	state := Alive
 	if subject.State == Unreachable {
 		state = Unreachable
-		v.scheduleCheck(subject, nil)
+		v.scheduleVerification(subject, nil)
 	}
 	v.setState(subject, state, incarnation, cause)
 	v.enqueueRumor(subject, false)
 }
 
-// handleRecord handles a record. A death in a record may be an old one, so it is verified unless the member is suspect
-// here as well. gossip says whether what is new is gossiped.
+// handleRecord applies a record. A death in a record may be outdated, so the member is probed to verify it, unless the
+// member is Suspect here as well. If gossip is set, newer incarnations and payloads are gossiped.
 func (v *View) handleRecord(record *Record, gossip bool) {
 	id := IDOf(record.Name)
 	if id == v.id {
@@ -86,13 +87,13 @@
 		v.setState(subject, Dead, record.Incarnation, causeDeclaredDead)
 	case record.State == Dead && subject.State.isLive() && record.Incarnation >= subject.Incarnation:
 		rumor := record.rumor()
-		v.scheduleCheck(subject, &rumor)
+		v.scheduleVerification(subject, &rumor)
 	case record.State == Left && subject.State != Left && record.Incarnation >= subject.Incarnation:
 		v.setState(subject, Left, record.Incarnation, causeLeft)
 	}
 }
 
-// handleNewRecord handles a record of a member that is not known.
+// handleNewRecord adds an unknown member from its record.
 func (v *View) handleNewRecord(record *Record, gossip bool) {
 	if record.State != Alive || record.Name == "" || !record.Addr.IsValid() {
 		return
--- a/membership/send.go
+++ b/membership/send.go
@@ -2,9 +2,9 @@
 
 import "net/netip"
 
-// send sends a message with the sender's fields filled in, and with queued rumors up to updateBytes for all its rumors
-// and records; 0: none are added. receiver is nil for one that is not known. A receiver of an older version gets a
-// message of that version.
+// send fills in the sender's fields of a message, piggybacks queued rumors on it, and sends it. updateBytes is the limit
+// for all rumors and records of the message; with 0, no rumors are added. receiver is nil if the receiver is unknown. A
+// receiver that supports only an older message version gets a message of that version.
 func (v *View) send(to netip.AddrPort, receiver *member, message *Message, updateBytes int) {
 	message.Version = v.cfg.Version
 	if receiver != nil {
@@ -20,7 +20,8 @@
 	v.actions = append(v.actions, Send{to, *message})
 }
 
-// downgrade removes payloads and all accusers but one, at random so that a receiver learns of all of them in time.
+// downgrade converts a message to version 1. It removes payloads and all accusers of a rumor but a random one. As the
+// choice is random, the receiver learns of all accusers from repeated messages.
 func (v *View) downgrade(message *Message) {
 	for i := range message.Records {
 		message.Records[i].Payload, message.Records[i].PayloadVersion = nil, 0
--- a/membership/state.go
+++ b/membership/state.go
@@ -9,11 +9,11 @@
 // ID identifies a member in messages: the 64-bit hash of its name, see IDOf.
 type ID uint64
 
-// IDOf is the ID of a name.
+// IDOf returns the ID of the member with a name.
 func IDOf(name string) ID { return ID(xxhash.Sum64String(name)) }
 
-// State is what a View believes of a member. Alive, Suspect and Unreachable members are live: they are probed and
-// gossiped to.
+// State is the state of a member in a View. Members in the states Alive, Suspect and Unreachable are live. Live
+// members are probed regularly; gossip rounds go to Alive members only.
 //
 //	from                to           when                                                              file
 //	not known           Alive        it joins                                                          join.go
@@ -21,7 +21,7 @@
 //	                                 a record of it as alive arrives                                   rumor.go
 //	Alive, Unreachable  Suspect      this member's probe fails and another member sends a Nack         probe.go
 //	                                 a live member sends an accusation                                 rumor.go
-//	Alive               Unreachable  maxUnconfirmedProbes probes in a row fail without a Nack          probe.go
+//	Alive               Unreachable  maxUnconfirmedProbes consecutive probes fail without a Nack       probe.go
 //	Unreachable         Alive        it answers a probe, in time or late                               probe.go
 //	Suspect             Dead         a quorum accuses it and no refutation arrives in time             suspicion.go
 //	                                 a record of its death in this incarnation arrives                 rumor.go
@@ -33,37 +33,37 @@
 //	                                 another process takes over its name                               join.go
 //	Dead, Left          forgotten    Tuning.DeadRetentionMs or Tuning.LeftRetentionMs has passed       member.go
 //
-// An answer to a probe ends neither a suspicion nor a death. That takes another process of the name, or a newer
-// incarnation, which the member takes when it learns what others believe of it (refutation.go). Rumors of a newer
-// incarnation as suspect, dead or left apply in all states; one as suspect changes the state to Alive and then to
-// Suspect.
+// An answer to a probe ends neither a suspicion nor a death. Only a newer incarnation or another process of the name does
+// so. A member advances its incarnation when it learns that others consider it suspect, dead or left (refutation.go).
+// Rumors that a newer incarnation is suspect, dead or left apply in all states. One that it is suspect changes the state
+// to Alive first and then to Suspect.
 type State uint8
 
 // The states of a member.
 const (
 	Alive   State = iota + 1
-	Suspect       // accused and not refuted yet; still in use
-	// Unreachable is a member that doesn't answer this one while no other member confirms that with a Nack. It is not
+	Suspect       // accused, and has not refuted the accusation yet; still used as a gateway
+	// Unreachable members don't answer this member, but no other member has confirmed that with a Nack. The state is not
 	// gossiped, since this member may be at fault, and it doesn't expire. Without a third member that answers, a crashed
-	// member is therefore never Dead and never forgotten, and it keeps counting as a gateway that serves.
+	// member is therefore never Dead and never forgotten, and it still counts as a serving gateway.
 	Unreachable
-	Dead // enough observers got no answer
-	Left // it announced that it leaves
+	Dead // a quorum of observers got no answer from it, or others declared it dead
+	Left // it announced that it left the fleet
 )
 
-// String is the state's name in logs and reports: "alive", "suspect", "unreachable", "dead" or "left".
+// String returns the state's name in logs and reports: "alive", "suspect", "unreachable", "dead" or "left".
 func (s State) String() string {
 	return [...]string{"", "alive", "suspect", "unreachable", "dead", "left"}[s]
 }
 
-// MarshalText is the state's name.
+// MarshalText returns the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// isLive reports whether a member in this state is probed and gossiped to.
+// isLive reports whether a member in this state is probed regularly.
 func (s State) isLive() bool { return s == Alive || s == Suspect || s == Unreachable }
 
-// advertised is the state that other members are sent: one that is only suspected here, or only unreachable from here,
-// counts as alive. Accusations travel as rumors.
+// advertised returns the state that is sent to other members. Suspect and Unreachable are sent as Alive, because they are
+// observations that others have to confirm. Accusations are sent as rumors that name the accusers.
 func (s State) advertised() State {
 	if s.isLive() {
 		return Alive
@@ -71,16 +71,16 @@
 	return s
 }
 
-// Member is what is known of one gateway.
+// Member describes one gateway as this member knows it.
 type Member struct {
 	Name           string
 	Addr           netip.AddrPort
 	Zone           string
-	Version        uint8  // the newest version of messages that it speaks
+	Version        uint8  // the newest message version that it supports
 	BootID         uint64 // distinguishes processes of one name
-	Incarnation    uint64 // grows whenever the member refutes what is said of it
+	Incarnation    uint64 // increased by the member to refute a rumor or to announce a new payload
 	State          State
 	Payload        []byte
-	PayloadVersion uint64  // grows with each change of the payload
-	Since          float64 // time of the last change of state, on the driver's clock
+	PayloadVersion uint64  // increased by each change of the payload
+	Since          float64 // time of the last state change, on the driver's clock
 }
--- a/membership/summary.go
+++ b/membership/summary.go
@@ -1,28 +1,28 @@
 package membership
 
-// Summary is a View in figures.
+// Summary holds the figures of a View that are reported in logs, metrics and management calls.
 type Summary struct {
 	Status        Status
-	Alive         int // this member included
+	Alive         int // includes this member
 	Suspect       int
 	Unreachable   int
 	Dead          int
 	Left          int
-	Partial       bool    // much of the fleet went away or is out of reach, see isPartial
-	HealthScore   int     // 0 is healthy, maxHealthScore the worst, see localHealth
+	Partial       bool    // this member may see only a part of the fleet, see isPartial
+	HealthScore   int     // from 0, which is healthy, to maxHealthScore, see localHealth
 	LossRate      float64 // share of answered probes that needed more than one attempt
 	RoundTripMs   float64
-	PendingRumors int // still to be gossiped
+	PendingRumors int // rumors that are queued for gossip
 	Accusations   uint64
 	Refutations   uint64
-	LateSteps     uint64 // calls of Step that came more than lateStepMs after Wake
+	LateSteps     uint64 // calls of Step more than lateStepMs after Wake
 	Syncs         uint64
 }
 
-// counters count since the start.
+// counters holds counts since the start of the View.
 type counters struct{ accusations, refutations, lateSteps, syncs uint64 }
 
-// Summary is the View in figures.
+// Summary returns the current figures of the View.
 func (v *View) Summary() Summary {
 	return Summary{
 		Status: v.status,
@@ -36,20 +36,21 @@
 	}
 }
 
-// recentLossMs is how long a member that died counts as lost, and how long it is probed often, see scheduleReconnect.
-const recentLossMs = 60_000.0
+// recentDeathMs is the time after a member's death during which it counts as lost, see isPartial, and is probed at the
+// shorter interval, see scheduleReconnect.
+const recentDeathMs = 60_000.0
 
-// isPartial reports whether this member may see only a part of the fleet. It does if this member is isolated, if at
-// least two members and a fifth of the fleet are lost, or if nobody else is present and one member is lost. Members
-// count as lost that are unreachable, for however long, or that died within recentLossMs. A member can't know whether
-// lost members crashed or are cut off.
+// isPartial reports whether this member may see only a part of the fleet. This is the case if this member is isolated, if
+// at least two members and a fifth of the fleet are lost, or if any member is lost and no other is present. A member is
+// lost if it is Unreachable, for however long, or if it died within recentDeathMs. Members that are live and not
+// Unreachable are present. This member can't know whether lost members crashed or are cut off.
 func (v *View) isPartial() bool {
 	if v.status == StatusIsolated {
 		return true
 	}
 	lost := v.counts[Unreachable]
 	for _, m := range v.dead {
-		if v.now-m.stateChangedAt < recentLossMs {
+		if v.now-m.stateChangedAt < recentDeathMs {
 			lost++
 		}
 	}
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -6,30 +6,31 @@
 )
 
 const (
-	maxAccusers           = 8      // that are kept of one suspicion
-	suspicionCheckMs      = 1000.0 // after this time and up to as much again, a suspicion without a quorum is checked
-	minRefutationAttempts = 4.0    // attempts of a probe that a refutation has time for at least
-	significantLossRate   = 0.02   // above which a member checks a suspect itself before it declares it dead
+	maxAccusers             = 8      // kept for one suspicion
+	suspicionVerificationMs = 1000.0 // minimum delay before a suspicion without a quorum is verified, maximum twice that
+	minRefutationAttempts   = 4.0    // attempt intervals that a refutation has at least
+	significantLossRate     = 0.02   // above which a member probes a suspect itself before it declares it dead
 )
 
-// suspicion is an accusation that has been neither refuted nor confirmed by a quorum.
+// suspicion holds the accusations of a suspect, which have neither been refuted nor led to a declaration of death.
 type suspicion struct {
-	accusers []ID
-	quorumAt float64 // when there was a quorum of accusers; 0: not yet
-	checkAt  float64 // when this member probes the suspect if there is no quorum
-	checked  bool    // this member probed the suspect although there was a quorum
+	accusers              []ID
+	quorumAt              float64 // when the quorum was reached or the wait for a refutation restarted; 0 before
+	verifyAt              float64 // when this member verifies the suspicion without a quorum
+	verificationScheduled bool    // this member scheduled a verification after the quorum was reached
 }
 
-// quorum is how many accusers make a member dead: Tuning.DeathQuorum, or all members that are Alive here and this one
-// if they are fewer. Suspect and Unreachable members don't count.
+// quorum returns the number of accusers needed to declare a member dead. It is Tuning.DeathQuorum, but at most the number
+// of members that are Alive in this view, this one included. Suspect and Unreachable members don't count.
 func (v *View) quorum() int { return min(v.cfg.DeathQuorum, v.counts[Alive]+1) }
 
-// suspect records an accusation. It is gossiped if it adds anything.
+// suspect records accusations of a member. It gossips them if the member was not Suspect before or if an accuser is new,
+// up to Tuning.DeathQuorum accusers.
 func (v *View) suspect(subject *member, accusers []ID, cause string) {
 	changed := false
 	if subject.State != Suspect {
 		v.setState(subject, Suspect, subject.Incarnation, cause)
-		subject.suspicion = &suspicion{checkAt: v.nextSuspicionCheckAt()}
+		subject.suspicion = &suspicion{verifyAt: v.nextSuspicionVerifyAt()}
 		v.suspects = append(v.suspects, subject)
 		changed = true
 	}
@@ -43,7 +44,8 @@
 	}
 }
 
-// addAccuser adds an accuser to a suspect and reports whether it did. Only members that are live here count.
+// addAccuser adds an accuser to a suspicion and reports whether it did. An
+// accuser must be another member that is live in this view.
 func (v *View) addAccuser(subject *member, id ID) bool {
 	accuser, accusers := v.members[id], subject.suspicion.accusers
 	if accuser == nil || id == subject.id || accuser.State == Dead || accuser.State == Left {
@@ -56,24 +58,25 @@
 	return true
 }
 
-// nextSuspicionCheckAt is when a suspicion without a quorum is checked next.
-func (v *View) nextSuspicionCheckAt() float64 { return v.now + suspicionCheckMs*v.jitter(1, 1) }
+// nextSuspicionVerifyAt returns the time at which a suspicion without a quorum is verified next.
+func (v *View) nextSuspicionVerifyAt() float64 { return v.now + suspicionVerificationMs*v.jitter(1, 1) }
 
-// suspicionDueAt is when a suspicion has to be resolved or checked. With a quorum that is Tuning.SuspicionTimeoutMs
-// later, stretched by the health factor, or minRefutationAttempts attempt intervals later if that is more.
+// suspicionDueAt returns the time at which a suspicion must be resolved or verified. With a quorum of accusers, the time
+// after quorumAt is Tuning.SuspicionTimeoutMs times the health factor, but at least minRefutationAttempts attempt
+// intervals.
 func (v *View) suspicionDueAt(s *suspicion) float64 {
 	if s.quorumAt > 0 {
 		return s.quorumAt + max(v.cfg.SuspicionTimeoutMs*v.health.factor(), minRefutationAttempts*v.attemptIntervalMs())
 	}
-	return s.checkAt
+	return s.verifyAt
 }
 
-// resolveSuspicions declares suspects dead that a quorum accuses and that have not refuted it in time.
+// resolveSuspicions declares suspects dead that a quorum accuses and that have not refuted the accusations in time.
 func (v *View) resolveSuspicions() {
 	for i := 0; i < len(v.suspects); {
 		m := v.suspects[i]
 		v.resolveSuspicion(m)
-		if m.State == Suspect { // else it has been removed from the list
+		if m.State == Suspect { // otherwise it has been removed from the list
 			i++
 		}
 	}
@@ -89,21 +92,21 @@
 	}
 	switch {
 	case s.quorumAt == 0:
-		s.checkAt = v.nextSuspicionCheckAt()
-		v.scheduleCheck(subject, nil)
-	case v.isSilent() || v.hasResumedRecently(): // a refutation would not have arrived
+		s.verifyAt = v.nextSuspicionVerifyAt()
+		v.scheduleVerification(subject, nil)
+	case v.receivesNoMessages() || v.hasResumedRecently(): // a refutation would not have arrived
 		s.quorumAt = v.now
-	case v.roundTrip.lossRate > significantLossRate && !s.checked && !slices.Contains(s.accusers, v.id):
-		// A refutation may have been lost.
-		s.checked, s.quorumAt = true, v.now
-		v.scheduleCheck(subject, nil)
+	case v.roundTrip.lossRate > significantLossRate && !s.verificationScheduled && !slices.Contains(s.accusers, v.id):
+		// A refutation may have been lost, so the suspect is probed first.
+		s.verificationScheduled, s.quorumAt = true, v.now
+		v.scheduleVerification(subject, nil)
 	default:
 		v.setState(subject, Dead, subject.Incarnation, fmt.Sprintf(causeQuorumFormat, countWord(len(s.accusers))))
 		v.enqueueRumor(subject, false)
 	}
 }
 
-// countWord is a number of accusers in words.
+// countWord returns a number of accusers as a word.
 func countWord(n int) string {
 	return [maxAccusers + 1]string{"no", "one", "two", "three", "four", "five", "six", "seven", "eight"}[n]
 }
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	syncIntervalMs     = 600.0 // least time between two syncs
-	joinSyncIntervalMs = 200.0 // the same, of a member that has just joined
-	joinSyncPeriodMs   = 5000.0
-	digestSettleMs     = 300.0  // after a change of the digest, in which gossip may still level a difference
-	forcedSyncMs       = 1200.0 // after the last sync, from which a difference is synced even if gossip has not settled
-	maxSyncResponses   = 8      // datagrams that answer one SyncRequest
+	syncIntervalMs       = 600.0 // minimum time between two sync requests
+	joinSyncIntervalMs   = 200.0 // the same within joinSyncPeriodMs after the join
+	joinSyncPeriodMs     = 5000.0
+	digestSettleMs       = 300.0  // time after a digest change during which gossip may still resolve a difference
+	forcedSyncIntervalMs = 1200.0 // time after the last sync request, after which a difference doesn't wait for gossip
+	maxSyncResponses     = 8      // maximum messages that answer one SyncRequest
 )
 
-// syncState is the state of anti-entropy.
+// syncState is the state of anti-entropy, which exchanges records between members whose digests differ.
 type syncState struct {
 	lastSyncAt float64
 }
 
-// compareDigests asks a member for what differs if its digest does. While gossip may still level the difference it
-// does so only for a member that has just joined, or if the last sync is forcedSyncMs ago.
+// compareDigests sends a sync request to a member whose digest differs from this member's. While gossip may still resolve
+// the difference, it does so only if this member has joined recently or if the last sync request is more than
+// forcedSyncIntervalMs ago.
 func (v *View) compareDigests(from netip.AddrPort, sender *member, digest uint64) {
 	if digest == v.digest {
 		return
@@ -33,25 +34,25 @@
 		return
 	}
 	hasSettled := len(v.rumors.entries) == 0 && v.now-v.digestChangedAt > digestSettleMs
-	if hasSettled || hasJoinedRecently || v.now-v.lastSyncAt > forcedSyncMs {
+	if hasSettled || hasJoinedRecently || v.now-v.lastSyncAt > forcedSyncIntervalMs {
 		v.sendSyncRequest(from, sender)
 	}
 }
 
-// sendSyncRequest asks for what is known elsewhere. receiver is nil for one that is not known.
+// sendSyncRequest requests the records that differ from another member. receiver is nil if the receiver is unknown.
 func (v *View) sendSyncRequest(to netip.AddrPort, receiver *member) {
 	v.lastSyncAt = v.now
 	v.counters.syncs++
 	v.send(to, receiver, v.newSyncRequest(), 0)
 }
 
-// newSyncRequest introduces this member and holds its bucket digests.
+// newSyncRequest returns a SyncRequest with this member's record and bucket digests.
 func (v *View) newSyncRequest() *Message {
 	return &Message{Kind: SyncRequest, Buckets: slices.Clone(v.buckets[:]), Records: []Record{v.self.record()}}
 }
 
-// handleSyncRequest answers with the records of the buckets that differ, from a random bucket on. One request gets a
-// bounded number of answers; a later one gets the others. sender is nil for one that is not known.
+// handleSyncRequest answers with the records of the buckets that differ, starting at a random bucket. It sends at most
+// maxSyncResponses messages; later requests get the remaining records. sender is nil if the sender is unknown.
 func (v *View) handleSyncRequest(from netip.AddrPort, sender *member, message *Message) {
 	if len(message.Buckets) != bucketCount {
 		return
@@ -79,7 +80,7 @@
 	}
 }
 
-// membersOfDifferingBuckets is all members, by bucket, of buckets whose digests differ from this member's.
+// membersOfDifferingBuckets returns, by bucket, all members in the buckets whose digests differ from this member's.
 func (v *View) membersOfDifferingBuckets(digests []uint64) *[bucketCount][]*member {
 	var differing [bucketCount][]*member
 	add := func(m *member) {
--- a/membership/unknown_sender.go
+++ b/membership/unknown_sender.go
@@ -2,12 +2,14 @@
 
 import "net/netip"
 
-// unknownReplyIntervalMs is the least time between two answers to unknown senders, so that they cause little traffic.
+// unknownReplyIntervalMs is the minimum time between two sync requests to unknown senders. It limits the traffic that
+// unknown senders can cause.
 const unknownReplyIntervalMs = 50.0
 
-// handleUnknownSender handles a message of a process that is not known. old is the earlier process of its name, or nil.
-// The sender is sent what is known of its name and asked for what it knows.
-func (v *View) handleUnknownSender(from netip.AddrPort, old *member, message *Message) {
+// handleUnknownSender handles a message from an unknown process. previous is the member entry of another process of the
+// sender's name, or nil. Most messages are answered with a sync request that also
+// carries what this member knows of the sender's name.
+func (v *View) handleUnknownSender(from netip.AddrPort, previous *member, message *Message) {
 	v.handleRumorsAboutSelf(message.Rumors)
 	for i := range message.Records {
 		if IDOf(message.Records[i].Name) == v.id {
@@ -17,18 +19,18 @@
 	if !v.joined {
 		return
 	}
-	if old != nil && old.Addr != from && old.isInUse() {
-		// The sender's name is that of a live member. With its record the two settle the conflict.
+	if previous != nil && previous.Addr != from && previous.isReachable() {
+		// The name belongs to a reachable member. Its record lets the two processes resolve the name conflict.
 		v.replyToUnknown(from, func(request *Message) {
-			request.Records = append(request.Records, old.record())
+			request.Records = append(request.Records, previous.record())
 		})
 		return
 	}
 	if message.Kind == SyncRequest && message.introduction() != nil {
-		v.handleIntroduction(from, old, message)
+		v.handleIntroduction(from, previous, message)
 		return
 	}
-	switch message.Kind { // the sender may know this member although this member doesn't know it yet
+	switch message.Kind { // the sender may know this member already
 	case Ping:
 		v.handlePing(from, nil, message)
 	case PingRequest:
@@ -38,13 +40,14 @@
 		return
 	}
 	v.replyToUnknown(from, func(request *Message) {
-		if old != nil {
-			request.Rumors = append(request.Rumors, old.rumor(old.State.advertised()))
+		if previous != nil {
+			request.Rumors = append(request.Rumors, previous.rumor(previous.State.advertised()))
 		}
 	})
 }
 
-// replyToUnknown sends a SyncRequest with additional content, unless one was sent a short time ago.
+// replyToUnknown sends a SyncRequest with additional content, unless one was sent to any unknown sender within
+// unknownReplyIntervalMs.
 func (v *View) replyToUnknown(to netip.AddrPort, addContent func(request *Message)) {
 	if v.now < v.lastUnknownReplyAt+unknownReplyIntervalMs {
 		return
@@ -55,10 +58,10 @@
 	v.send(to, nil, request, 0)
 }
 
-// handleIntroduction accepts a process that introduces itself with a SyncRequest. old is the earlier process of its
-// name, or nil.
-func (v *View) handleIntroduction(from netip.AddrPort, old *member, message *Message) {
-	sender := old
+// handleIntroduction accepts a process that introduces itself with its record in a SyncRequest. previous is the member
+// entry of the earlier process of its name, or nil.
+func (v *View) handleIntroduction(from netip.AddrPort, previous *member, message *Message) {
+	sender := previous
 	if sender == nil {
 		sender = v.acceptMember(message.introduction(), causeIntroduced)
 	} else {
--- a/membership/view.go
+++ b/membership/view.go
@@ -8,13 +8,13 @@
 	"slices"
 )
 
-// View is what one gateway believes of the fleet. The parts of its state are declared beside the rules that use them.
+// View is one gateway's view of the fleet. Each embedded part of its state is declared in the file that uses it most.
 type View struct {
 	cfg     Config
 	rng     *rand.Rand
 	id      ID
 	self    *member
-	actions []Action // of the current step
+	actions []Action // returned by the current step
 
 	clock
 	memberTable
@@ -27,9 +27,9 @@
 	counters counters
 }
 
-// New returns a View that knows only itself. The error is a *ConfigError.
+// New returns a View that contains only this member. Its errors are of type *ConfigError.
 func New(cfg Config, seed uint64) (*View, error) {
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	v := &View{cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.BootID)), id: IDOf(cfg.Name)}
@@ -43,11 +43,11 @@
 	return v, nil
 }
 
-// maxRetainedActions is the capacity above which the slice of actions is not reused after a large step.
+// maxRetainedActions is the largest capacity of the actions slice that is kept for reuse by the next step.
 const maxRetainedActions = 64
 
-// Step handles the events since the last call and returns what to do. driverMs is the driver's time. The actions are
-// valid until the next call. Step must be called at the time of Wake at the latest.
+// Step handles the events since the last call and returns the actions that the driver must carry out. They are valid
+// until the next call. driverMs is the time of the driver's clock. Step must be called at the time of Wake at the latest.
 func (v *View) Step(driverMs float64, events []Event) []Action {
 	clear(v.actions)
 	v.actions = v.actions[:0]
@@ -84,7 +84,7 @@
 	v.advanceIncarnation(v.self.Incarnation)
 }
 
-// tick does what is due.
+// tick runs everything that is due at the current time.
 func (v *View) tick() {
 	v.updateStatus()
 	v.sendJoins()
@@ -96,10 +96,10 @@
 	v.setWake()
 }
 
-// Wake is the driver's time at which Step has to be called if nothing happens before.
+// Wake returns the time, on the driver's clock, at which Step must be called if no event occurs earlier.
 func (v *View) Wake() float64 { return v.driverMs + v.wakeAt - v.now }
 
-// Members is all known members by name, this one included.
+// Members returns all known members, this one included, sorted by name.
 func (v *View) Members() []Member {
 	list := make([]Member, 0, len(v.members))
 	for _, m := range v.members {
@@ -109,7 +109,7 @@
 	return list
 }
 
-// State is the state of a member by name; 0 for one that is not known.
+// State returns the state of the member with a name, or 0 if the member is unknown.
 func (v *View) State(name string) State {
 	if m := v.members[IDOf(name)]; m != nil {
 		return m.State
@@ -117,8 +117,8 @@
 	return 0
 }
 
-// hasLiveMemberAt reports whether a live member is known at an address.
-func (v *View) hasLiveMemberAt(addr netip.AddrPort) bool {
+// hasReachableMemberAt reports whether an address is that of this member or of a live member that is not Unreachable.
+func (v *View) hasReachableMemberAt(addr netip.AddrPort) bool {
 	for _, m := range v.live {
 		if m.Addr == addr && m.State != Unreachable {
 			return true
