--- a/membership/cause.go
+++ b/membership/cause.go
@@ -13,7 +13,7 @@
 	causeRefuted       = "refuted"                        // the member itself sent a newer incarnation
 	causeRefutedReport = "refuted, as others report"      // others gossip a newer incarnation
 	causeReaccused     = "accused in a newer incarnation" // an accusation of a newer incarnation than the known one
-	causeAccused       = "accused by others"              // and has not refuted it yet
+	causeAccused       = "accused by others"              // and the accusation is not refuted yet
 	causeUnconfirmed   = CauseNoAnswer + ", and nobody has confirmed it"
 	causeAnswered      = "answers again"
 	causeAnsweredLate  = "answers again, late"
--- a/membership/clock.go
+++ b/membership/clock.go
@@ -4,9 +4,9 @@
 	// lateStepMs is the lateness of a step, relative to Wake, above which the process is assumed not to have run in
 	// between. Wake is never later than lateStepMs after a step. With longer waits a View would not notice a short pause.
 	lateStepMs         = 100.0
-	resumeGraceMs      = 1000.0      // after a late step, during which this member accuses nobody
-	leftStepIntervalMs = 3_600_000.0 // between two steps of a member that has left and has nothing to do
-	longBeforeStartMs  = -1e9        // initial value of times in the past
+	resumeGraceMs      = 1000.0      // time after a late step in which this member accuses no other member
+	leftStepIntervalMs = 3_600_000.0 // interval between steps of a member that has left and has nothing to do
+	longBeforeStartMs  = -1e9        // stands for a time long before the start
 )
 
 // clock holds the times of a View.
--- a/membership/config.go
+++ b/membership/config.go
@@ -20,19 +20,19 @@
 	Payload []byte         // up to MaxPayloadBytes bytes, opaque to this package
 	BootID  uint64         // random and not 0, distinguishes processes of one name
 	Seeds   []netip.AddrPort
-	Version uint8 // of messages; 0 means the newest
+	Version uint8 // newest message version to use; 0 means Version
 	Tuning
 }
 
 // Tuning holds the protocol's durations in milliseconds and its counts. 0 means the default. docs/membership.md derives
 // the defaults.
 type Tuning struct {
-	ProbeIntervalMs      float64 // between two regular probes that this member starts
+	ProbeIntervalMs      float64 // interval at which this member starts regular probes
 	MinAttemptIntervalMs float64 // minimum time between two attempts of a probe
-	GossipIntervalMs     float64 // between two gossip rounds while rumors are queued
+	GossipIntervalMs     float64 // interval of gossip rounds while rumors are queued
 	SuspicionTimeoutMs   float64 // minimum time from a quorum of accusers to Dead, see suspicionDueAt
-	DeadRetentionMs      float64 // for which a dead member is remembered and probed
-	LeftRetentionMs      float64 // for which a member that left is remembered
+	DeadRetentionMs      float64 // time for which a dead member is remembered and probed
+	LeftRetentionMs      float64 // time for which a member that left is remembered
 	DeathQuorum          int     // accusers needed to declare a member dead; fewer if fewer members are Alive, see quorum
 	IndirectProbes       int     // members usually asked to probe a target that doesn't answer, see requestIndirectProbes
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// gossipState holds the rumors to gossip and the time of the next gossip round.
+// gossipState holds the queued rumors and the time of the next gossip round.
 type gossipState struct {
 	rumors       rumorQueue
 	nextGossipAt float64
@@ -56,8 +56,7 @@
 	q.entries = append(slices.Delete(q.entries, 0, count), requeued...)
 }
 
-// enqueueRumor queues a rumor about a member's current state for gossip, with the member's whole record if withRecord is
-// set.
+// enqueueRumor queues a member's current state for gossip, or its whole record if withRecord is set.
 func (v *View) enqueueRumor(subject *member, withRecord bool) { v.rumors.push(subject, withRecord) }
 
 // rumorAbout returns the rumor about a member's current state, with the accusers of a suspect.
--- a/membership/health.go
+++ b/membership/health.go
@@ -15,9 +15,9 @@
 	roundTrip      roundTripEstimator
 	lastReceivedAt float64   // last arrival of any message
 	lastAckAt      float64   // last direct answer to a probe of this member
-	acksResumedAt  float64   // first direct answer after the last outage
-	lastRefutedAt  float64   // when this member advanced its incarnation last
-	disputeTimes   []float64 // recent declarations of its death that arrived although it had refuted its death
+	acksResumedAt  float64   // end of the last outage, see contactTimeoutMs
+	lastRefutedAt  float64   // last time this member advanced its incarnation
+	disputeTimes   []float64 // recent declarations of its death despite its refutations
 	failureTimes   []float64 // recent changes of members to Suspect or Dead
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// capAfterOutage limits the score after an outage, in which unanswered probes have raised it.
+// capAfterOutage limits the score, which unanswered probes have raised during an outage.
 func (h *localHealth) capAfterOutage() { h.score = min(h.score, maxHealthScoreAfterOutage) }
 
 // contactTimeoutMs is the time after which missing contact makes this member distrust its own observations. Without any
--- a/membership/indirect_probe.go
+++ b/membership/indirect_probe.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// requestIndirectProbes sends PingRequests for the target of a probe to other Alive members. It sends
-// up to Tuning.IndirectProbes of them, or up to maxIndirectProbes during a failure burst or if an earlier probe of the
-// target failed unconfirmed.
+// requestIndirectProbes sends PingRequests for the target of a probe to random Alive members. It sends up to
+// Tuning.IndirectProbes of them, or up to maxIndirectProbes during a failure burst or if an earlier probe of the target
+// failed unconfirmed.
 func (v *View) requestIndirectProbes(p *probe) {
 	count := v.cfg.IndirectProbes
 	if p.target.unconfirmedProbes > 0 || v.isFailureBurst() { // the helpers may be dead as well
--- a/membership/join.go
+++ b/membership/join.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	joinBackoffMs         = 500.0 // before the second attempt to join; doubles with each attempt
+	joinBackoffMs         = 500.0 // interval before the second attempt to join; doubles with each attempt
 	maxJoinBackoffMs      = 5000.0
-	maxJoinBackoffShift   = 10       // bounds the doubling so that the shift can't overflow
-	unknownSeedIntervalMs = 10_000.0 // between two attempts of a member to reach seeds at which it knows no reachable member
-	nameRetryIntervalMs   = 3000.0   // between two attempts of a process whose name is taken
+	maxJoinBackoffShift   = 10       // bounds the shift that doubles the backoff
+	unknownSeedIntervalMs = 10_000.0 // interval at which a member contacts seeds at which it knows no reachable member
+	nameRetryIntervalMs   = 3000.0   // interval at which a process whose name is taken tries to join
 	maxJoinRecords        = 16       // records of other members in a JoinAccepted
 )
 
@@ -23,7 +23,7 @@
 	lastUnknownReplyAt float64 // see replyToUnknown
 }
 
-// isSeed reports whether this member founds a fleet.
+// isSeed reports whether this member is a seed itself or has no seeds. Such a member founds a fleet.
 func (v *View) isSeed() bool {
 	return len(v.cfg.Seeds) == 0 || slices.Contains(v.cfg.Seeds, v.cfg.Addr)
 }
@@ -137,13 +137,13 @@
 	v.send(to, joiner, accepted, 0)
 }
 
-// rejectJoin notifies a process that its name is taken by another process at the address holder.
+// rejectJoin notifies a process that its name is taken by another process, whose address is holder.
 func (v *View) rejectJoin(to, holder netip.AddrPort) {
 	v.send(to, nil, &Message{Kind: JoinRejected, Addr: holder}, 0)
 }
 
-// handleJoinAccepted completes the join and requests a sync. The first sync goes to a random member, so that the seed
-// doesn't get the sync requests of all joiners.
+// handleJoinAccepted completes the join and requests a sync from a random member, so that the seed doesn't get the sync
+// requests of all joiners. If this member had joined already, it requests a sync from the sender if the digests differ.
 func (v *View) handleJoinAccepted(from netip.AddrPort, message *Message) {
 	if message.From == v.id {
 		return
--- a/membership/member.go
+++ b/membership/member.go
@@ -10,11 +10,11 @@
 	Member
 	id                ID
 	suspicion         *suspicion // nil unless the member is Suspect
-	listIndex         int        // in the list of its state, see listOf
-	stateChangedAt    float64    // on the View's clock
+	listIndex         int        // index in the list of its state, see listOf
+	stateChangedAt    float64    // time of the last state change, on the View's clock
 	unconfirmedProbes uint8      // consecutive probes that failed without a Nack from another member
 	probeInFlight     bool       // a probe that this member started for itself is unanswered
-	inProbeRound      bool       // is in View.probeRound
+	inProbeRound      bool       // the member is in View.probeRound
 }
 
 // memberTable holds all known members.
--- a/membership/message.go
+++ b/membership/message.go
@@ -53,7 +53,7 @@
 	Incarnation uint64 // the sender's
 	Seq         uint32 // sequence number of a Ping or PingRequest, repeated in its answer
 	Attempt     uint8  // number of the Ping's attempt, from 0, repeated in its answer
-	Target      ID     // of a Ping, PingRequest, Nack or Ack; 0 in an Ack of the target itself to a Ping
+	Target      ID     // probed member, in a Ping, PingRequest, Nack or Ack; 0 in an Ack that answers a Ping
 	Addr        netip.AddrPort
 	Digest      uint64 // of all members that are live in the sender's view
 	Buckets     []uint64
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -50,8 +50,8 @@
 	nextVerifyAllAt   float64
 }
 
-// deadline returns the time at which the probe fails. Indirect probes are requested with the last attempt and get as much
-// time as all attempts.
+// deadline returns the time at which the probe fails. Requesting indirect probes doubles the time from the start to the
+// deadline.
 func (p *probe) deadline() float64 {
 	attempts := float64(p.maxAttempts)
 	if p.indirectRequests > 0 {
--- a/membership/probe_schedule.go
+++ b/membership/probe_schedule.go
@@ -103,9 +103,9 @@
 }
 
 const (
-	reconnectIntervalMs     = 1000.0 // while members are Unreachable or died recently
-	slowReconnectIntervalMs = 5000.0 // otherwise
-	fastReconnectIntervalMs = 50.0   // after a success, so that members reconnect ever faster after a partition heals
+	reconnectIntervalMs     = 1000.0 // average interval while members are Unreachable or died recently
+	slowReconnectIntervalMs = 5000.0 // average interval otherwise
+	fastReconnectIntervalMs = 50.0   // after a success, so that more and more members reconnect once a partition heals
 	reconnectsPerSuccess    = 4      // reconnect probes that each success adds
 	maxPendingReconnects    = 32
 	reconnectBatch          = 4 // dead members to probe, and Unreachable ones to verify, at one time
--- a/membership/round_trip.go
+++ b/membership/round_trip.go
@@ -6,11 +6,11 @@
 	roundTripGain        = 8     // a new sample has the weight 1/roundTripGain in the mean and the deviation
 	timeoutDeviations    = 4     // deviations above the mean in a timeout, as in TCP's retransmission timeout
 	lossGain             = 0.05  // weight of a new sample in the loss rate
-	negligibleLossRate   = 0.01  // up to which a probe makes at most minProbeAttempts attempts
-	maxFalseFailureRate  = 0.002 // of probes of a live member, because all attempts are lost
+	negligibleLossRate   = 0.01  // loss rate up to which a probe makes at most minProbeAttempts attempts
+	maxFalseFailureRate  = 0.002 // share of probes of a live member that may fail because all attempts are lost
 	minProbeAttempts     = 2
 	maxProbeAttempts     = 6
-	maxAttemptIntervalMs = 800.0 // of a healthy member
+	maxAttemptIntervalMs = 800.0 // before it is multiplied by the health factor
 )
 
 // roundTripEstimator estimates the round-trip time and the loss rate of probes.
@@ -44,8 +44,8 @@
 	return min(max(minMs, e.meanMs+timeoutDeviations*e.deviationMs), maxAttemptIntervalMs)
 }
 
-// attemptsNeeded returns the number of attempts with which a probe of a live member fails at a rate of at most
-// maxFalseFailureRate at the current loss rate, from minProbeAttempts to maxProbeAttempts.
+// attemptsNeeded returns the maximum number of attempts of a probe. It is chosen so that at the current loss rate at most
+// a share of maxFalseFailureRate of the probes of a live member fail, and is from minProbeAttempts to maxProbeAttempts.
 func (e *roundTripEstimator) attemptsNeeded() int {
 	if e.lossRate <= negligibleLossRate {
 		return minProbeAttempts
--- a/membership/rumor.go
+++ b/membership/rumor.go
@@ -44,8 +44,8 @@
 }
 
 // acceptIncarnation records a newer incarnation of a member. It refutes a suspicion, and it is the usual way in which a
-// member that is dead or has left becomes alive again. An Unreachable member stays Unreachable until it answers this
-// member, which schedules a verification probe.
+// member that is dead or has left becomes alive again. An Unreachable member stays Unreachable until it answers a probe
+// of this member, and a verification probe is scheduled.
 func (v *View) acceptIncarnation(subject *member, incarnation uint64, cause string) {
 	state := Alive
 	if subject.State == Unreachable {
@@ -57,7 +57,8 @@
 }
 
 // handleRecord applies a record. A death in a record may be outdated, so the member is probed to verify it, unless the
-// member is Suspect here as well. If gossip is set, newer incarnations and payloads are gossiped.
+// member is Suspect here as well. If gossip is set, new members, newer incarnations and new payloads are
+// gossiped.
 func (v *View) handleRecord(record *Record, gossip bool) {
 	id := IDOf(record.Name)
 	if id == v.id {
--- a/membership/state.go
+++ b/membership/state.go
@@ -16,7 +16,7 @@
 // members are probed regularly; gossip rounds go to Alive members only.
 //
 //	from                to           when                                                              file
-//	not known           Alive        it joins                                                          join.go
+//	unknown             Alive        it joins                                                          join.go
 //	                                 it introduces itself with a SyncRequest                           unknown_sender.go
 //	                                 a record of it as alive arrives                                   rumor.go
 //	Alive, Unreachable  Suspect      this member's probe fails and another member sends a Nack         probe.go
--- a/membership/status.go
+++ b/membership/status.go
@@ -26,7 +26,7 @@
 func (s Status) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 const (
-	isolatedAfterMs   = 1500.0 // without any message, or for StatusDisputed without a direct answer to a probe
+	isolatedAfterMs   = 1500.0 // time without any message, or for StatusDisputed without a direct answer to a probe
 	refutationGraceMs = 1500.0 // time for a refutation to spread; a declaration of death after it is a dispute
 	disputeWindowMs   = 3000.0
 	disputeCount      = 3 // declarations of death within disputeWindowMs that make the status StatusDisputed
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	maxAccusers             = 8      // kept for one suspicion
+	maxAccusers             = 8      // maximum accusers kept for one suspicion
 	suspicionVerificationMs = 1000.0 // minimum delay before a suspicion without a quorum is verified, maximum twice that
-	minRefutationAttempts   = 4.0    // attempt intervals that a refutation has at least
-	significantLossRate     = 0.02   // above which a member probes a suspect itself before it declares it dead
+	minRefutationAttempts   = 4.0    // minimum wait for a refutation, in attempt intervals
+	significantLossRate     = 0.02   // loss rate above which a member probes a suspect itself before it declares it dead
 )
 
 // suspicion holds the accusations of a suspect, which have neither been refuted nor led to a declaration of death.
@@ -44,8 +44,8 @@
 	}
 }
 
-// addAccuser adds an accuser to a suspicion and reports whether it did. An
-// accuser must be another member that is live in this view.
+// addAccuser adds an accuser to a suspicion and reports whether it did. An accuser must be another member that is live in
+// this view.
 func (v *View) addAccuser(subject *member, id ID) bool {
 	accuser, accusers := v.members[id], subject.suspicion.accusers
 	if accuser == nil || id == subject.id || accuser.State == Dead || accuser.State == Left {
--- a/membership/unknown_sender.go
+++ b/membership/unknown_sender.go
@@ -7,8 +7,8 @@
 const unknownReplyIntervalMs = 50.0
 
 // handleUnknownSender handles a message from an unknown process. previous is the member entry of another process of the
-// sender's name, or nil. Most messages are answered with a sync request that also
-// carries what this member knows of the sender's name.
+// sender's name, or nil. Most messages are answered with a sync request that also carries what this member knows of the
+// sender's name.
 func (v *View) handleUnknownSender(from netip.AddrPort, previous *member, message *Message) {
 	v.handleRumorsAboutSelf(message.Rumors)
 	for i := range message.Records {
--- a/membership/view.go
+++ b/membership/view.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// View is one gateway's view of the fleet. Each embedded part of its state is declared in the file that uses it most.
+// View is one gateway's view of the fleet. The types of its embedded fields are declared beside the rules that use them.
 type View struct {
 	cfg     Config
 	rng     *rand.Rand
