--- a/membership/clock_test.go
+++ b/membership/clock_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A member that was paused accuses nobody when it resumes, and is alive everywhere soon.
-func TestPause(t *testing.T) {
+// A member that resumes after a pause accuses no other member, and is soon alive in all views.
+func TestResumedMemberAccusesNoMember(t *testing.T) {
 	c := newCluster(t, 6)
 	c.paused[2] = true
 	c.run(5000)
@@ -17,21 +17,21 @@
 	c.wantState(Alive, "g2", 0, 1, 3, 4, 5)
 	for _, change := range c.memberChanges {
 		if strings.HasPrefix(change, "g2 ") {
-			t.Errorf("after it resumed: %v", change)
+			t.Errorf("g2 changed a member's state after it resumed: %v", change)
 		}
 	}
 }
 
-// Clocks that step change nothing.
+// A step of a driver's clock, back or forward, changes no member's state. A step forward counts as a late step.
 func TestClockSteps(t *testing.T) {
 	c := newCluster(t, 5)
 	c.clockOffsets[1] = -3_600_000
 	c.clockOffsets[2] = 600_000
 	c.run(5000)
 	if len(c.memberChanges) > 0 {
-		t.Errorf("after steps: %v", c.memberChanges)
+		t.Errorf("member changes after clock steps: %v", c.memberChanges)
 	}
 	if got := c.views[2].Summary().LateSteps; got == 0 {
-		t.Error("a step forward was not noticed")
+		t.Error("a forward step of the clock was not counted as a late step")
 	}
 }
--- a/membership/helpers_test.go
+++ b/membership/helpers_test.go
@@ -7,30 +7,30 @@
 	"testing"
 )
 
-// cluster is a handful of Views on one clock, with links that a test may cut.
+// cluster simulates several Views on a common clock. A test can cut the links between them.
 type cluster struct {
 	t             *testing.T
 	now           float64
-	views         []*View // nil: not running
-	isCut         func(from, to int, m *Message) bool
-	memberChanges []string // "viewer member state cause"
-	statusChanges []string // "viewer status"
-	clockOffsets  []float64
+	views         []*View                             // nil for a view that doesn't run
+	isCut         func(from, to int, m *Message) bool // reports whether a message is lost; nil if none is
+	memberChanges []string                            // "viewer member state cause"
+	statusChanges []string                            // "viewer status"
+	clockOffsets  []float64                           // of each view's driver clock from now
 	paused        []bool
 	inboxes       [][]Event
-	lastBootID    uint64
+	lastBootID    uint64 // of the last process that was started
 }
 
 func addrOf(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7946)
 }
 
-// newCluster starts views named g0, g1, ... and waits until each knows all.
+// newCluster starts views named g0, g1, ... and runs until each knows all others.
 func newCluster(t *testing.T, count int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, now: 1000}
 	for i := range count {
-		c.addSlot()
+		c.addStoppedView()
 		c.start(i, Config{})
 	}
 	c.run(3000)
@@ -43,15 +43,16 @@
 	return c
 }
 
-// addSlot adds a view that doesn't run.
-func (c *cluster) addSlot() {
+// addStoppedView adds a view that doesn't run yet.
+func (c *cluster) addStoppedView() {
 	c.views = append(c.views, nil)
 	c.clockOffsets = append(c.clockOffsets, 0)
 	c.paused = append(c.paused, false)
 	c.inboxes = append(c.inboxes, nil)
 }
 
-// start starts a process of a view's name. Its seed is g0 unless the configuration says otherwise.
+// start starts a process under a view's name. Its seed is g0 unless cfg.Seeds is set. Boot IDs are consecutive numbers,
+// to which cfg.BootID is added.
 func (c *cluster) start(i int, cfg Config) {
 	c.t.Helper()
 	c.lastBootID++
@@ -71,7 +72,7 @@
 	return v
 }
 
-// run plays so many milliseconds in steps of five; messages take one step.
+// run simulates ms milliseconds in rounds of 5 ms. A message is handled at the next turn of its receiver.
 func (c *cluster) run(ms float64) {
 	for end := c.now + ms; c.now < end; c.now += 5 {
 		for i, v := range c.views {
@@ -109,23 +110,23 @@
 	}
 }
 
-// stop ends a view without a word to the others.
+// stop ends a view's process without notifying the other members.
 func (c *cluster) stop(i int) { c.views[i] = nil }
 
-// bootID is the boot ID of a running view.
+// bootID returns the boot ID of a running view.
 func (c *cluster) bootID(i int) uint64 { return c.views[i].cfg.BootID }
 
-// gossip has one view receive a gossip message of another with one rumor.
-func (c *cluster) gossip(to, from int, fromBootID uint64, rumor Rumor) {
+// deliverRumor delivers a Gossip message with one rumor from one view to another.
+func (c *cluster) deliverRumor(to, from int, fromBootID uint64, rumor Rumor) {
 	c.step(to, Received{addrOf(from), Message{
 		Kind: Gossip, From: IDOf(fmt.Sprintf("g%d", from)), BootID: fromBootID, Incarnation: 1, Rumors: []Rumor{rumor},
 	}})
 }
 
-// member is what a view knows of a name.
+// member returns a view's entry for a name.
 func (c *cluster) member(viewer int, name string) *member { return c.views[viewer].members[IDOf(name)] }
 
-// countChanges counts the changes of members that contain a text.
+// countChanges returns the number of member changes that contain a text.
 func (c *cluster) countChanges(text string) (count int) {
 	for _, change := range c.memberChanges {
 		if strings.Contains(change, text) {
@@ -135,12 +136,12 @@
 	return count
 }
 
-// wantState checks what some views believe of a member.
+// wantState checks the state of a member in some views.
 func (c *cluster) wantState(want State, name string, viewers ...int) {
 	c.t.Helper()
 	for _, viewer := range viewers {
 		if got := c.views[viewer].State(name); got != want {
-			c.t.Errorf("g%d believes that %s is %v, want %v", viewer, name, got, want)
+			c.t.Errorf("in the view of g%d, %s is %v, want %v", viewer, name, got, want)
 		}
 	}
 }
--- a/membership/join_test.go
+++ b/membership/join_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A joiner whose JoinAccepted is lost has joined as soon as somebody probes it.
+// A joiner whose JoinAccepted messages are lost joins when a member probes it.
 func TestJoinAcceptedLost(t *testing.T) {
 	c := newCluster(t, 4)
 	c.stop(3)
@@ -15,6 +15,6 @@
 		t.Errorf("g3 sees %+v", got)
 	}
 	if c.countChanges("g3 dead") > 0 {
-		t.Errorf("%v", c.memberChanges)
+		t.Errorf("g3 was declared dead: %v", c.memberChanges)
 	}
 }
--- a/membership/leave_test.go
+++ b/membership/leave_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A leave is known at once, even if a third of its messages get lost, and nobody probes the member again.
+// A leave is known in all views within 600 ms although a third of its messages are lost. The member that left answers no
+// Ping and requests no step soon. The other members forget it after Tuning.LeftRetentionMs.
 func TestLeave(t *testing.T) {
 	c := newCluster(t, 5)
 	messages := 0
@@ -12,14 +13,14 @@
 	}
 	c.step(2, Leave{})
 	if got := c.views[2].Summary().Status; got != StatusLeft {
-		t.Errorf("the status of g2 is %v", got)
+		t.Errorf("the status of g2 after its leave is %v", got)
 	}
 	ping := Message{Kind: Ping, From: IDOf("g1"), BootID: 2, Incarnation: 1, Target: IDOf("g2")}
 	if actions := c.views[2].Step(c.now, []Event{Received{addrOf(1), ping}}); len(actions) > 0 {
-		t.Errorf("it answers after it has left: %v", actions)
+		t.Errorf("g2 answers a Ping after its leave: %v", actions)
 	}
 	if wake := c.views[2].Wake(); wake < c.now+1000 {
-		t.Errorf("it wants to be called again in %v ms", wake-c.now)
+		t.Errorf("Wake of g2 after its leave is in %v ms, want at least 1000", wake-c.now)
 	}
 	c.stop(2)
 	c.run(600)
--- a/membership/send_test.go
+++ b/membership/send_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Members of an older version take part; they get one accuser in a rumor, and no payload.
+// Members that use message version 1 take part in the fleet. They are sent rumors with at most one accuser, and records
+// without a payload.
 func TestOlderVersion(t *testing.T) {
 	c := newCluster(t, 6)
 	for i := 3; i < 6; i++ {
@@ -33,12 +34,12 @@
 	t.Helper()
 	for _, r := range message.Rumors {
 		if len(r.Accusers) > 1 {
-			t.Errorf("g%d sends g%d %d accusers", from, to, len(r.Accusers))
+			t.Errorf("g%d sends g%d %d accusers in a rumor, want at most 1", from, to, len(r.Accusers))
 		}
 	}
 	for _, r := range message.Records {
 		if r.Payload != nil {
-			t.Errorf("g%d sends g%d a payload", from, to)
+			t.Errorf("g%d sends g%d a payload, which version 1 doesn't have", from, to)
 		}
 	}
 }
--- a/membership/status_test.go
+++ b/membership/status_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A member that receives nothing is isolated; it accuses nobody.
+// A member that receives no messages becomes isolated and accuses no other member.
 func TestIsolated(t *testing.T) {
 	c := newCluster(t, 6)
 	c.isCut = func(_, to int, _ *Message) bool { return to == 2 }
@@ -27,7 +27,7 @@
 	}
 }
 
-// A member whose messages don't arrive learns that it is declared dead.
+// A member whose messages are all lost is declared dead, and reports StatusDisputed.
 func TestDisputed(t *testing.T) {
 	c := newCluster(t, 6)
 	c.isCut = func(from, _ int, _ *Message) bool { return from == 2 }
@@ -41,8 +41,8 @@
 	c.wantState(Alive, "g2", 0, 1, 3, 4, 5)
 }
 
-// A cut between two members, in one direction or both, makes neither dead.
-func TestOnePairIsCut(t *testing.T) {
+// A cut between two members, in one or both directions, makes neither of them Dead or Unreachable.
+func TestCutBetweenTwoMembers(t *testing.T) {
 	for name, both := range map[string]bool{"one direction": false, "both directions": true} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 5)
@@ -55,8 +55,8 @@
 	}
 }
 
-// Two halves go on, know that they are a part, and merge.
-func TestHalves(t *testing.T) {
+// Both halves of a partitioned fleet keep working, report that they see only a part, and merge after the partition heals.
+func TestPartitionIntoHalves(t *testing.T) {
 	c := newCluster(t, 8)
 	c.isCut = func(from, to int, _ *Message) bool { return from/4 != to/4 }
 	c.run(6000)
@@ -69,13 +69,13 @@
 	c.run(4000)
 	for i, v := range c.views {
 		if got := v.Summary(); got.Alive != 8 || got.Partial {
-			t.Errorf("after the heal g%d sees %+v", i, got)
+			t.Errorf("after the partition has healed g%d sees %+v", i, got)
 		}
 	}
 }
 
-// With two members nobody can confirm a failure, so the other one is unreachable and not dead.
-func TestTwoOfTwo(t *testing.T) {
+// In a fleet of two no third member can confirm a failure, so a crashed member is Unreachable rather than Dead.
+func TestCrashInFleetOfTwo(t *testing.T) {
 	c := newCluster(t, 2)
 	c.stop(1)
 	c.run(5000)
--- a/membership/suspicion_test.go
+++ b/membership/suspicion_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A crash is detected by as many accusers as there can be, and every member learns of it.
+// A crashed member is declared dead by more than one accuser, and all members learn of its death.
 func TestCrash(t *testing.T) {
 	c := newCluster(t, 6)
 	c.stop(3)
@@ -13,10 +13,10 @@
 	}
 }
 
-// One member's accusation makes nobody dead: the suspect refutes it.
+// The accusation of a single member doesn't make the suspect dead: the suspect refutes it.
 func TestOneAccuserIsNotEnough(t *testing.T) {
 	c := newCluster(t, 6)
-	c.gossip(2, 1, c.bootID(1), Rumor{
+	c.deliverRumor(2, 1, c.bootID(1), Rumor{
 		Subject: IDOf("g4"), BootTag: uint32(c.bootID(4)), Incarnation: 1, State: Suspect, Accusers: []ID{IDOf("g1")},
 	})
 	c.wantState(Suspect, "g4", 2)
@@ -27,13 +27,14 @@
 	}
 }
 
-// Accusations and deaths from a member that is dead here don't count: it may be the one that was cut off.
-func TestDeadMembersAccuseNobody(t *testing.T) {
+// Accusations and declarations of death from a member that is Dead in the receiver's view are ignored: the sender may be
+// the one that was cut off.
+func TestAccusationsOfDeadMemberAreIgnored(t *testing.T) {
 	c := newCluster(t, 6)
 	c.stop(1)
 	c.run(3000)
 	for _, state := range []State{Suspect, Dead} {
-		c.gossip(2, 1, 2, Rumor{
+		c.deliverRumor(2, 1, 2, Rumor{
 			Subject: IDOf("g4"), BootTag: uint32(c.bootID(4)), Incarnation: 1, State: state,
 			Accusers: []ID{IDOf("g1"), IDOf("g0"), IDOf("g3"), IDOf("g5")},
 		})
@@ -41,8 +42,8 @@
 	}
 }
 
-// A rumor about an earlier process of a name doesn't change what is known of the present one.
-func TestRumorAboutAnEarlierProcess(t *testing.T) {
+// A rumor about an earlier process of a name doesn't change the state of the current one.
+func TestRumorAboutEarlierProcessIsIgnored(t *testing.T) {
 	c := newCluster(t, 4)
 	oldBootID := c.bootID(2)
 	c.stop(2)
@@ -54,6 +55,6 @@
 	if m.BootID == oldBootID || m.Incarnation < 2 {
 		t.Fatalf("g0 knows %+v, not the new process", m.Member)
 	}
-	c.gossip(0, 1, c.bootID(1), Rumor{Subject: IDOf("g2"), BootTag: uint32(oldBootID), Incarnation: 90, State: Dead})
+	c.deliverRumor(0, 1, c.bootID(1), Rumor{Subject: IDOf("g2"), BootTag: uint32(oldBootID), Incarnation: 90, State: Dead})
 	c.wantState(Alive, "g2", 0)
 }
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -6,10 +6,10 @@
 
 	"pgregory.net/rapid"
 
-	_ "merlinjunction/internal/testkit/seed" // the same draws each time
+	_ "merlinjunction/internal/testkit/seed" // makes rapid draw the same cases in each run
 )
 
-// checkInvariants checks what holds for a View at any time.
+// checkInvariants checks the invariants of a View, which must hold after each step.
 func (v *View) checkInvariants() error {
 	var counts [Left + 1]int
 	var digest uint64
@@ -29,7 +29,7 @@
 			return fmt.Errorf("%s (%s) is not in its list", m.Name, m.State)
 		}
 		if (m.suspicion != nil) != (m.State == Suspect) {
-			return fmt.Errorf("%s is %s with the suspicion %v", m.Name, m.State, m.suspicion)
+			return fmt.Errorf("%s is %s but has the suspicion %v", m.Name, m.State, m.suspicion)
 		}
 	}
 	if counts != v.counts {
@@ -43,7 +43,7 @@
 		return fmt.Errorf("the digest is %x, not %x", v.digest, digest)
 	}
 	if len(v.rumors.entries) != len(v.rumors.byMember) {
-		return fmt.Errorf("%d rumors queued, %d by member", len(v.rumors.entries), len(v.rumors.byMember))
+		return fmt.Errorf("%d rumors in the queue, %d in the index by member", len(v.rumors.entries), len(v.rumors.byMember))
 	}
 	return nil
 }
@@ -106,9 +106,10 @@
 	}
 }
 
-// With any messages in any order: the invariants hold, no incarnation of one process goes back, this member never
-// believes that it is anything but alive, one seed gives one sequence, and Wake is always later than now.
-func TestAnyMessages(t *testing.T) {
+// With arbitrary messages in arbitrary order, the invariants hold after each step, the incarnation of a process never
+// decreases, this member's own state stays Alive, two Views with the same seed return the same actions, and Wake is
+// always later than the current time.
+func TestInvariantsWithArbitraryMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Name: "g0", Addr: addrOf(0), BootID: 1, Seeds: nil}
 		if rapid.Bool().Draw(t, "has seeds") {
@@ -120,7 +121,7 @@
 		}
 		twin, _ := New(cfg, 5)
 		now := 0.0
-		before := map[ID]Member{}
+		previous := map[ID]Member{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += rapid.SampledFrom([]float64{0, 1, 50, 90, 400, 5000, -700}).Draw(t, "ms")
 			var events []Event
@@ -128,20 +129,20 @@
 				events = append(events, Received{addrOf(rapid.IntRange(0, 6).Draw(t, "from")), drawMessage(t)})
 			}
 			if a, b := fmt.Sprint(v.Step(now, events)), fmt.Sprint(twin.Step(now, events)); a != b {
-				t.Fatalf("one seed gave %s and %s", a, b)
+				t.Fatalf("two views with the same seed returned %s and %s", a, b)
 			}
 			if err := v.checkInvariants(); err != nil {
 				t.Fatal(err)
 			}
 			if v.self.State != Alive || v.Wake() <= now {
-				t.Fatalf("it is %v and wants to be called at %v, now is %v", v.self.State, v.Wake(), now)
+				t.Fatalf("own state is %v, want alive; Wake is %v, want later than %v", v.self.State, v.Wake(), now)
 			}
 			for id, m := range v.members {
-				old, known := before[id]
+				old, known := previous[id]
 				if known && old.BootID == m.BootID && m.Incarnation < old.Incarnation {
-					t.Fatalf("the incarnation of %s goes back from %d to %d", m.Name, old.Incarnation, m.Incarnation)
+					t.Fatalf("the incarnation of %s decreased from %d to %d", m.Name, old.Incarnation, m.Incarnation)
 				}
-				before[id] = m.Member
+				previous[id] = m.Member
 			}
 		}
 	})
