--- a/fleet/aperture.go
+++ b/fleet/aperture.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// extraHostUseMs is how long a host beyond the subset stays in use after it was last needed: longer than most hosts
-	// take to recover.
+	// extraHostUseMs is how long a host outside the subset stays in use after it was last needed. Most hosts recover in
+	// less time.
 	extraHostUseMs = 10_000.0
-	// extraHostStaggerMs is added for each further host, so that they are released one after another.
+	// extraHostStaggerMs is added to that time for each further extra host, so that extra hosts are released one after
+	// another.
 	extraHostStaggerMs = 1_000.0
 )
 
-// Aperture decides which hosts of a group this gateway uses now: its subset and, while that has less capacity than
-// subsetSize healthy hosts, further hosts in order of preference until all of them together have as much. So it widens
-// at once if hosts of the subset fail, warm up or have no capacity. Hosts beyond the subset stay in use for a while and
-// are released one at a time.
+// Aperture decides which hosts of a group this gateway uses. It always uses its subset. While the subset has less
+// capacity than subsetSize healthy hosts, the gateway also uses extra hosts, in order of preference, until the hosts in
+// use together have that capacity. So the aperture widens as soon as hosts of the subset fail, warm up or have no spare
+// capacity. Extra hosts stay in use for a while after they were last needed and are released one at a time.
 type Aperture struct {
 	hosts           []Host
 	preferenceOrder []int
 	subsetSize      int
-	inUseUntil      map[string]float64 // by ID, of hosts beyond the subset
+	inUseUntil      map[string]float64 // by host ID; only hosts outside the subset
 }
 
-// Update replaces the subset assignment. Hosts that were needed stay in use for their time.
+// Update replaces the subset assignment. Extra hosts that are still in the group stay in use until their time is over.
 func (a *Aperture) Update(assignment *SubsetAssignment) {
 	a.hosts = assignment.hosts
 	a.preferenceOrder = assignment.PreferenceOrder()
@@ -37,10 +38,10 @@
 	})
 }
 
-// InUse reports for each host, by index, whether it is in use. capacity is what a host can serve now: 0 for one that
-// fails or is full, its capacity share for one that warms up, 1 for a healthy one. If any host has capacity, at least
-// one such host is in use. InUse also changes the aperture: it extends the use of the hosts beyond the subset that are
-// needed now, and ends that of hosts whose time is over.
+// InUse reports for each host, by index, whether it is in use. capacity returns what a host can serve now: 0 if it fails
+// or is full, its capacity share if it is warming up, 1 if it is healthy. If any host has capacity, at least one such
+// host is in use. InUse also changes the aperture: it extends the time of the extra hosts that are needed now, and
+// releases the extra hosts whose time is over.
 func (a *Aperture) InUse(now float64, capacity func(host int) float64) []bool {
 	inUse, total := make([]bool, len(a.preferenceOrder)), 0.0
 	for rank, host := range a.preferenceOrder {
--- a/fleet/load_announcer.go
+++ b/fleet/load_announcer.go
@@ -3,14 +3,14 @@
 import "math"
 
 const (
-	loadSmoothing         = 0.2      // weight of the newest second in the moving average
-	minLoadSamples        = 5        // seconds that are averaged before the first announcement
-	minAnnounceIntervalMs = 10_000.0 // between two announcements
-	announceChangeFactor  = 1.5      // by which the load must have grown or shrunk to be announced again
-	minAnnouncedLoad      = 0.1      // requests a second; an announced load of 0 would mean that it is unknown
+	loadSmoothing         = 0.2      // weight of the newest sample in the moving average
+	minLoadSamples        = 5        // samples, one a second, that are averaged before the first announcement
+	minAnnounceIntervalMs = 10_000.0 // least time between two announcements
+	announceChangeFactor  = 1.5      // the load is announced again once it has grown or shrunk by more than this factor
+	minAnnouncedLoad      = 0.1      // requests a second; an announced load of 0 would mean that the load is unknown
 )
 
-// LoadAnnouncer decides when a gateway announces its load to the fleet. An announcement reaches every gateway, so
+// LoadAnnouncer decides when a gateway announces its load to the fleet. Each announcement is sent to every gateway, so
 // announcements must be rare. The zero value has announced nothing.
 type LoadAnnouncer struct {
 	smoothedLoad  float64 // requests a second
@@ -19,8 +19,8 @@
 	samples       int
 }
 
-// Observe records the load of the last second, in requests a second, and returns the load to announce: 0 if there is
-// none yet.
+// Observe records the load of the last second, in requests a second, and returns the load that the gateway announces:
+// the last one that was due, or 0 if none has been due yet.
 func (l *LoadAnnouncer) Observe(now, load float64) float64 {
 	l.samples++
 	if l.samples == 1 {
@@ -35,7 +35,8 @@
 	return l.announcedLoad
 }
 
-// isDue reports whether a load is to be announced: the first one at once, others if they differ enough.
+// isDue reports whether a load is to be announced. The first load is announced at once. A later load is announced after
+// minAnnounceIntervalMs if it differs from the announced one by more than announceChangeFactor.
 func (l *LoadAnnouncer) isDue(now, load float64) bool {
 	if l.announcedLoad == 0 {
 		return true
--- a/fleet/slow_start_limit.go
+++ b/fleet/slow_start_limit.go
@@ -2,26 +2,27 @@
 
 import "math"
 
-// loadFactorExponent makes the limit on a warming host fall faster than the load factor rises: retried requests are
-// spread unevenly over groups, hosts and gateways, and no gateway sees where they accumulate.
+// loadFactorExponent makes the limit on the traffic to a warming host fall faster than the load factor rises: retried
+// requests are spread unevenly over groups, hosts and gateways, and no gateway sees where they accumulate.
 const loadFactorExponent = 1.25
 
-// SlowStartLimit is the limit on the traffic to a host that is warming up. A fleet observes it in sum.
+// SlowStartLimit limits the traffic to a host that is warming up. The limit applies to the sum of all gateways' traffic.
 type SlowStartLimit struct {
-	HostCount          float64 // hosts that a group's normal traffic is meant for
-	OverloadMultiple   float64 // a host is overloaded at more than this times its capacity share times even traffic
-	UsableShare        float64 // of the capacity, 0 to 1; the rest covers uneven traffic and gateways' differing facts
+	HostCount          float64 // hosts that normally share the group's traffic
+	OverloadMultiple   float64 // a host is overloaded above this multiple of its capacity share of an even share of traffic
+	UsableShare        float64 // usable share of the capacity, 0 to 1; the rest covers uneven traffic and differing views
 	OverloadWindowMs   float64 // a host fails if it is overloaded for this long
-	AttemptsPerRequest float64 // that a client makes of a rejected request, in all
+	AttemptsPerRequest float64 // attempts that a client makes for a rejected request, including the first
 	LoadFactor         float64 // current traffic as a multiple of normal traffic, at least 1
 }
 
-// AdmitProbability is the probability with which a request is admitted to a host that has a share of its capacity (0 to
-// 1) and gets a share (0 to 1) of its group's traffic from the whole fleet. The sum over all gateways is right however
-// many there are.
+// AdmitProbability returns the probability of admitting a request to a warming host. capacityShare is the share of its
+// capacity that the host has, and trafficShare is the share of its group's traffic that it gets from the whole fleet;
+// both are 0 to 1. The sum of the admitted requests meets the limit for any number of gateways.
 //
 // Requests that waited for waitedMs arrive as one burst, and rejected requests are retried; both lower the probability.
-// Retries are part of LoadFactor as well, so the lower of the two probabilities holds.
+// LoadFactor includes retries as well, so the result is the lower of the probability for the load factor and the
+// probability for retries, rather than their product.
 func (l SlowStartLimit) AdmitProbability(capacityShare, trafficShare, waitedMs float64) float64 {
 	burst := 1 + waitedMs/max(l.OverloadWindowMs, 1)
 	probability := l.OverloadMultiple * l.UsableShare * capacityShare / (max(1, l.HostCount) * trafficShare * burst)
@@ -30,8 +31,9 @@
 	return min(1, underLoad, perAttempt)
 }
 
-// AdmitRate is how many requests a second one gateway may send to a host that has a share of its capacity (0 to 1).
-// groupRate is how many requests a second the host's group answered this gateway while no host of it was warming up.
+// AdmitRate returns how many requests a second one gateway may send to a warming host. capacityShare is the share of its
+// capacity that the host has, 0 to 1. groupRate is how many requests a second of this gateway the host's group answered
+// while none of the group's hosts was warming up.
 func (l SlowStartLimit) AdmitRate(capacityShare, groupRate float64) float64 {
 	return l.OverloadMultiple * l.UsableShare * capacityShare * groupRate / max(1, l.HostCount)
 }
--- a/fleet/traffic_shares.go
+++ b/fleet/traffic_shares.go
@@ -1,13 +1,16 @@
 package fleet
 
-// TrafficShares computes, by host, the share of the group's traffic that comes from the whole fleet and the share of
-// this gateway's own traffic, from facts that all gateways have alike: the assignment, the hosts' capacity shares (0
-// to 1) and the gateways' loads. Each gateway is assumed to use the hosts that its Aperture opens for warming hosts
-// alone, and to distribute its requests over them by capacity share; a host in its own zone counts zoneWeight times.
-// Each result sums to 1 if any host has capacity.
+// TrafficShares computes two shares for each host, by index: the share of the group's traffic that the host gets from
+// the whole fleet, and the share of this gateway's traffic to the group that the host gets. The input is the same on all
+// gateways: the assignment, the hosts' capacity shares (0 to 1) and the gateways' loads.
 //
-// A host in few subsets gets little traffic in all, even if it gets most of those gateways' requests. If each gateway
-// scales its own requests by a limit divided by the host's fleet share, the fleet's sum meets the limit.
+// Each gateway is assumed to use the hosts that its Aperture would use if hosts only warmed up and none failed, and to
+// distribute its requests over them in proportion to their capacity shares. A host in the gateway's own zone counts
+// zoneWeight times. Each result sums to 1 if any host has capacity.
+//
+// A host in few subsets gets little of the group's traffic, even if it gets most requests of the gateways that use it.
+// If each gateway multiplies its requests to a host by a limit divided by the host's fleet share, the fleet's sum meets
+// the limit.
 func (s *SubsetAssignment) TrafficShares(
 	capacityShares []float64, zoneWeight float64,
 ) (fleetShares, ownShares []float64) {
@@ -39,8 +42,8 @@
 	return fleetShares, ownShares
 }
 
-// expectedWeights sets the weights with which a gateway is expected to distribute its requests, 0 for hosts that it is
-// not expected to use, and returns their sum.
+// expectedWeights sets the weights by which a gateway is expected to distribute its requests, and returns their sum. The
+// weight of a host that the gateway is not expected to use is 0.
 func (s *SubsetAssignment) expectedWeights(
 	gateway int, capacityShares []float64, zoneWeight float64, weights []float64,
 ) float64 {
