--- a/fleet/poll_policy.go
+++ b/fleet/poll_policy.go
@@ -2,54 +2,57 @@
 
 import "math"
 
-// PollPolicy decides when a gateway polls discovery: once for the endpoint list, then with one watch after another, and
-// again after a failure. It protects discovery from polls of a whole fleet at one moment, and from more polls while it
-// fails. The caller polls when the policy allows it, reports how the poll ended and supplies random draws from 0 to 1.
+// PollPolicy decides when a gateway polls discovery. The gateway first polls for the endpoint list and then makes one
+// watch after another, which is a poll that waits for an update. The policy protects discovery from simultaneous polls
+// by a whole fleet, and from additional polls while it fails. The caller polls when the policy allows it, reports how
+// each poll ended and supplies random draws from 0 to 1.
 //
-// The rule on draining hosts counts from when an update counts as notified, which may be before the gateway received
-// it. The policy therefore tracks since when updates may have been missed.
+// The drain grace period starts when an update counts as notified, which may be before the gateway receives the update.
+// The policy therefore tracks since when updates may have been missed.
 type PollPolicy struct {
 	SlotSchedule
 	// DrainGraceMs is the drain grace period: how long a draining host may still be used once its drain is notified.
 	DrainGraceMs float64
-	// Pushed says that an agent on the gateway's own machine holds the endpoint list. It answers at once and costs
-	// nobody anything, and what it holds counts as notified. Otherwise lists are polled from a discovery that all share.
+	// Pushed says that an agent on the gateway's own machine holds the endpoint list. The agent answers at once, polling
+	// it puts no load on other machines, and the updates that it holds count as notified. If Pushed is false, the gateway
+	// polls a discovery that the whole fleet shares.
 	Pushed bool
 
-	answered     bool    // a poll has been answered
-	failures     int     // in a row
+	answered     bool    // a poll of the current discovery address has been answered
+	failures     int     // consecutive failed polls
 	lastTimedOut bool    // the last poll timed out
-	missedSince  float64 // updates may count as notified since then although they were not received; 0: none
+	missedSince  float64 // time since which updates may count as notified without having been received; 0: none
 }
 
 // HasAnswer reports whether a poll has been answered.
 func (p *PollPolicy) HasAnswer() bool { return p.answered }
 
-// Started records when the gateway started: what its agent holds at that time counts as notified.
+// Started records when the gateway started. With pushed lists, the updates that the agent holds then count as notified.
 func (p *PollPolicy) Started(now float64) {
 	if p.Pushed {
-		p.missUpdatesSince(now)
+		p.recordMissedSince(now)
 	}
 }
 
-// AddressChanged resets the policy for another address of discovery, which has not answered yet.
+// AddressChanged resets the policy for a new discovery address, which has not answered yet.
 func (p *PollPolicy) AddressChanged(now float64) {
 	p.answered, p.failures, p.lastTimedOut = false, 0, false
 	p.Started(now)
 }
 
 const (
-	spreadPerGatewayMs = 60.0 // time over which a fleet spreads polls that all gateways make on one occasion
-	maxSpreadOfGrace   = 0.6  // at most this share of the drain grace period
-	// maxAddressChangeDelayMs bounds the delay before a poll of another address: the old one may close its connections
-	// 1.5 s after the change.
+	spreadPerGatewayMs  = 60.0 // the fleet spreads polls that all gateways make at one event over this time for each gateway
+	maxSpreadGraceShare = 0.6  // upper bound of that spread, as a share of the drain grace period
+	// maxAddressChangeDelayMs bounds the delay before the first poll of a new address: the old address may close its
+	// connections 1.5 s after the change.
 	maxAddressChangeDelayMs = 1000.0
 )
 
-// FirstDelay is how long a gateway waits before its first poll. hasList says that it knows an endpoint list already;
-// one that knows none polls at once. The delay is bounded by the drain grace period: a host that was drained while
-// this gateway was down gets no request once the grace period has passed since the gateway's start. With pushed lists
-// a delay spares nobody, and what the agent holds counts already.
+// FirstDelay returns how long a gateway waits before its first poll. hasList says that the gateway already has an
+// endpoint list; a gateway without one polls at once. The delay is bounded by the drain grace period: a host that was
+// drained while this gateway was down gets no request once the grace period has passed since the gateway's start. With
+// pushed lists there is no delay: it would reduce no load on a shared discovery, and the updates that the agent holds
+// already count as notified.
 func (p *PollPolicy) FirstDelay(hasList bool, draw float64) float64 {
 	if !hasList || p.Pushed {
 		return 0
@@ -57,8 +60,8 @@
 	return p.fleetSpreadMs() * draw
 }
 
-// AddressChangeDelay is how long a gateway waits before it polls another address of discovery, of which all gateways
-// are notified at one moment.
+// AddressChangeDelay returns how long a gateway waits before it polls a new discovery address. All gateways are notified
+// of the new address at the same time.
 func (p *PollPolicy) AddressChangeDelay(draw float64) float64 {
 	if p.Pushed {
 		return 0
@@ -66,28 +69,29 @@
 	return min(maxAddressChangeDelayMs, p.fleetSpreadMs()) * draw
 }
 
-// fleetSpreadMs is the time over which the whole fleet spreads polls.
+// fleetSpreadMs returns the time over which the whole fleet spreads polls that all gateways make at one event.
 func (p *PollPolicy) fleetSpreadMs() float64 {
-	return min(maxSpreadOfGrace*p.DrainGraceMs, spreadPerGatewayMs*float64(p.GatewayCount))
+	return min(maxSpreadGraceShare*p.DrainGraceMs, spreadPerGatewayMs*float64(p.GatewayCount))
 }
 
 const (
-	watchWaitMs           = 2000.0   // least time for which a watch waits for an update
-	watchWaitPerGatewayMs = 20.0     // that time for each gateway of the fleet, if this one knows its slot
-	maxWatchWaitMs        = 20_000.0 // greatest time that the size of the fleet leads to
-	// shortWatchWaitMs is of a watch before any answer, for which the program waits, and of a watch after a time-out.
+	watchWaitMs           = 2000.0   // least time that a watch waits for an update
+	watchWaitPerGatewayMs = 20.0     // waiting time for each gateway of the fleet, if this gateway knows its slot
+	maxWatchWaitMs        = 20_000.0 // upper bound of a waiting time that depends on the fleet's size
+	// shortWatchWaitMs is the waiting time of a watch before the first answer, because the program waits for that answer,
+	// and of a watch after a timeout.
 	shortWatchWaitMs  = 100.0
-	responseTimeoutMs = 1000.0 // beyond the time for which the poll may wait
-	// firstResponseTimeoutMs is for the first poll: the polls of a whole fleet queue in discovery, and a repeated poll
-	// goes to the end of that queue.
+	responseTimeoutMs = 1000.0 // time for the response, in addition to the time that the poll may wait for an update
+	// firstResponseTimeoutMs replaces responseTimeoutMs for the first poll: the polls of a whole fleet queue in
+	// discovery, and a repeated poll goes to the end of that queue.
 	firstResponseTimeoutMs = 4000.0
 )
 
-// NextPoll is how long the next poll may wait for an update, and after which time without an answer it times out. watch
-// says that the poll is for updates of a known revision.
+// NextPoll returns how long the next poll may wait for an update, and after how long without an answer it times out.
+// watch says that the poll asks for updates to a known revision; other polls don't wait.
 //
-// A poll that follows a time-out waits only shortWatchWaitMs. Updates that the earlier poll missed count as notified
-// unansweredPollNotifiedMs after it was made, and a second long wait would end later than that.
+// A watch that follows a timeout waits only shortWatchWaitMs. Updates that the unanswered poll missed count as notified
+// unansweredPollNotifiedMs after that poll was made, and a second long wait would end later than that.
 func (p *PollPolicy) NextPoll(watch bool) (wait, timeout float64) {
 	switch {
 	case !watch:
@@ -105,23 +109,23 @@
 	return wait, wait + firstResponseTimeoutMs
 }
 
-// minPollIntervalMs is the least time between two polls of which the first was answered without an update.
+// minPollIntervalMs is the least time between a poll that was answered without an update and the next poll.
 const minPollIntervalMs = 100.0
 
-// IdleDelay is how long to wait after an answer before the next poll. updated says that the answer had an update,
-// polledAt is when the poll was made. It protects both sides from a busy loop if discovery answers watches at once.
-// Updates of the meantime count as notified.
+// IdleDelay returns how long to wait after an answer before the next poll. updated says that the answer contained an
+// update, and polledAt is when the poll was made. The delay prevents a busy loop on both sides if discovery answers
+// watches at once. Updates that discovery gets during the delay count as notified.
 func (p *PollPolicy) IdleDelay(updated bool, polledAt, now float64) float64 {
 	if updated || now >= polledAt+minPollIntervalMs {
 		return 0
 	}
-	p.missUpdatesSince(now)
+	p.recordMissedSince(now)
 	return polledAt + minPollIntervalMs - now
 }
 
-// Answered records that a poll was answered. It returns whether it was the first answer, and since when its content
-// counts as notified: now, or since when updates may have been missed. A gateway that counted the drain grace period
-// from when it received an update would use draining hosts for too long.
+// Answered records that a poll was answered. It returns whether this was the first answer, and since when the content of
+// the answer counts as notified: since now, or since updates may have been missed if that is earlier. A gateway that
+// counted the drain grace period from the receipt of an update would use draining hosts for too long.
 func (p *PollPolicy) Answered(now float64) (first bool, notifiedAt float64) {
 	first, notifiedAt = !p.answered, now
 	if p.missedSince > 0 {
@@ -132,23 +136,25 @@
 }
 
 const (
-	initialBackoffMs = 100.0    // after a failure; it doubles with each further failure in a row
+	initialBackoffMs = 100.0    // backoff after the first failure; it doubles with each consecutive failure
 	maxBackoffMs     = 12_000.0 // before jitter
-	// maxInitialBackoffMs bounds the first backoff where it grows with the fleet's size.
-	maxInitialBackoffMs = 3000.0
-	promptRetryOfGrace  = 0.25 // share of the drain grace period within which a gateway polls again, before jitter
-	minPromptRetryMs    = 20.0 // without a drain grace period
-	// unansweredPollNotifiedMs is how long after a poll was made what it missed counts as notified, by the protocol.
+	// maxInitialBackoffMs bounds the backoff after the first failure if that backoff grows with the fleet's size.
+	maxInitialBackoffMs   = 3000.0
+	promptRetryGraceShare = 0.25 // delay of a prompt retry as a share of the drain grace period, before jitter
+	minPromptRetryMs      = 20.0 // least delay of a prompt retry; it also holds without a drain grace period
+	// unansweredPollNotifiedMs is given by the protocol: updates that an unanswered poll missed count as notified this
+	// long after the poll was made.
 	unansweredPollNotifiedMs = 6000.0
 )
 
-// Failed records that a poll was answered with an error and returns how long to wait before the next one. A watch that
-// fails is retried soon, once. After more failures, or without any answer so far, the backoff grows with the fleet's
-// size. With pushed lists the backoff stays within the drain grace period: polls of an agent cost nobody anything.
+// Failed records that a poll was answered with an error and returns how long to wait before the next poll. After one
+// failure of a watch the backoff is short. After consecutive failures, or before the first answer, the backoff grows
+// with the fleet's size. With pushed lists the backoff stays within the drain grace period, because polling an agent puts
+// no load on other machines.
 func (p *PollPolicy) Failed(now, draw float64) float64 {
 	p.lastTimedOut = false
 	if p.Pushed {
-		p.missUpdatesSince(now)
+		p.recordMissedSince(now)
 		promptRetry := p.promptRetryMs()
 		return p.nextBackoff(min(initialBackoffMs, promptRetry), promptRetry, draw)
 	}
@@ -159,57 +165,60 @@
 	return p.nextBackoff(initial, maxBackoffMs, draw)
 }
 
-// nextBackoff counts a failure and returns an exponential backoff with jitter of half its length either way.
+// nextBackoff counts a failure and returns an exponential backoff with a jitter of plus or minus up to half its length.
 func (p *PollPolicy) nextBackoff(initialMs, maxMs, draw float64) float64 {
-	backoff := min(maxMs, math.Ldexp(initialMs, p.failures)) * jitter(draw)
+	backoff := min(maxMs, math.Ldexp(initialMs, p.failures)) * jitterFactor(draw)
 	p.failures++
 	return backoff
 }
 
-// jitter is a factor between 0.5 and 1.5.
-func jitter(draw float64) float64 { return 0.5 + draw }
+// jitterFactor converts a random draw from 0 to 1 into a factor from 0.5 to 1.5.
+func jitterFactor(draw float64) float64 { return 0.5 + draw }
 
-// TimedOut records that a poll got no answer in its time and returns how long to wait before the next one. A
-// discovery that doesn't answer is down rather than overloaded, and it answers a pending poll as soon as it is back,
-// while updates that it has without a pending poll count as notified. So a gateway polls again well within the drain
-// grace period, after any number of time-outs. polledAt is when the poll was made.
+// TimedOut records that a poll timed out and returns how long to wait before the next poll. polledAt is when the poll was
+// made. After any number of timeouts, a gateway polls again well within the drain grace period. A discovery that doesn't
+// answer is down rather than overloaded, and it answers a pending poll as soon as it is up again. Without a pending poll,
+// the updates that it has count as notified although the gateway hasn't received them.
 func (p *PollPolicy) TimedOut(polledAt, now, draw float64) float64 {
-	p.missUpdatesOfPoll(polledAt)
-	backoff := min(p.Failed(now, draw), p.promptRetryMs()*jitter(draw))
+	p.recordUnansweredPoll(polledAt)
+	backoff := min(p.Failed(now, draw), p.promptRetryMs()*jitterFactor(draw))
 	p.lastTimedOut = true
 	return backoff
 }
 
-// ConnectionLost records that the connection broke while a poll was pending and returns how long to wait before the
-// next one. The peer may have stopped long before the connection broke, so updates count as missed as with a
-// time-out, and the next poll comes as soon as after a time-out unless the connection broke early.
+// ConnectionLost records that the connection broke while a poll was pending and returns how long to wait before the next
+// poll. The peer may have stopped long before the connection broke, so updates count as missed in the same way as after a
+// timeout. The next poll also comes as soon as after a timeout, unless the connection broke within promptRetryMs of the
+// poll.
 func (p *PollPolicy) ConnectionLost(polledAt, now, draw float64) float64 {
-	p.missUpdatesOfPoll(polledAt)
+	p.recordUnansweredPoll(polledAt)
 	backoff := p.Failed(now, draw)
 	if now >= polledAt+p.promptRetryMs() {
-		backoff = min(backoff, p.promptRetryMs()*jitter(draw))
+		backoff = min(backoff, p.promptRetryMs()*jitterFactor(draw))
 	}
 	return backoff
 }
 
-// missUpdatesOfPoll records that a poll that was made at polledAt ended without an answer. What an agent holds counts
-// as notified all the time; what a shared discovery has, some time after the poll was made.
-func (p *PollPolicy) missUpdatesOfPoll(polledAt float64) {
+// recordUnansweredPoll records that a poll that was made at polledAt ended without an answer. Updates that an agent holds
+// count as notified from that time on. Updates that a shared discovery has count as notified from
+// unansweredPollNotifiedMs after the poll was made.
+func (p *PollPolicy) recordUnansweredPoll(polledAt float64) {
 	if p.Pushed {
-		p.missUpdatesSince(polledAt)
+		p.recordMissedSince(polledAt)
 	} else {
-		p.missUpdatesSince(polledAt + unansweredPollNotifiedMs)
+		p.recordMissedSince(polledAt + unansweredPollNotifiedMs)
 	}
 }
 
-// missUpdatesSince records that updates may count as notified from a time on without having been received.
-func (p *PollPolicy) missUpdatesSince(at float64) {
+// recordMissedSince records that, from the given time on, updates may count as notified without having been received. Of
+// several such times it keeps the earliest.
+func (p *PollPolicy) recordMissedSince(at float64) {
 	if p.missedSince == 0 || at < p.missedSince {
 		p.missedSince = at
 	}
 }
 
-// promptRetryMs is a delay well within the drain grace period, before jitter.
+// promptRetryMs returns the delay of a prompt retry, which is well within the drain grace period, before jitter.
 func (p *PollPolicy) promptRetryMs() float64 {
-	return max(minPromptRetryMs, promptRetryOfGrace*p.DrainGraceMs)
+	return max(minPromptRetryMs, promptRetryGraceShare*p.DrainGraceMs)
 }
--- a/fleet/roster.go
+++ b/fleet/roster.go
@@ -8,36 +8,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxAssignedGateways is the largest fleet for which subsets are computed; in a larger one every gateway uses all
+// maxAssignedGateways is the largest fleet for which subsets are computed. In a larger fleet every gateway uses all
 // hosts.
 const maxAssignedGateways = 10_000
 
-// equivalentLoadFactor is the factor within which two loads are taken for the same.
+// equivalentLoadFactor is the factor within which two loads count as the same.
 const equivalentLoadFactor = 1.25
 
-// Gateway is one gateway of the fleet.
+// Gateway describes one gateway of the fleet.
 type Gateway struct {
 	Name string
 	Zone string  // "" if unknown
-	Load float64 // requests a second that it receives; 0: unknown, assumed to be the mean
+	Load float64 // received requests a second; 0: unknown, the mean of the known loads is assumed
 }
 
-// Roster is the set of gateways that share the hosts. It is immutable; a change of the fleet makes a new one.
+// Roster is the set of gateways that share the hosts. It is immutable; a new one is created when the fleet changes.
 type Roster struct {
 	gateways        []Gateway // sorted by name
 	gatewayHashes   []uint64
 	loads           []float64 // requests a second, all above 0
 	assignmentOrder []int     // indices of gateways in the order in which they pick hosts: by hash
 	totalLoad       float64
-	size            int  // len(gateways), or more if subsets are not computed
-	selfIndex       int  // of this gateway; -1: unknown
-	allLoadsKnown   bool // none was replaced by the mean
-	namesHash       uint64
+	size            int    // number of gateways; more than len(gateways) if subsets are not computed
+	selfIndex       int    // index of this gateway; -1: unknown
+	allLoadsKnown   bool   // no load was replaced by the mean
+	namesHash       uint64 // hash of the gateways' names and zones
 }
 
-// NewNumberedRoster is a fleet of which only the number of gateways is known, and the index of this one: 0 to count-1,
-// or -1 if it is unknown. A count under 1 counts as 1; an index past the count makes the fleet that much larger. Only
-// this gateway's zone is known, so it prefers hosts of its zone while the others are assumed to have no zone.
+// NewNumberedRoster returns the roster of a fleet of which only the number of gateways and the index of this gateway are
+// known. The index is 0 to count-1, or -1 if it is unknown. A count below 1 is taken as 1. If the index is not below the
+// count, the fleet is assumed to have index+1 gateways. Only this gateway's zone is known, so it prefers hosts of its
+// zone while the other gateways are assumed to have no zone.
 func NewNumberedRoster(index, count int, zone string) *Roster {
 	count = max(1, count, index+1)
 	if index < 0 || count > maxAssignedGateways {
@@ -51,8 +52,8 @@
 	return newRoster(index, gateways)
 }
 
-// NewNamedRoster is a fleet whose members are known. self is added if it is not among them and replaces the member of
-// its name if it is; of several members of one name the first counts.
+// NewNamedRoster returns the roster of a fleet whose members are known. It contains self and the peers. A peer with the
+// name of self is ignored, and of several peers with the same name only the first is used.
 func NewNamedRoster(self Gateway, peers []Gateway) *Roster {
 	gateways := append([]Gateway{self}, peers...)
 	slices.SortStableFunc(gateways, func(a, b Gateway) int { return cmp.Compare(a.Name, b.Name) })
@@ -64,7 +65,7 @@
 	return newRoster(selfIndex, gateways)
 }
 
-// newRoster takes gateways sorted by name.
+// newRoster returns a roster of gateways that are sorted by name.
 func newRoster(selfIndex int, gateways []Gateway) *Roster {
 	r := &Roster{
 		gateways: gateways, selfIndex: selfIndex, size: len(gateways), namesHash: hashNames(gateways),
@@ -81,7 +82,7 @@
 	return r
 }
 
-// setLoads sets the gateways' loads; an unknown one is assumed to be the mean of the known ones.
+// setLoads sets the gateways' loads. An unknown load is assumed to be the mean of the known loads.
 func (r *Roster) setLoads() {
 	known, sum := 0, 0.0
 	for _, gateway := range r.gateways {
@@ -105,7 +106,7 @@
 	}
 }
 
-// hashNames is a hash over names and zones; subset assignments depend on nothing else of the gateways.
+// hashNames returns a hash of the gateways' names and zones. Subset assignments depend on no other attribute of gateways.
 func hashNames(gateways []Gateway) uint64 {
 	hash := xxhash.New()
 	for _, gateway := range gateways {
@@ -114,13 +115,14 @@
 	return hash.Sum64()
 }
 
-// Size is the number of gateways, this one included.
+// Size returns the number of gateways, including this one.
 func (r *Roster) Size() int { return r.size }
 
-// Index is this gateway's index among all, by name: 0 to Size()-1, or -1 if it is unknown.
+// Index returns this gateway's index among all gateways sorted by name: 0 to Size()-1, or -1 if it is unknown.
 func (r *Roster) Index() int { return r.selfIndex }
 
-// TrafficShare is this gateway's share of the fleet's traffic: by its load, or an even share if its index is unknown.
+// TrafficShare returns this gateway's share of the fleet's traffic. The share is proportional to its load, or even if
+// this gateway's index is unknown.
 func (r *Roster) TrafficShare() float64 {
 	if r.selfIndex < 0 {
 		return 1 / float64(r.size)
@@ -128,9 +130,9 @@
 	return r.loads[r.selfIndex] / r.totalLoad
 }
 
-// QuotaScale is the multiple of its even share of a limit on a host that a gateway may use, if it sends ratio times the
-// fleet's mean share of traffic to that host. While any load is unknown the gateway may have far more traffic than the
-// others, so it gets at most its even share.
+// QuotaScale returns which multiple of its even share of a host's limit a gateway may use if it sends ratio times the
+// fleet's mean share of traffic to that host. While any load is unknown, the gateway may have far more traffic than the
+// others, so it may use at most its even share.
 func (r *Roster) QuotaScale(ratio float64) float64 {
 	if r.allLoadsKnown {
 		return ratio
@@ -138,7 +140,8 @@
 	return min(1, ratio)
 }
 
-// Equivalent reports whether two rosters lead to the same decisions: the same gateways with about the same loads.
+// Equivalent reports whether two rosters lead to the same decisions, because they have the same gateways with about the
+// same loads.
 func (r *Roster) Equivalent(other *Roster) bool {
 	return r.selfIndex == other.selfIndex && r.size == other.size &&
 		slices.EqualFunc(r.gateways, other.gateways, equivalentGateways)
--- a/fleet/slot_schedule.go
+++ b/fleet/slot_schedule.go
@@ -2,24 +2,25 @@
 
 import "math"
 
-// SlotSchedule spreads over time what all gateways of a fleet do. A cycle has one slot for each gateway, so the fleet
-// makes one call in each gap whatever its size. The slot of a gateway that dies is removed: the others move up. A
-// gateway that doesn't know its slot waits for a whole cycle, and chance spreads the calls.
+// SlotSchedule spreads the calls of all gateways of a fleet over time. A cycle has one slot for each gateway, and slots
+// follow each other at a fixed gap, so the fleet makes one call in each gap regardless of its size. When a gateway dies
+// its slot is removed and the later slots move up. A gateway that doesn't know its slot waits for a whole cycle, and the
+// calls of such gateways are spread only by chance.
 type SlotSchedule struct {
 	GatewayCount int // gateways in the fleet
 	Slot         int // 0 to GatewayCount-1; -1: unknown
 }
 
-// Schedule is the slot schedule of a roster.
+// Schedule returns the slot schedule of the roster.
 func (r *Roster) Schedule() SlotSchedule {
 	return SlotSchedule{GatewayCount: r.size, Slot: r.selfIndex}
 }
 
-// NextSlot is when this gateway may call next: at its first slot at or after now+minWait. A cycle is gap milliseconds
-// for each gateway.
+// NextSlot returns when this gateway may make its next call: at its first slot at or after now+minWait. A cycle takes gap
+// milliseconds for each gateway.
 func (s SlotSchedule) NextSlot(now, minWait, gap float64) float64 {
 	cycle := float64(s.GatewayCount) * gap
-	if s.Slot < 0 || cycle <= minWait { // in a short cycle minWait alone bounds the fleet's calls
+	if s.Slot < 0 || cycle <= minWait { // if the cycle is short, minWait alone bounds the rate of the fleet's calls
 		return now + max(minWait, cycle)
 	}
 	earliest := now + minWait
@@ -30,8 +31,8 @@
 	return slot
 }
 
-// Interval is the time between two calls of a gateway that calls every preferred milliseconds by itself, while the
-// fleet may make one call in each gap.
+// Interval returns the time between two calls of a gateway: preferred milliseconds, or longer if the fleet would
+// otherwise make more than one call in each gap.
 func (s SlotSchedule) Interval(preferred, gap float64) float64 {
 	return max(preferred, gap*float64(s.GatewayCount))
 }
--- a/fleet/subset_assignment.go
+++ b/fleet/subset_assignment.go
@@ -5,28 +5,30 @@
 	"slices"
 )
 
-// maxSubsetImbalance is the share by which the number of subsets with a host may exceed the mean. A smaller one moves
-// more hosts between subsets when a gateway comes or goes, a larger one lets the hosts' numbers differ more.
+// maxSubsetImbalance bounds by how much the number of subsets that contain a host may exceed the mean, as a share of the
+// mean. A smaller bound moves more hosts between subsets when a gateway joins or leaves; a larger bound allows larger
+// differences between the hosts.
 const maxSubsetImbalance = 0.1
 
-// SubsetAssignment holds which hosts of one group each gateway prefers: its subset, followed by the others for when
-// hosts of the subset fail. It is computed anew when the gateways or the hosts change.
+// SubsetAssignment holds in which order each gateway prefers the hosts of one group: first the hosts of its subset, then
+// the other hosts, which it uses if hosts of the subset fail. It is recomputed when the gateways or the hosts change.
 type SubsetAssignment struct {
 	roster           *Roster
 	hosts            []Host
 	hostHashes       []uint64
-	requestedSize    int
-	subsetSize       int
+	requestedSize    int     // size that AssignSubsets was called with
+	subsetSize       int     // number of hosts in each subset
 	subsets          []int32 // hosts of all subsets: subsetSize for each gateway
-	preferenceOrders [][]int // by gateway, nil until computed; nil as a whole if every gateway uses all hosts
+	preferenceOrders [][]int // by gateway, each computed on first use; nil slice if every gateway uses all hosts
 }
 
-// AssignSubsets assigns a subset of a group's hosts to every gateway: size of them, or all if there are no more or size
-// is 0. No host is in more subsets than maxSubsetImbalance above the mean allows.
+// AssignSubsets assigns a subset of a group's hosts to every gateway. A subset has size hosts, or all hosts if there are
+// no more than that, size is 0 or this gateway's index is unknown. maxSubsetImbalance bounds the number of subsets that
+// contain a host; only a gateway that finds no host below the bound exceeds it.
 //
-// Gateways pick in the order of their hashes, all first picks before any second pick. Each picks the host that it
-// prefers most, hosts of its own zone before others, among those below the bound. One gateway more or less changes few
-// subsets: only those where a bound is reached.
+// Gateways pick hosts in the order of their hashes, and all gateways make their first pick before any makes its second.
+// Each picks the host that it prefers most among the hosts below the bound, and it prefers hosts of its own zone. A
+// gateway that joins or leaves changes few subsets: only those where a bound is reached.
 func AssignSubsets(roster *Roster, hosts []Host, size int) *SubsetAssignment {
 	s := &SubsetAssignment{
 		roster: roster, hosts: slices.Clone(hosts), hostHashes: make([]uint64, len(hosts)),
@@ -49,7 +51,7 @@
 		mean := float64((round+1)*len(roster.gateways)) / float64(len(hosts))
 		maxCount := int(math.Ceil(mean * (1 + maxSubsetImbalance)))
 		for _, gateway := range roster.assignmentOrder {
-			host := s.pick(gateway, round, subsetCounts, maxCount)
+			host := s.pickHost(gateway, round, subsetCounts, maxCount)
 			s.subsets[gateway*s.subsetSize+round] = int32(host)
 			subsetCounts[host]++
 		}
@@ -57,9 +59,9 @@
 	return s
 }
 
-// pick is the host that a gateway prefers most among those that it has not picked and that are in fewer than maxCount
-// subsets. If there is none, it is picked among those at the bound.
-func (s *SubsetAssignment) pick(gateway, round int, subsetCounts []int, maxCount int) int {
+// pickHost returns the host that a gateway prefers most among the hosts that it has not picked yet and that are in fewer
+// than maxCount subsets. If there is no such host, it returns the most preferred host among those in maxCount or more.
+func (s *SubsetAssignment) pickHost(gateway, round int, subsetCounts []int, maxCount int) int {
 	picked := s.subsetOf(gateway)[:round]
 	best := -1
 	for _, belowBound := range []bool{true, false} {
@@ -78,15 +80,15 @@
 	return best
 }
 
-// subsetOf is a gateway's subset, as indices of hosts.
+// subsetOf returns the subset of a gateway, as indices of hosts.
 func (s *SubsetAssignment) subsetOf(gateway int) []int32 {
 	return s.subsets[gateway*s.subsetSize:][:s.subsetSize]
 }
 
-// prefers reports whether a gateway prefers one host to another, regardless of the other gateways.
+// prefers reports whether a gateway prefers a host to another one. The subsets of other gateways don't matter here.
 func (s *SubsetAssignment) prefers(gateway, host, other int) bool {
-	if hostNear, otherNear := s.sameZone(gateway, host), s.sameZone(gateway, other); hostNear != otherNear {
-		return hostNear
+	if hostInZone, otherInZone := s.sameZone(gateway, host), s.sameZone(gateway, other); hostInZone != otherInZone {
+		return hostInZone
 	}
 	gatewayHash := s.roster.gatewayHashes[gateway]
 	hostScore := rendezvousScore(gatewayHash, s.hostHashes[host])
@@ -94,14 +96,14 @@
 	return hostScore > otherScore || hostScore == otherScore && host < other
 }
 
-// sameZone reports whether a gateway and a host are known to be in one zone. Two unknown zones aren't, unlike in the
-// selection weights of package routing.
+// sameZone reports whether a gateway and a host are known to be in the same zone. If both zones are unknown they are not,
+// unlike in the selection weights of package routing.
 func (s *SubsetAssignment) sameZone(gateway, host int) bool {
 	zone := s.roster.gateways[gateway].Zone
 	return zone != "" && zone == s.hosts[host].Zone
 }
 
-// preferenceOrderOf is all hosts in a gateway's order of preference, its subset first.
+// preferenceOrderOf returns all hosts in a gateway's order of preference, its subset first.
 func (s *SubsetAssignment) preferenceOrderOf(gateway int) []int {
 	if s.preferenceOrders[gateway] != nil {
 		return s.preferenceOrders[gateway]
@@ -125,8 +127,8 @@
 	return order
 }
 
-// PreferenceOrder is all hosts, as indices, in this gateway's order of preference: the first SubsetSize of them are its
-// subset. If every gateway uses all hosts, or this gateway's index is unknown, the order has no meaning.
+// PreferenceOrder returns the indices of all hosts in this gateway's order of preference. The first SubsetSize hosts are
+// its subset. If every gateway uses all hosts, or this gateway's index is unknown, the order has no meaning.
 func (s *SubsetAssignment) PreferenceOrder() []int {
 	if s.preferenceOrders != nil {
 		return s.preferenceOrderOf(s.roster.selfIndex)
@@ -138,10 +140,10 @@
 	return order
 }
 
-// SubsetSize is how many hosts a subset has.
+// SubsetSize returns the number of hosts in a subset.
 func (s *SubsetAssignment) SubsetSize() int { return s.subsetSize }
 
-// SubsetCounts is how many subsets each host is in, by index.
+// SubsetCounts returns for each host, by index, the number of subsets that contain it.
 func (s *SubsetAssignment) SubsetCounts() []int {
 	counts := make([]int, len(s.hosts))
 	for _, host := range s.subsets {
