--- a/fleet/aperture_test.go
+++ b/fleet/aperture_test.go
@@ -11,8 +11,8 @@
 	return aperture, assignment.PreferenceOrder()
 }
 
-// The aperture is the subset of healthy hosts. If one fails another is in use at once and stays for ten seconds. If no
-// host has capacity all are in use.
+// While all hosts are healthy, only the subset is in use. If a host of the subset fails, another host is in use at once
+// and stays in use for ten seconds. If no host has capacity, all hosts are in use.
 func TestAperture(t *testing.T) {
 	aperture, order := newAperture()
 	failed := map[int]bool{}
@@ -32,7 +32,7 @@
 		}
 		slices.Sort(want)
 		if !slices.Equal(got, want) {
-			t.Errorf("at %.0f: %v in use, want %v", now, got, want)
+			t.Errorf("at %.0f ms: hosts %v are in use, want %v", now, got, want)
 		}
 	}
 	wantInUse(0, order[0], order[1])
@@ -51,7 +51,8 @@
 	wantInUse(40_000, order[0], order[1])
 }
 
-// Warming hosts count by their capacity shares: two with a fifth of their capacity are not a subset.
+// A warming host counts by its capacity share: if both hosts of the subset have a fifth of their capacity, two extra
+// hosts are in use.
 func TestApertureCountsCapacityShares(t *testing.T) {
 	aperture, order := newAperture()
 	capacity := func(host int) float64 {
@@ -67,6 +68,6 @@
 		}
 	}
 	if count != 4 {
-		t.Errorf("%d hosts in use, want both warming ones and two healthy ones", count)
+		t.Errorf("%d hosts are in use, want 4: two warming and two healthy ones", count)
 	}
 }
--- a/fleet/helpers_test.go
+++ b/fleet/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// newHosts makes hosts in so many zones; 0: without zones.
+// newHosts returns hosts that are spread over the given number of zones. With 0 zones, their zones are unknown.
 func newHosts(count, zones int) (hosts []Host) {
 	for i := range count {
 		host := Host{ID: fmt.Sprintf("h%d", i)}
@@ -14,7 +14,8 @@
 	return hosts
 }
 
-// newGateways makes gateways in so many zones; 0: without zones. A nil load leaves loads unknown.
+// newGateways returns gateways that are spread over the given number of zones. With 0 zones, their zones are unknown. If
+// load is nil, their loads are unknown.
 func newGateways(count, zones int, load func(int) float64) (gateways []Gateway) {
 	for i := range count {
 		gateway := Gateway{Name: fmt.Sprintf("g%d", i)}
--- a/fleet/load_announcer_test.go
+++ b/fleet/load_announcer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A load that fluctuates is announced once; one that changes is announced, rarely.
+// A load that fluctuates around a constant mean is announced only once. A lasting change is announced in few steps.
 func TestLoadAnnouncer(t *testing.T) {
 	var announcer LoadAnnouncer
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -25,10 +25,10 @@
 	}
 	observe(0, 300, 20)
 	if announcements != 1 || last < 14 || last > 27 {
-		t.Errorf("%d announcements, the last %.1f", announcements, last)
+		t.Errorf("%d announcements, the last of %.1f, want 1 of 14 to 27", announcements, last)
 	}
 	observe(300, 400, 60)
 	if announcements < 2 || announcements > 3 || last < 40 {
-		t.Errorf("after it grew: %d announcements, the last %.1f", announcements, last)
+		t.Errorf("after the load grew: %d announcements, the last of %.1f, want 2 or 3 and at least 40", announcements, last)
 	}
 }
--- a/fleet/poll_policy_test.go
+++ b/fleet/poll_policy_test.go
@@ -6,40 +6,42 @@
 
 	"pgregory.net/rapid"
 
-	_ "merlinjunction/internal/testkit/seed" // the same draws each time
+	_ "merlinjunction/internal/testkit/seed" // uses the same seed in every run
 )
 
-// An agent with pushed lists is polled at once, and again well within the drain grace period after any failures.
+// With pushed lists, the agent is polled at once, and again well within the drain grace period after any number of
+// failures.
 func TestPollPolicyPollsAgentAtOnce(t *testing.T) {
 	for _, grace := range []float64{250, 600, 2000} {
 		t.Run(fmt.Sprintf("grace %v", grace), func(t *testing.T) {
 			policy := PollPolicy{SlotSchedule: SlotSchedule{300, -1}, DrainGraceMs: grace, Pushed: true}
 			policy.Started(1000)
 			if first, change := policy.FirstDelay(true, 0.99), policy.AddressChangeDelay(0.99); first != 0 || change != 0 {
-				t.Errorf("the first poll comes after %v ms, after a change of address %v ms", first, change)
+				t.Errorf("delay of the first poll %v ms, after a change of address %v ms, want 0 and 0", first, change)
 			}
 			if _, timeout := policy.NextPoll(true); timeout > 1500 {
-				t.Errorf("the first poll may take %v ms", timeout)
+				t.Errorf("the first poll times out after %v ms, want at most 1500", timeout)
 			}
 			for range 12 {
 				if backoff := policy.Failed(2000, 0.999); backoff > 0.4*grace {
-					t.Errorf("polls again after %v ms", backoff)
+					t.Errorf("polls again %v ms after a failure, want at most 0.4 of the grace period", backoff)
 				}
 				if backoff := policy.TimedOut(2000, 3000, 0.999); backoff > 0.4*grace {
-					t.Errorf("polls again after %v ms on a time-out", backoff)
+					t.Errorf("polls again %v ms after a timeout, want at most 0.4 of the grace period", backoff)
 				}
 			}
 			if _, notifiedAt := policy.Answered(9000); notifiedAt != 1000 {
-				t.Errorf("the first answer counts as notified at %v, not since the start", notifiedAt)
+				t.Errorf("the first answer counts as notified at %v, want 1000, the time of the start", notifiedAt)
 			}
 			if _, notifiedAt := policy.Answered(9500); notifiedAt != 9500 {
-				t.Errorf("a watch's answer counts as notified at %v", notifiedAt)
+				t.Errorf("the answer to a watch counts as notified at %v, want 9500", notifiedAt)
 			}
 		})
 	}
 }
 
-// A first poll that times out is repeated before what it missed counts as notified for a drain grace period.
+// A first poll that times out is repeated before the updates that it missed have counted as notified for a drain grace
+// period.
 func TestPollPolicyRepeatsUnansweredFirstPoll(t *testing.T) {
 	for _, grace := range []float64{250, 2000} {
 		t.Run(fmt.Sprintf("grace %v", grace), func(t *testing.T) {
@@ -53,15 +55,15 @@
 				timeouts++
 			}
 			if timeouts < 3 {
-				t.Errorf("after two time-outs the next poll comes too late, at %.0f ms", now)
+				t.Errorf("after two timeouts the next poll comes too late, at %.0f ms", now)
 			}
 		})
 	}
 }
 
-// After any failures an update never counts as notified later than the protocol counts it: when it comes, or with
-// pushed lists since the agent has it, or 6 s after an unanswered poll. And a time-out is followed by a poll within
-// the drain grace period.
+// After any sequence of failures, the policy counts an update as notified no later than the protocol does: when the
+// gateway receives it, or with pushed lists when the agent gets it, or 6 s after an unanswered poll. A timeout is
+// followed by a poll within the drain grace period.
 func TestPollPolicyNotifiedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pushed := rapid.Bool().Draw(t, "pushed")
@@ -71,7 +73,7 @@
 		policy := PollPolicy{SlotSchedule: SlotSchedule{gatewayCount, -1}, DrainGraceMs: grace, Pushed: pushed}
 		now := 1000.0
 		policy.Started(now)
-		// The agent or discovery has the update since updatedAt; the protocol counts it as notified at latest.
+		// The agent or discovery gets the update at updatedAt. The protocol counts it as notified at the time latest.
 		updatedAt := now + float64(rapid.IntRange(-3000, 20_000).Draw(t, "update"))
 		latest := updatedAt
 		if pushed {
@@ -85,7 +87,7 @@
 			wait, timeout := policy.NextPoll(true)
 			polledAt := now
 			switch rapid.IntRange(0, 4).Draw(t, "outcome") {
-			case 0: // answered, with the update if there is one by the end of the wait
+			case 0: // answered, with the update if discovery gets it before the wait ends
 				if updatedAt <= polledAt+wait {
 					now = max(polledAt, updatedAt)
 					received = true
@@ -95,7 +97,7 @@
 				_, notifiedAt := policy.Answered(now)
 				if received {
 					if notifiedAt > min(latest, now) {
-						t.Fatalf("received at %.0f, notified at %.0f at the latest, taken as notified at %.0f",
+						t.Fatalf("received at %.0f, notified at %.0f at the latest, but the policy counts it as notified at %.0f",
 							now, latest, notifiedAt)
 					}
 					return
@@ -103,25 +105,25 @@
 				now += policy.IdleDelay(false, polledAt, now)
 			case 1: // answered with an error, at once or after some time
 				now += float64(rapid.IntRange(0, int(wait)).Draw(t, "after"))
-				if updatedAt < now && updatedAt >= polledAt { // the poll would have had it
+				if updatedAt < now && updatedAt >= polledAt { // the poll would have returned the update
 					updatedAt = now
 					latest = max(latest, now)
 				}
 				now += policy.Failed(now, draw())
-			case 2: // unanswered for some time, then the connection breaks
+			case 2: // unanswered for some time until the connection breaks
 				now += float64(rapid.IntRange(0, int(timeout)).Draw(t, "after"))
 				if updatedAt < now {
 					latest = min(latest, max(updatedAt, polledAt)+unansweredPollNotifiedMs)
 				}
 				now += policy.ConnectionLost(polledAt, now, draw())
-			default:
+			default: // unanswered until the timeout
 				now += timeout
 				if updatedAt < now {
 					latest = min(latest, max(updatedAt, polledAt)+unansweredPollNotifiedMs)
 				}
 				backoff := policy.TimedOut(polledAt, now, draw())
 				if backoff > 0.4*grace {
-					t.Fatalf("polls again after %.0f ms, the grace period is %.0f ms", backoff, grace)
+					t.Fatalf("polls again %.0f ms after a timeout, want at most 0.4 of the grace period of %.0f ms", backoff, grace)
 				}
 				now += backoff
 			}
@@ -129,9 +131,10 @@
 	})
 }
 
-// A watch whose connection breaks after some time has missed as much as one that times out: an agent's updates count
-// since the watch began, a shared discovery's 6 s later. It is repeated as soon, any number of times. Connections that
-// break at once make the backoff from an overloaded discovery grow.
+// After a watch whose connection breaks after some time, updates count as missed in the same way as after a timeout:
+// from the start of the watch with an agent, from 6 s later with a shared discovery. The watch is also repeated as soon
+// as after a timeout, any number of times. Connections that break at once increase the backoff, because a shared
+// discovery may be overloaded.
 func TestPollPolicyConnectionLost(t *testing.T) {
 	for _, test := range []struct {
 		pushed         bool
@@ -148,19 +151,19 @@
 			for range 5 {
 				backoff := policy.ConnectionLost(now, now+1500, 0.999)
 				if backoff > 0.4*policy.DrainGraceMs {
-					t.Errorf("repeated after %.0f ms", backoff)
+					t.Errorf("polls again %.0f ms after the connection broke, want at most 0.4 of the grace period", backoff)
 				}
 				now += 1500 + backoff
 			}
 			if _, notifiedAt := policy.Answered(now); notifiedAt != test.wantNotifiedAt {
-				t.Errorf("counts as notified at %.0f, not %.0f", notifiedAt, test.wantNotifiedAt)
+				t.Errorf("the answer counts as notified at %.0f, want %.0f", notifiedAt, test.wantNotifiedAt)
 			}
 			backoff := 0.0
 			for range 6 {
 				backoff = policy.ConnectionLost(now, now, 0.5)
 			}
 			if !test.pushed && backoff < 2000 {
-				t.Errorf("a discovery that resets all connections is polled again after %.0f ms", backoff)
+				t.Errorf("a discovery that resets all connections is polled again after %.0f ms, want at least 2000", backoff)
 			}
 		})
 	}
@@ -170,16 +173,16 @@
 func TestPollPolicyIdleDelay(t *testing.T) {
 	var policy PollPolicy
 	if delay := policy.IdleDelay(true, 1000, 1000); delay != 0 {
-		t.Errorf("a delay of %v after an update", delay)
+		t.Errorf("a delay of %v ms after an update, want none", delay)
 	}
 	if delay := policy.IdleDelay(false, 1000, 1150); delay != 0 {
-		t.Errorf("a delay of %v after a slow answer", delay)
+		t.Errorf("a delay of %v ms after a slow answer, want none", delay)
 	}
 	if delay := policy.IdleDelay(false, 1000, 1010); delay < 50 || delay >= 200 {
-		t.Errorf("a delay of %v", delay)
+		t.Errorf("a delay of %v ms after an immediate answer without an update, want 50 to 200", delay)
 	}
 	if _, notifiedAt := policy.Answered(1100); notifiedAt != 1010 {
-		t.Errorf("an update of the delay counts as notified at %v", notifiedAt)
+		t.Errorf("an update during the delay counts as notified at %v, want 1010", notifiedAt)
 	}
 }
 
@@ -187,46 +190,47 @@
 func TestPollPolicyWithoutDrainGrace(t *testing.T) {
 	for _, policy := range []PollPolicy{{Pushed: true}, {}} {
 		if backoff := min(policy.Failed(0, 0), policy.TimedOut(0, 0, 0)); backoff < 5 {
-			t.Errorf("pushed %v: no delay after a failure: %v", policy.Pushed, backoff)
+			t.Errorf("pushed %v: polls again %v ms after a failure, want at least 5", policy.Pushed, backoff)
 		}
 	}
 }
 
-// Watches of a fleet that knows its slots get longer with its size, so that their sum does not grow; others don't.
+// If the gateways know their slots, watches get longer with the fleet's size, so that the fleet's rate of polls does not
+// grow. If they don't know their slots, the length of watches is constant.
 func TestPollPolicySharedDiscovery(t *testing.T) {
 	policy := PollPolicy{SlotSchedule: SlotSchedule{300, -1}, DrainGraceMs: 2000}
 	if wait, timeout := policy.NextPoll(false); wait != 0 || timeout != 4000 {
-		t.Errorf("first poll: %.0f, %.0f", wait, timeout)
+		t.Errorf("first poll: wait %.0f ms, timeout %.0f ms, want 0 and 4000", wait, timeout)
 	}
 	if policy.FirstDelay(false, 0.5) != 0 || policy.FirstDelay(true, 0.5) != 600 || policy.AddressChangeDelay(0.5) != 500 {
-		t.Error("spread of first polls")
+		t.Error("the delays of the first poll and of the poll after a change of address are not 0, 600 and 500 ms")
 	}
 	first, _ := policy.Answered(1)
 	if second, _ := policy.Answered(2); !first || second || !policy.HasAnswer() {
-		t.Error("which answer is the first")
+		t.Error("only the first answer must be reported as the first")
 	}
 	if wait, timeout := policy.NextPoll(true); wait != 2000 || timeout != 3000 {
-		t.Errorf("watch: %.0f, %.0f", wait, timeout)
+		t.Errorf("watch: wait %.0f ms, timeout %.0f ms, want 2000 and 3000", wait, timeout)
 	}
 	policy.Slot = 5
 	if wait, _ := policy.NextPoll(true); wait != 6000 {
-		t.Errorf("watch of a gateway that knows its slot: %.0f", wait)
+		t.Errorf("watch of a gateway that knows its slot: wait %.0f ms, want 6000", wait)
 	}
 	if backoff := policy.Failed(3, 0.5); backoff != 100 {
-		t.Errorf("a watch that fails is retried after %.0f", backoff)
+		t.Errorf("a watch that fails is retried after %.0f ms, want 100", backoff)
 	}
 	backoff := 0.0
 	for range 10 {
 		backoff = policy.Failed(4, 0.5)
 	}
 	if backoff != 12_000 {
-		t.Errorf("the longest backoff is %.0f", backoff)
+		t.Errorf("the longest backoff is %.0f ms, want 12000", backoff)
 	}
 	if policy.TimedOut(4, 5, 0.999) > 0.4*2000 {
-		t.Error("after a time-out the gateway waits for more than the drain grace period")
+		t.Error("after a timeout the gateway waits for more than 0.4 of the drain grace period")
 	}
 	policy.AddressChanged(6)
 	if policy.HasAnswer() || policy.Failed(7, 0.5) != 3000 {
-		t.Error("a new address does not start anew")
+		t.Error("a change of address does not reset the policy")
 	}
 }
--- a/fleet/slot_schedule_test.go
+++ b/fleet/slot_schedule_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// The slots of one cycle are apart by the gap; each gateway gets one and waits for the minimum.
+// Every gateway gets its own slot of a cycle, and no gateway calls before the least wait is over.
 func TestNextSlotIsDistinct(t *testing.T) {
 	seen := map[float64]bool{}
 	for slot := range 300 {
 		at := SlotSchedule{GatewayCount: 300, Slot: slot}.NextSlot(5000.3, 50, 2)
 		if at < 5050.3 || at > 5050.3+600 || seen[math.Round(at)] {
-			t.Fatalf("slot %d: %.1f", slot, at)
+			t.Fatalf("slot %d: the next call is at %.1f, want a time of its own from 5050.3 to 5650.3", slot, at)
 		}
 		seen[math.Round(at)] = true
 	}
@@ -28,7 +28,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.schedule.NextSlot(5000, 50, 2); got != test.want {
-				t.Errorf("at %.1f, want %.1f", got, test.want)
+				t.Errorf("the next call is at %.1f, want %.1f", got, test.want)
 			}
 		})
 	}
@@ -36,6 +36,6 @@
 
 func TestInterval(t *testing.T) {
 	if got := (SlotSchedule{GatewayCount: 300}).Interval(500, 2); got != 600 {
-		t.Errorf("every %.0f ms", got)
+		t.Errorf("a call every %.0f ms, want 600", got)
 	}
 }
--- a/fleet/slow_start_limit_test.go
+++ b/fleet/slow_start_limit_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Forty gateways limit what they send to warming hosts, each by its own estimate of the others. The sum stays within
-// the limit, also while half of them don't know a third of the fleet, and while their count of gateways is wrong by
-// half.
-func TestSlowStartLimitHoldsInSum(t *testing.T) {
+// Forty gateways limit their traffic to warming hosts, each by its own estimate of the others' traffic. The sum of their
+// traffic stays below the overload threshold, even if half of them don't know a third of the fleet, or if the number of
+// gateways that they assume is wrong by half.
+func TestSlowStartLimitHoldsForSumOfGateways(t *testing.T) {
 	const gatewayCount, hostCount, groupRate = 40, 6, 1200.0
 	limit := SlowStartLimit{
 		HostCount: hostCount, OverloadMultiple: 2.5, UsableShare: 0.8, OverloadWindowMs: 1000, AttemptsPerRequest: 1,
@@ -51,8 +51,8 @@
 				}
 			}
 			for host, rate := range rates {
-				if most := 2.5 * capacityShares[host] * groupRate / hostCount; capacityShares[host] < 1 && rate > most {
-					t.Errorf("host %d gets %.0f requests a second and is overloaded at %.0f", host, rate, most)
+				if overload := 2.5 * capacityShares[host] * groupRate / hostCount; capacityShares[host] < 1 && rate > overload {
+					t.Errorf("host %d gets %.0f requests a second and is overloaded above %.0f", host, rate, overload)
 				}
 			}
 		})
--- a/fleet/subset_assignment_test.go
+++ b/fleet/subset_assignment_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// For any sizes: a subset has no host twice, no host is in more than a tenth above the mean number of subsets, and the
-// order of preference has every host once. Every gateway computes the same assignment as the others.
+// For any number of gateways and hosts, the order of preference contains every host once, so a subset contains no host
+// twice. The number of subsets that contain a host is bounded by 1.1 times the mean. All gateways compute the same
+// assignment.
 func TestAssignSubsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gatewayCount, hostCount := rapid.IntRange(1, 80).Draw(t, "gateways"), rapid.IntRange(1, 30).Draw(t, "hosts")
@@ -24,28 +25,28 @@
 		}
 		order := assignment.PreferenceOrder()
 		if want := min(size, hostCount); assignment.SubsetSize() != want || len(order) != hostCount {
-			t.Fatalf("subsets of %d, order of %d", assignment.SubsetSize(), len(order))
+			t.Fatalf("subsets of %d hosts, order of %d hosts", assignment.SubsetSize(), len(order))
 		}
 		for i, host := range slices.Sorted(slices.Values(order)) {
 			if host != i {
-				t.Fatalf("the order is no permutation: %v", order)
+				t.Fatalf("the order is not a permutation of the hosts: %v", order)
 			}
 		}
 		maxCount := int(math.Ceil(float64(assignment.SubsetSize()*gatewayCount) / float64(hostCount) * 1.1))
 		for host, count := range assignment.SubsetCounts() {
 			if assignment.SubsetSize() < hostCount && count > maxCount {
-				// a host may be in more subsets only if all others of a gateway were at the bound
+				// a host may be in more subsets only if a gateway found no other host below the bound
 				if count > maxCount+assignment.SubsetSize() {
-					t.Fatalf("host %d is in %d subsets, %d at most", host, count, maxCount)
+					t.Fatalf("host %d is in %d subsets, the bound is %d", host, count, maxCount)
 				}
 			}
 		}
 	})
 }
 
-// With 300 gateways and 120 hosts in twelve groups of ten, no host is in more than 1.11 times the mean number of
-// subsets, in ten fleets. Most picks are in the gateway's own zone.
-func TestAssignSubsetsIsEven(t *testing.T) {
+// In ten fleets of 300 gateways and twelve groups of ten hosts, no host is in more than 1.11 times the mean number of
+// subsets. Most hosts of a subset are in the gateway's own zone.
+func TestAssignSubsetsBalancesHosts(t *testing.T) {
 	imbalance := func(s *SubsetAssignment) float64 {
 		sum := 0
 		for _, count := range s.SubsetCounts() {
@@ -65,7 +66,7 @@
 			}
 			assignment := AssignSubsets(NewNamedRoster(gateways[0], gateways), hosts, 2)
 			if got := imbalance(assignment); got > 1.11 {
-				t.Errorf("fleet %d, group %d: a host is in %.2f times the mean number of subsets", fleet, group, got)
+				t.Errorf("fleet %d, group %d: a host is in %.2f times the mean number of subsets, want at most 1.11", fleet, group, got)
 			}
 			inOwnZone := 0
 			for gateway := range gateways {
@@ -76,14 +77,14 @@
 				}
 			}
 			if inOwnZone < 540 {
-				t.Errorf("%d of 600 picks are in the gateway's own zone", inOwnZone)
+				t.Errorf("%d of 600 picks are in the gateway's own zone, want at least 540", inOwnZone)
 			}
 		}
 	}
 }
 
-// movedHosts counts, over the first gateways of two assignments, the hosts that are in a gateway's subset before and
-// not after: the largest number for one host, and the sum.
+// movedHosts compares the subsets of the first gatewayCount gateways in two assignments. For each host it counts the
+// subsets that contain the host before and not after, and it returns the largest count and the sum of the counts.
 func movedHosts(before, after *SubsetAssignment, gatewayCount int) (most, sum int) {
 	movedByHost := map[string]int{}
 	for gateway := range gatewayCount {
@@ -100,9 +101,9 @@
 	return most, sum
 }
 
-// One gateway more moves at most two subsets at a host, a tenth more gateways move few, one host more moves about its
-// own share.
-func TestAssignSubsetsMovesLittle(t *testing.T) {
+// When a gateway joins, each host leaves at most two subsets. When the fleet grows by a tenth, few hosts move between
+// subsets. When a host is added, about as many move as the new host is assigned to.
+func TestAssignSubsetsMovesFewHosts(t *testing.T) {
 	gateways := newGateways(400, 0, nil)
 	for i := range gateways {
 		gateways[i].Name = fmt.Sprintf("%04d", i)
@@ -116,14 +117,14 @@
 		most, _ := movedHosts(before, assign(count+1, 10), count)
 		worst = max(worst, most)
 		if _, sum := movedHosts(before, assign(count+count/10, 10), count); sum > count/4 {
-			t.Errorf("%d gateways and a tenth more: %d of %d subsets' hosts moved", count, sum, 2*count)
+			t.Errorf("from %d gateways to a tenth more: %d of %d picks moved, want at most an eighth", count, sum, 2*count)
 		}
 	}
 	if worst > 2 {
-		t.Errorf("one gateway more moved %d subsets at one host", worst)
+		t.Errorf("one more gateway removed a host from %d subsets, want at most 2", worst)
 	}
 	if _, sum := movedHosts(assign(300, 10), assign(300, 11), 300); sum > 150 {
-		t.Errorf("one host more moved %d of 600", sum)
+		t.Errorf("one more host moved %d of 600 picks, want at most 150", sum)
 	}
 }
 
--- a/fleet/token_bucket_test.go
+++ b/fleet/token_bucket_test.go
@@ -11,6 +11,6 @@
 		}
 	}
 	if taken < 200 || taken > 208 {
-		t.Errorf("%d tokens in ten seconds at 20 a second", taken)
+		t.Errorf("took %d tokens in ten seconds at 20 a second, want 200 to 208", taken)
 	}
 }
--- a/fleet/traffic_shares_test.go
+++ b/fleet/traffic_shares_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The fleet's shares sum to 1 and are the same on every gateway, and they are the mean of the gateways' own shares
-// weighted by load.
+// The fleet shares sum to 1 and are the same on every gateway. Each is the mean of the gateways' own shares weighted by
+// their loads.
 func TestTrafficShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gatewayCount, hostCount := rapid.IntRange(1, 40).Draw(t, "gateways"), rapid.IntRange(1, 12).Draw(t, "hosts")
@@ -31,7 +31,7 @@
 			for host := range fleetShares {
 				ownSum[host] += ownShares[host] * self.Load
 				if math.Abs(fleetShares[host]-expected[host]) > 1e-9 {
-					t.Fatalf("host %d: %v and %v", host, fleetShares[host], expected[host])
+					t.Fatalf("host %d: two gateways compute the fleet shares %v and %v", host, fleetShares[host], expected[host])
 				}
 			}
 			totalLoad += self.Load
@@ -40,12 +40,12 @@
 		for host := range ownSum {
 			sum += expected[host]
 			if math.Abs(ownSum[host]/totalLoad-expected[host]) > 1e-9 {
-				t.Fatalf("host %d: the gateways' own shares make %v, the fleet's share is %v",
+				t.Fatalf("host %d: the weighted mean of the gateways' own shares is %v, the fleet share is %v",
 					host, ownSum[host]/totalLoad, expected[host])
 			}
 		}
 		if math.Abs(sum-1) > 1e-9 {
-			t.Fatalf("the shares sum to %v", sum)
+			t.Fatalf("the fleet shares sum to %v, want 1", sum)
 		}
 	})
 }
