--- a/internal/faultsim/emulate.go
+++ b/internal/faultsim/emulate.go
@@ -220,7 +220,7 @@
 // send encodes a datagram, counts it and schedules its arrivals.
 func (em *Emulation) send(sender *emulatedGateway, action *membership.Send) {
 	encoded, err := transport.Encode(em.buffer[:0], &action.Message)
-	size := len(encoded) + transport.SealBytes
+	size := len(encoded) + transport.SealOverhead
 	if err == nil && size > membership.MaxDatagramBytes {
 		err = fmt.Errorf("a %s of %d bytes is too large", action.Message.Kind, size)
 	}
--- a/internal/transport/codec_test.go
+++ b/internal/transport/codec_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(data) + SealBytes
+	return len(data) + SealOverhead
 }
 
 // The sizes that membership counts with are upper bounds of what is sent.
--- a/internal/transport/seal.go
+++ b/internal/transport/seal.go
@@ -30,8 +30,8 @@
 	headerSize     = counterOffset + counterSize
 	macSize        = 16
 
-	// SealBytes is what sealing adds to a body, in bytes.
-	SealBytes = headerSize + macSize
+	// SealOverhead is what sealing adds to a body, in bytes.
+	SealOverhead = headerSize + macSize
 	// MinKeyBytes is the least length of a key.
 	MinKeyBytes = 16
 )
@@ -130,7 +130,7 @@
 
 // hasValidHeader returns whether a datagram has a possible size and begins as one of this format.
 func hasValidHeader(data []byte) bool {
-	return len(data) >= SealBytes &&
+	return len(data) >= SealOverhead &&
 		len(data) <= membership.MaxDatagramBytes &&
 		string(data[:len(magic)]) == magic &&
 		data[len(magic)] == formatVersion
