--- a/internal/server/fleet_config.go
+++ b/internal/server/fleet_config.go
@@ -29,12 +29,12 @@
 		return nil, err
 	}
 	config := &transport.Config{
-		Name:      gateway,
-		FleetName: f.Name,
-		Listen:    f.Listen,
-		Zone:      f.Zone,
-		Version:   uint8(f.MessageVersion),
-		Seed:      seed,
+		Name:       gateway,
+		FleetName:  f.Name,
+		Listen:     f.Listen,
+		Zone:       f.Zone,
+		Version:    uint8(f.MessageVersion),
+		RandomSeed: seed,
 	}
 	var err error
 	if f.Advertise != "" {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -17,16 +17,16 @@
 
 // Config says how this gateway takes part in a fleet.
 type Config struct {
-	Name      string           // of the gateway
-	FleetName string           // of the fleet: datagrams of other fleets are dropped
-	Listen    string           // the address to receive on
-	Advertise netip.AddrPort   // the address that the other members send to; not valid: the address listened on
-	Zone      string           // of the gateway
-	Version   uint8            // of messages, during an upgrade from an older version; 0: the newest
-	Seeds     []netip.AddrPort // members to join through
-	Keys      [][]byte         // as for NewSealer
-	Networks  *netipx.IPSet    // from which datagrams are accepted; nil: from any
-	Seed      uint64           // of the view's random draws
+	Name       string           // of the gateway
+	FleetName  string           // of the fleet: datagrams of other fleets are dropped
+	Listen     string           // the address to receive on
+	Advertise  netip.AddrPort   // the address that the other members send to; not valid: the address listened on
+	Zone       string           // of the gateway
+	Version    uint8            // of messages, during an upgrade from an older version; 0: the newest
+	Seeds      []netip.AddrPort // members to join through
+	Keys       [][]byte         // as for NewSealer
+	Networks   *netipx.IPSet    // from which datagrams are accepted; nil: from any
+	RandomSeed uint64           // of the view's random draws
 }
 
 // Transport drives a membership.View on an event loop: it passes on the messages that arrive and sends those that the
@@ -93,7 +93,7 @@
 		Version: config.Version,
 		BootID:  newBootID(),
 		Seeds:   config.Seeds,
-	}, config.Seed)
+	}, config.RandomSeed)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -37,7 +37,7 @@
 }
 
 func testConfig(name string) Config {
-	return Config{Name: name, FleetName: "fleet", Listen: "127.0.0.1:0", Keys: [][]byte{[]byte(testKey)}, Seed: 1}
+	return Config{Name: name, FleetName: "fleet", Listen: "127.0.0.1:0", Keys: [][]byte{[]byte(testKey)}, RandomSeed: 1}
 }
 
 // runUntil runs a loop and steps a transport, for some rounds at most, until a condition holds.
