--- a/internal/transport/drop.go
+++ b/internal/transport/drop.go
@@ -20,8 +20,8 @@
 	ErrBadMAC = errors.New("its MAC is wrong")
 	// ErrReplay is the reason for a datagram that has arrived before, or whose counter is too old to know.
 	ErrReplay = errors.New("a replay")
-	// ErrNetwork is the reason for a datagram from outside Config.Networks.
-	ErrNetwork = errors.New("from outside the allowed networks")
+	// ErrDisallowedNetwork is the reason for a datagram from outside Config.Networks.
+	ErrDisallowedNetwork = errors.New("from outside the allowed networks")
 )
 
 // dropLogIntervalMs is the least time between two log lines about dropped datagrams. All are counted.
@@ -39,7 +39,7 @@
 	{ErrUnknownKey, "key"},
 	{ErrBadMAC, "mac"},
 	{ErrReplay, "replay"},
-	{ErrNetwork, "network"},
+	{ErrDisallowedNetwork, "network"},
 	{ErrUnsupportedVersion, "version"},
 }
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -155,7 +155,7 @@
 	t.counters.received.Inc()
 	t.counters.bytesReceived.Add(len(data))
 	if t.allowedNetworks != nil && !t.allowedNetworks.Contains(from.Addr()) {
-		t.drop(from, ErrNetwork)
+		t.drop(from, ErrDisallowedNetwork)
 		return
 	}
 	message, counter, err := t.sealer.Open(data)
