--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -6,12 +6,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// body is the body of a datagram: CBOR (RFC 8949) with numbers for keys. A newer version can add keys, which an older
-// one ignores; a message that an older version must not read names the least version that may in Needs.
+// body is the body of a datagram, encoded as CBOR (RFC 8949) with integer keys. A newer version can add keys, which older
+// versions ignore. A message that older versions must not read gives the lowest version that may read it in MinVersion.
 type body struct {
 	Kind        uint8    `cbor:"1,keyasint"`
 	Version     uint8    `cbor:"2,keyasint,omitempty"`
-	Needs       uint8    `cbor:"3,keyasint,omitempty"`
+	MinVersion  uint8    `cbor:"3,keyasint,omitempty"`
 	From        uint64   `cbor:"4,keyasint"`
 	BootID      uint64   `cbor:"5,keyasint"`
 	Incarnation uint64   `cbor:"6,keyasint"`
@@ -25,7 +25,7 @@
 	Records     []record `cbor:"14,keyasint,omitempty"`
 }
 
-// rumor is a membership.Rumor in a body.
+// rumor is the encoding of a membership.Rumor in a body.
 type rumor struct {
 	Subject     uint64   `cbor:"1,keyasint"`
 	Incarnation uint64   `cbor:"2,keyasint"`
@@ -34,7 +34,7 @@
 	BootTag     uint32   `cbor:"5,keyasint,omitempty"`
 }
 
-// record is a membership.Record in a body.
+// record is the encoding of a membership.Record in a body.
 type record struct {
 	Name           string `cbor:"1,keyasint"`
 	Addr           []byte `cbor:"2,keyasint"`
@@ -47,15 +47,15 @@
 	PayloadVersion uint64 `cbor:"9,keyasint,omitempty"`
 }
 
-// Limits on what is decoded, whatever a sender claims.
+// Limits on decoded messages. They hold for any input, so a sender can't make the decoder exceed them.
 const (
 	maxBuckets     = 64
 	maxRumors      = 128
 	maxRecords     = 64
-	maxAccusers    = 8 // of a rumor
+	maxAccusers    = 8 // accusers of one rumor
 	maxIncarnation = 1 << 62
 
-	maxArrayElements = 128 // of any array: the largest of the limits above
+	maxArrayElements = 128 // elements of any array: the largest of the limits above
 	maxMapPairs      = 64
 	maxNestedLevels  = 6
 )
@@ -73,7 +73,7 @@
 	}.DecMode())
 )
 
-// mustMode panics where the constant options above are wrong.
+// mustMode returns a CBOR mode. It panics if the constant options above are invalid.
 func mustMode[T any](mode T, err error) T {
 	if err != nil {
 		panic(err)
@@ -81,5 +81,5 @@
 	return mode
 }
 
-// ErrUnsupportedVersion is returned for a message that only a newer version can read.
-var ErrUnsupportedVersion = errors.New("the message needs a newer version")
+// ErrUnsupportedVersion is the error for a message that only a newer protocol version can read.
+var ErrUnsupportedVersion = errors.New("message requires a newer protocol version")
--- a/internal/transport/decode.go
+++ b/internal/transport/decode.go
@@ -7,14 +7,14 @@
 	"merlinjunction/membership"
 )
 
-// Sizes of an encoded address and port.
+// Sizes in bytes of an encoded address and port.
 const (
 	ipv4AddrPortSize = 4 + 2
-	ipv6AddrPortSize = 16 + 2 // without a zone
+	ipv6AddrPortSize = 16 + 2 // without an IPv6 zone
 )
 
-// Decode reads the body of a message. It returns ErrUnsupportedVersion for a message that only a newer version can
-// read; any other error says what is wrong with the body.
+// Decode decodes the body of a datagram. It returns ErrUnsupportedVersion for a message that only a newer version can
+// read. Any other error says what is wrong with the body.
 func Decode(data []byte) (membership.Message, error) {
 	var encoded body
 	if err := decodeMode.Unmarshal(data, &encoded); err != nil {
@@ -57,25 +57,26 @@
 	return m, nil
 }
 
-// checkBody returns ErrUnsupportedVersion, or which field besides the rumors and records is out of range.
+// checkBody checks a body except for the contents of rumors, records and addresses. It returns ErrUnsupportedVersion or
+// an error that names the fields of which one is out of range.
 func checkBody(encoded *body) error {
 	switch {
-	case encoded.Needs > membership.Version:
+	case encoded.MinVersion > membership.Version:
 		return ErrUnsupportedVersion
 	case !membership.Kind(encoded.Kind).Known() || encoded.BootID == 0 || !isValidIncarnation(encoded.Incarnation):
-		return fmt.Errorf("decode: kind %d, boot %d or incarnation %d is out of range",
+		return fmt.Errorf("decode: kind %d, boot ID %d or incarnation %d is out of range",
 			encoded.Kind, encoded.BootID, encoded.Incarnation)
 	case len(encoded.Buckets) > maxBuckets || len(encoded.Rumors) > maxRumors || len(encoded.Records) > maxRecords:
-		return fmt.Errorf("decode: %d digests, %d rumors or %d records are too many",
+		return fmt.Errorf("decode: %d buckets, %d rumors or %d records are too many",
 			len(encoded.Buckets), len(encoded.Rumors), len(encoded.Records))
 	}
 	return nil
 }
 
-// decodeRumor checks and converts a rumor; the error says that a field is out of range.
+// decodeRumor checks and converts a rumor. It returns an error if a field is out of range.
 func decodeRumor(encoded *rumor) (membership.Rumor, error) {
 	if !isKnownState(encoded.State) || !isValidIncarnation(encoded.Incarnation) || len(encoded.Accusers) > maxAccusers {
-		return membership.Rumor{}, fmt.Errorf("decode: a rumor's state %d, incarnation or accusers are out of range",
+		return membership.Rumor{}, fmt.Errorf("decode: state %d, incarnation or accusers of a rumor are out of range",
 			encoded.State)
 	}
 	decoded := membership.Rumor{
@@ -90,7 +91,7 @@
 	return decoded, nil
 }
 
-// decodeRecord checks and converts a record; the error says that a field is out of range or the address is malformed.
+// decodeRecord checks and converts a record. It returns an error if a field is out of range or the address is malformed.
 func decodeRecord(encoded *record) (membership.Record, error) {
 	if !isValidRecord(encoded) {
 		return membership.Record{}, fmt.Errorf("decode: a field of the record of %.64q is out of range", encoded.Name)
@@ -112,7 +113,7 @@
 	}, nil
 }
 
-// isValidRecord returns whether the fields of a record besides its address are in range.
+// isValidRecord reports whether all fields of a record except its address are in range.
 func isValidRecord(encoded *record) bool {
 	return isKnownState(encoded.State) &&
 		isValidIncarnation(encoded.Incarnation) &&
@@ -131,13 +132,13 @@
 	return state >= uint8(membership.Alive) && state <= uint8(membership.Left)
 }
 
-// decodeAddr decodes an address and port; no bytes stand for an address that is not valid.
+// decodeAddr decodes an address and port. Empty data stands for an invalid address.
 func decodeAddr(data []byte) (addr netip.AddrPort, err error) {
 	if len(data) == 0 {
 		return addr, nil
 	}
 	if len(data) != ipv4AddrPortSize && len(data) != ipv6AddrPortSize {
-		return addr, fmt.Errorf("decode: %d bytes are no address", len(data))
+		return addr, fmt.Errorf("decode: an address and port of %d bytes, want 0, 6 or 18", len(data))
 	}
 	if err = addr.UnmarshalBinary(data); err != nil {
 		return addr, fmt.Errorf("decode: address: %w", err)
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,10 +1,9 @@
-// Package transport carries the membership protocol's datagrams. It encodes and authenticates the messages of a
-// membership.View and drives the View on the program's event loop; what the messages say is decided in package
-// membership.
+// Package transport sends and receives the membership protocol's datagrams. It encodes and authenticates the messages of
+// a membership.View and runs the View on the program's event loop. Package membership decides what the messages contain.
 //
-// A datagram that arrives passes through, in this order: the allowed networks (Transport), the message authentication
-// code (Sealer), the decoder (Decode) and the ReplayFilter. One that fails a check is dropped, counted by reason and
-// logged at most once a second.
+// A received datagram is checked in this order: the source address against the allowed networks (Transport), the message
+// authentication code (Sealer), the body (Decode) and the counter (ReplayFilter). A datagram that fails a check is
+// dropped and counted by reason. Dropped datagrams are logged at most once a second.
 //
-// All calls come from the goroutine of the event loop; nothing here is safe for concurrent use.
+// All calls must come from the goroutine of the event loop; nothing in this package is safe for concurrent use.
 package transport
--- a/internal/transport/drop.go
+++ b/internal/transport/drop.go
@@ -8,28 +8,28 @@
 	"go.uber.org/zap"
 )
 
-// Errors that say why a datagram is dropped, besides ErrUnsupportedVersion and the other errors of Decode.
+// Errors that say why a datagram is dropped. The errors of Decode, such as ErrUnsupportedVersion, are further ones.
 var (
-	// ErrMalformed is returned for a datagram that is truncated, too large or not of this format.
-	ErrMalformed = errors.New("truncated, too large or no datagram of this kind")
-	// ErrOtherFleet is returned for a datagram of another fleet.
-	ErrOtherFleet = errors.New("of another fleet")
-	// ErrUnknownKey is returned for a datagram under a key that is not configured here.
-	ErrUnknownKey = errors.New("under an unknown key")
-	// ErrBadMAC is returned for a datagram whose message authentication code is wrong.
-	ErrBadMAC = errors.New("its MAC is wrong")
-	// ErrReplay is the reason for a datagram that has arrived before, or whose counter is too old to know.
-	ErrReplay = errors.New("a replay")
-	// ErrDisallowedNetwork is the reason for a datagram from outside Config.Networks.
-	ErrDisallowedNetwork = errors.New("from outside the allowed networks")
+	// ErrMalformed is the error for a datagram that is truncated, too large or of another format.
+	ErrMalformed = errors.New("datagram is truncated, too large or of another format")
+	// ErrOtherFleet is the error for a datagram of another fleet.
+	ErrOtherFleet = errors.New("datagram belongs to another fleet")
+	// ErrUnknownKey is the error for a datagram that is sealed under a key that is not configured.
+	ErrUnknownKey = errors.New("datagram is sealed under an unknown key")
+	// ErrBadMAC is the error for a datagram whose message authentication code is wrong.
+	ErrBadMAC = errors.New("message authentication code is wrong")
+	// ErrReplay is the error for a datagram that has arrived before, or whose counter is too old to tell.
+	ErrReplay = errors.New("datagram is a replay or its counter is too old")
+	// ErrDisallowedNetwork is the error for a datagram from an address outside Config.Networks.
+	ErrDisallowedNetwork = errors.New("source address is outside the allowed networks")
 )
 
-// dropLogIntervalMs is the least time between two log lines about dropped datagrams. All are counted.
+// dropLogIntervalMs is the least time between two log messages about dropped datagrams. All of them are counted.
 const dropLogIntervalMs = 1000.0
 
 const reasonMalformed = "malformed"
 
-// dropReasons are the values of the label reason of the counter of dropped datagrams.
+// dropReasons maps errors to values of the label "reason" of the counter datagrams_dropped_total.
 var dropReasons = []struct {
 	err    error
 	reason string
@@ -43,7 +43,8 @@
 	{ErrUnsupportedVersion, "version"},
 }
 
-// dropReason returns the reason for an error; any other error of Decode means malformed.
+// dropReason returns the label value for an error. Errors without an entry in dropReasons come from Decode and count as
+// malformed.
 func dropReason(err error) string {
 	for _, known := range dropReasons {
 		if errors.Is(err, known.err) {
@@ -53,7 +54,7 @@
 	return reasonMalformed
 }
 
-// drop counts a datagram that is not accepted, and logs it if none was logged lately.
+// drop counts a dropped datagram, and logs it unless one was logged less than dropLogIntervalMs ago.
 func (t *Transport) drop(from netip.AddrPort, err error) {
 	reason := dropReason(err)
 	name := fmt.Sprintf(metricPrefix+`datagrams_dropped_total{reason=%q}`, reason)
--- a/internal/transport/encode.go
+++ b/internal/transport/encode.go
@@ -7,8 +7,8 @@
 	"merlinjunction/membership"
 )
 
-// Encode appends the body of a message to a buffer. An error means that the encoder failed; there is no message that
-// it can't encode.
+// Encode appends the encoded body of a message to a buffer. Every message can be encoded, so an error means that the
+// encoder itself failed.
 func Encode(buffer []byte, m *membership.Message) ([]byte, error) {
 	encoded := body{
 		Kind:        uint8(m.Kind),
@@ -32,7 +32,7 @@
 	return append(buffer, data...), nil
 }
 
-// encodeRumors converts rumors; nil where there are none, so that the key is left out.
+// encodeRumors converts rumors. It returns nil if there are none, so that the key is omitted from the body.
 func encodeRumors(rumors []membership.Rumor) []rumor {
 	if len(rumors) == 0 {
 		return nil
@@ -52,7 +52,7 @@
 	return encoded
 }
 
-// encodeRecords converts records; nil where there are none, so that the key is left out.
+// encodeRecords converts records. It returns nil if there are none, so that the key is omitted from the body.
 func encodeRecords(records []membership.Record) []record {
 	if len(records) == 0 {
 		return nil
@@ -74,7 +74,7 @@
 	return encoded
 }
 
-// encodeAddr encodes an address and port; no bytes stand for an address that is not valid.
+// encodeAddr encodes an address and port. It returns nil for an invalid address.
 func encodeAddr(addr netip.AddrPort) []byte {
 	if !addr.IsValid() {
 		return nil
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -10,18 +10,19 @@
 
 const metricPrefix = "merlinjunction_fleet_"
 
-// counters are the counters of a Transport. Those of dropped datagrams are made on demand, by reason.
+// counters holds the counters of a Transport, except those of dropped datagrams, which are created on demand for each
+// reason.
 type counters struct {
-	received      *metrics.Counter // datagrams, also those that are dropped
+	received      *metrics.Counter // received datagrams, including those that are dropped
 	bytesReceived *metrics.Counter
 	sent          *metrics.Counter
 	bytesSent     *metrics.Counter
-	unsent        *metrics.Counter // datagrams that the system did not take
-	steps         *metrics.Counter // of the view
+	unsent        *metrics.Counter // datagrams that the operating system did not accept
+	steps         *metrics.Counter // steps of the view
 	memberChanges map[membership.State]*metrics.Counter
 }
 
-// registerMetrics creates the counters and the gauges of the view.
+// registerMetrics creates the counters and the gauges.
 func (t *Transport) registerMetrics() {
 	counter := func(name string) *metrics.Counter { return t.metricSet.NewCounter(metricPrefix + name) }
 	t.counters = counters{
@@ -60,7 +61,7 @@
 	}
 }
 
-// partialGauge is 1 while the view sees only a part of the fleet, otherwise 0.
+// partialGauge returns 1 if the view sees only a part of the fleet, and 0 otherwise.
 func partialGauge(s membership.Summary) float64 {
 	if s.Partial {
 		return 1
--- a/internal/transport/payload.go
+++ b/internal/transport/payload.go
@@ -8,15 +8,15 @@
 	"merlinjunction/membership"
 )
 
-// Payload is what a gateway publishes of itself to the other members of its fleet.
+// Payload is the data about itself that a gateway announces to the other members of its fleet.
 type Payload struct {
-	Load float64 `cbor:"1,keyasint,omitempty"` // requests a second that it accepts, rounded; 0: unknown
+	Load float64 `cbor:"1,keyasint,omitempty"` // accepted requests a second, rounded; 0: unknown
 }
 
-// maxLoad bounds the load that is accepted of a member, in requests a second.
+// maxLoad is the highest load in requests a second that is accepted from a member.
 const maxLoad = 1e6
 
-// Bytes returns the payload as a membership record carries it; nil where it can't be encoded.
+// Bytes returns the payload in the encoding of membership records, or nil if it can't be encoded.
 func (p Payload) Bytes() []byte {
 	data, err := encodeMode.Marshal(p)
 	if err != nil || len(data) > membership.MaxPayloadBytes {
@@ -25,7 +25,8 @@
 	return data
 }
 
-// ParsePayload reads a member's payload. One that can't be decoded, or is out of range, gives an empty Payload.
+// ParsePayload decodes a member's payload. It returns an empty Payload if the data can't be decoded or a value is out of
+// range.
 func ParsePayload(data []byte) Payload {
 	var payload Payload
 	if len(data) == 0 || cbor.Unmarshal(data, &payload) != nil || !isValidLoad(payload.Load) {
--- a/internal/transport/roster.go
+++ b/internal/transport/roster.go
@@ -5,8 +5,8 @@
 	"merlinjunction/membership"
 )
 
-// NewRoster returns the gateways that share the hosts: this one and the members that serve according to its view of
-// the fleet.
+// NewRoster returns the roster of the gateways that share the hosts: this one and the members that are serving according
+// to its view of the fleet.
 func NewRoster(self fleet.Gateway, members []membership.Member) *fleet.Roster {
 	var peers []fleet.Gateway
 	for _, m := range members {
@@ -17,8 +17,8 @@
 	return fleet.NewNamedRoster(self, peers)
 }
 
-// isServing returns whether a member in a state counts as a gateway that serves. One that only this gateway can't reach
-// does.
+// isServing reports whether a member in a state counts as a serving gateway. An unreachable member does, because only
+// this gateway can't reach it.
 func isServing(state membership.State) bool {
 	return state == membership.Alive || state == membership.Suspect || state == membership.Unreachable
 }
--- a/internal/transport/seal.go
+++ b/internal/transport/seal.go
@@ -11,13 +11,13 @@
 	"merlinjunction/membership"
 )
 
-// A datagram is a header, a body and a message authentication code (MAC) over both:
+// A datagram consists of a header, a body and a message authentication code (MAC) over both:
 //
 //	"mj" version(1) key tag(4) fleet tag(4) counter(8) | body | HMAC-SHA256, its first 16 bytes
 //
-// The tags are the first bytes of hashes of the key and of the fleet's name. They show at little cost that a datagram
-// is of another fleet or under an unknown key; only the MAC proves anything. The counter grows with each datagram of a
-// process.
+// The tags are the first bytes of hashes of the key and of the fleet's name. They allow a cheap check for datagrams of
+// another fleet or under an unknown key, but only the MAC authenticates a datagram. The counter grows with each datagram
+// that a process sends.
 const (
 	magic         = "mj"
 	formatVersion = 1
@@ -30,18 +30,18 @@
 	headerSize     = counterOffset + counterSize
 	macSize        = 16
 
-	// SealOverhead is what sealing adds to a body, in bytes.
+	// SealOverhead is the number of bytes that sealing adds to a body.
 	SealOverhead = headerSize + macSize
-	// MinKeyBytes is the least length of a key.
+	// MinKeyBytes is the least length of a key in bytes.
 	MinKeyBytes = 16
 )
 
-// Sealer seals datagrams under the first of its keys and opens those under any of them.
+// Sealer seals datagrams under the first of its keys and opens datagrams that are sealed under any of them.
 type Sealer struct {
 	fleetTag [tagSize]byte
 	keys     []sealKey
 	counter  uint64
-	buffer   []byte // of the last sealed datagram
+	buffer   []byte // holds the last sealed datagram
 }
 
 type sealKey struct {
@@ -49,28 +49,28 @@
 	mac hash.Hash
 }
 
-// NewSealer returns a Sealer for the fleet of a name. The errors are those of SetKeys.
+// NewSealer returns a Sealer for the fleet with the given name. Its errors are those of SetKeys.
 func NewSealer(fleet string, keys [][]byte) (*Sealer, error) {
 	s := &Sealer{fleetTag: tagOf("fleet:", []byte(fleet))}
 	return s, s.SetKeys(keys)
 }
 
-// tagOf returns the first bytes of the hash of a text under a prefix.
+// tagOf returns the first bytes of the hash of a prefix and a text.
 func tagOf(prefix string, text []byte) [tagSize]byte {
 	sum := sha256.Sum256(append([]byte(prefix), text...))
 	return [tagSize]byte(sum[:tagSize])
 }
 
-// SetKeys replaces the keys. It fails where there is none or one is shorter than MinKeyBytes, which the error names by
-// its place; the old keys stay then.
+// SetKeys replaces the keys. It returns an error if there is no key or if a key is shorter than MinKeyBytes. The error
+// names the position of that key, counted from 1. On an error, the old keys stay in use.
 func (s *Sealer) SetKeys(keys [][]byte) error {
 	if len(keys) == 0 {
-		return errors.New("no key is given")
+		return errors.New("no keys given, at least one is needed")
 	}
 	var list []sealKey
 	for i, key := range keys {
 		if len(key) < MinKeyBytes {
-			return fmt.Errorf("key %d has %d bytes, %d are needed", i+1, len(key), MinKeyBytes)
+			return fmt.Errorf("key %d has %d bytes, at least %d are needed", i+1, len(key), MinKeyBytes)
 		}
 		list = append(list, sealKey{tag: tagOf("key:", key), mac: hmac.New(sha256.New, key)})
 	}
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Seal returns a message as a datagram, which is valid until the next call. It fails on a message that is too large for
-// a datagram.
+// Seal returns a message as a sealed datagram, which is valid until the next call. It returns an error if the message is
+// too large for a datagram.
 func (s *Sealer) Seal(m *membership.Message) ([]byte, error) {
 	s.counter++
 	key := &s.keys[0]
@@ -94,7 +94,7 @@
 	}
 	s.buffer = key.appendMAC(data, data)
 	if len(s.buffer) > membership.MaxDatagramBytes {
-		return nil, fmt.Errorf("a %s of %d bytes is too large", m.Kind, len(s.buffer))
+		return nil, fmt.Errorf("sealed message of kind %s is too large: %d bytes", m.Kind, len(s.buffer))
 	}
 	return s.buffer, nil
 }
@@ -128,7 +128,7 @@
 	return m, binary.BigEndian.Uint64(data[counterOffset:headerSize]), err
 }
 
-// hasValidHeader returns whether a datagram has a possible size and begins as one of this format.
+// hasValidHeader reports whether a datagram has a valid size and starts with the magic bytes and the format version.
 func hasValidHeader(data []byte) bool {
 	return len(data) >= SealOverhead &&
 		len(data) <= membership.MaxDatagramBytes &&
@@ -136,7 +136,7 @@
 		data[len(magic)] == formatVersion
 }
 
-// keyWithTag returns the first key with a tag; nil where there is none.
+// keyWithTag returns the first key with the given tag, or nil if there is none.
 func (s *Sealer) keyWithTag(tag [tagSize]byte) *sealKey {
 	for i := range s.keys {
 		if s.keys[i].tag == tag {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -15,43 +15,43 @@
 	"merlinjunction/membership"
 )
 
-// Config says how this gateway takes part in a fleet.
+// Config configures this gateway's membership in a fleet.
 type Config struct {
-	Name       string           // of the gateway
-	FleetName  string           // of the fleet: datagrams of other fleets are dropped
-	Listen     string           // the address to receive on
-	Advertise  netip.AddrPort   // the address that the other members send to; not valid: the address listened on
-	Zone       string           // of the gateway
-	Version    uint8            // of messages, during an upgrade from an older version; 0: the newest
-	Seeds      []netip.AddrPort // members to join through
-	Keys       [][]byte         // as for NewSealer
-	Networks   *netipx.IPSet    // from which datagrams are accepted; nil: from any
-	RandomSeed uint64           // of the view's random draws
-}
-
-// Transport drives a membership.View on an event loop: it passes on the messages that arrive and sends those that the
-// View wants sent.
+	Name       string           // name of the gateway
+	FleetName  string           // name of the fleet; datagrams of other fleets are dropped
+	Listen     string           // address on which datagrams are received
+	Advertise  netip.AddrPort   // address to which other members send; if invalid, the address of the socket
+	Zone       string           // zone of the gateway
+	Version    uint8            // version of sent messages during an upgrade from an older version; 0: the newest
+	Seeds      []netip.AddrPort // addresses of members to join through
+	Keys       [][]byte         // keys of the Sealer; see SetKeys
+	Networks   *netipx.IPSet    // networks from which datagrams are accepted; nil: from any
+	RandomSeed uint64           // seed of the view's random numbers
+}
+
+// Transport runs a membership.View on an event loop. It passes received messages to the View and sends the messages that
+// the View returns.
 type Transport struct {
 	loop            *eventloop.Loop
 	log             *zap.Logger
 	socket          *eventloop.Packet
-	allowedNetworks *netipx.IPSet // nil: all
+	allowedNetworks *netipx.IPSet // nil: all addresses are allowed
 	sealer          *Sealer
 	replays         ReplayFilter
 	view            *membership.View
-	events          []membership.Event // since the last step of the view
-	wakeTimer       *eventloop.Timer   // ends the loop's wait when the view's next step is due
-	changeCount     int                // of changes of members' states
+	events          []membership.Event // events since the last step of the view
+	wakeTimer       *eventloop.Timer   // wakes the event loop when the view's next step is due
+	changeCount     int                // number of changes of members' states
 	partial         bool               // the view sees only a part of the fleet
-	payload         Payload            // as it was announced last
+	payload         Payload            // last announced payload
 	metricSet       *metrics.Set
 	counters        counters
 	lastDropLogMs   float64
-	suppressedDrops map[string]int // datagrams dropped since then, by reason
+	suppressedDrops map[string]int // datagrams dropped without a log message since lastDropLogMs, by reason
 }
 
-// New opens the socket and creates the View, which the first Step starts. The errors name the configuration key that is
-// wrong.
+// New opens the socket and creates the View, which the first call of Step starts. Its errors name the configuration key
+// that is wrong.
 func New(loop *eventloop.Loop, log *zap.Logger, config Config) (*Transport, error) {
 	sealer, err := NewSealer(config.FleetName, config.Keys)
 	if err != nil {
@@ -77,14 +77,14 @@
 	return t, nil
 }
 
-// newView creates the View of a gateway that listens on an address.
+// newView creates the View. listenAddr is the address of the socket.
 func newView(config Config, listenAddr netip.AddrPort) (*membership.View, error) {
 	addr := config.Advertise
 	if !addr.IsValid() {
 		addr = listenAddr
 	}
 	if addr.Addr().IsUnspecified() {
-		return nil, errors.New("fleet.advertise: the others can't reach an address that stands for all")
+		return nil, errors.New("fleet.advertise: an unspecified address (0.0.0.0 or ::) can't be reached by other members")
 	}
 	view, err := membership.New(membership.Config{
 		Name:    config.Name,
@@ -100,20 +100,20 @@
 	return view, nil
 }
 
-// newBootID returns a random ID of this process, which is never 0.
+// newBootID returns a random ID for this process that is never 0.
 func newBootID() uint64 {
 	var random [8]byte
 	_, _ = rand.Read(random[:]) // never fails
 	return binary.BigEndian.Uint64(random[:]) | 1
 }
 
-// Metrics returns the metrics, for the management address.
+// Metrics returns the metrics that are served on the management address.
 func (t *Transport) Metrics() *metrics.Set { return t.metricSet }
 
-// Addr returns the address that datagrams are received on.
+// Addr returns the address on which datagrams are received.
 func (t *Transport) Addr() netip.AddrPort { return t.socket.Addr() }
 
-// SetKeys replaces the keys of the Sealer. On an error, which names the configuration key, the old ones stay.
+// SetKeys replaces the keys of the Sealer. On an error, which names the configuration key, the old keys stay in use.
 func (t *Transport) SetKeys(keys [][]byte) error {
 	if err := t.sealer.SetKeys(keys); err != nil {
 		return fmt.Errorf("fleet.keys: %w", err)
@@ -121,15 +121,15 @@
 	return nil
 }
 
-// Members returns all members that the view knows, and its summary.
+// Members returns all members that the view knows, and a summary of the view.
 func (t *Transport) Members() ([]membership.Member, membership.Summary) {
 	return t.view.Members(), t.view.Summary()
 }
 
-// ChangeCount grows with each change of a member's state.
+// ChangeCount returns how many changes of members' states the view has reported.
 func (t *Transport) ChangeCount() int { return t.changeCount }
 
-// Announce publishes a payload to the other members; nothing is sent where it is the same as before.
+// Announce publishes a payload to the other members. It does nothing if the payload is the same as before.
 func (t *Transport) Announce(payload Payload) {
 	if payload == t.payload {
 		return
@@ -138,19 +138,19 @@
 	t.events = append(t.events, membership.SetPayload{Payload: payload.Bytes()})
 }
 
-// Leave announces to the other members that this one leaves the fleet.
+// Leave announces to the other members that this gateway leaves the fleet.
 func (t *Transport) Leave() {
 	t.events = append(t.events, membership.Leave{})
 	t.Step()
 }
 
-// Close closes the socket.
+// Close stops the timer and closes the socket.
 func (t *Transport) Close() {
 	t.wakeTimer.Stop()
 	t.socket.Close()
 }
 
-// receive checks a datagram and keeps its message for the next Step.
+// receive checks a datagram and keeps its message as an event for the next Step.
 func (t *Transport) receive(from netip.AddrPort, data []byte) {
 	t.counters.received.Inc()
 	t.counters.bytesReceived.Add(len(data))
@@ -169,8 +169,8 @@
 	t.events = append(t.events, membership.Received{From: from, Message: message})
 }
 
-// Step steps the view if a message arrived or a step is due, and carries out the actions that come back. It is called
-// once in each round of the event loop.
+// Step steps the view if there are events or a step is due, and executes the actions that the view returns. It is called
+// once in each iteration of the event loop.
 func (t *Transport) Step() {
 	now := t.loop.Clock.Now()
 	if len(t.events) == 0 && t.wakeTimer != nil && now < t.view.Wake() {
@@ -193,7 +193,7 @@
 	t.wakeTimer = t.loop.WakeAt(t.view.Wake())
 }
 
-// send sends a message, or drops it: the membership protocol expects loss.
+// send sends a message. If the message can't be sent it is dropped, because the membership protocol tolerates loss.
 func (t *Transport) send(action *membership.Send) {
 	data, err := t.sealer.Seal(&action.Message)
 	if err != nil {
@@ -208,7 +208,7 @@
 	t.counters.bytesSent.Add(len(data))
 }
 
-// memberChanged counts and logs that a member's state changed, or that the view forgot it.
+// memberChanged counts and logs that a member's state changed or that the view forgot the member.
 func (t *Transport) memberChanged(action *membership.MemberChanged) {
 	t.changeCount++
 	member := &action.Member
@@ -227,7 +227,7 @@
 		zap.Uint64("incarnation", member.Incarnation))
 }
 
-// stateName is the name of a member's state; 0 stands for a member that the view doesn't know.
+// stateName returns the name of a member's state. State 0 stands for a member that the view doesn't know.
 func stateName(state membership.State) string {
 	if state == 0 {
 		return "unknown"
@@ -240,7 +240,7 @@
 	t.log.Info("fleet: status changed", zap.Stringer("status", action.Status), zap.String("reason", action.Cause))
 }
 
-// checkPartial logs when the view begins or ceases to see only a part of the fleet.
+// checkPartial logs when the view starts or stops seeing only a part of the fleet.
 func (t *Transport) checkPartial() {
 	summary := t.view.Summary()
 	if summary.Partial == t.partial {
