--- a/internal/transport/codec_test.go
+++ b/internal/transport/codec_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "merlinjunction/internal/testkit/seed" // the same draws each time
+	_ "merlinjunction/internal/testkit/seed" // uses the same seed in every run
 
 	"merlinjunction/membership"
 )
@@ -28,7 +28,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), rapid.Uint16().Draw(t, "port"))
 }
 
-// drawMessage draws a message with at most so many rumors and so many records.
+// drawMessage draws a message with at most maxEntries rumors and at most maxEntries records.
 func drawMessage(t *rapid.T, maxEntries int) membership.Message {
 	m := membership.Message{
 		Kind:        membership.Kind(rapid.IntRange(1, 10).Draw(t, "kind")),
@@ -83,7 +83,7 @@
 	return record
 }
 
-func TestMessagesComeBack(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t, 3)
 		data, err := Encode(nil, &m)
@@ -92,12 +92,12 @@
 		}
 		got, err := Decode(data)
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Fatalf("%+v came back as %+v, %v", m, got, err)
+			t.Fatalf("message %+v is decoded as %+v, error %v", m, got, err)
 		}
 	})
 }
 
-// sealedSize is the size of a message's datagram.
+// sealedSize returns the size of the datagram of a message.
 func sealedSize(t *testing.T, m membership.Message) int {
 	t.Helper()
 	data, err := Encode(nil, &m)
@@ -107,8 +107,9 @@
 	return len(data) + SealOverhead
 }
 
-// The sizes that membership counts with are upper bounds of what is sent.
-func TestSizesAreBounds(t *testing.T) {
+// The sizes with which package membership fills datagrams are upper bounds of the encoded sizes. Otherwise a datagram
+// could be too large to send.
+func TestEstimatedSizesAreUpperBounds(t *testing.T) {
 	const maxID = ^uint64(0)
 	longName := strings.Repeat("x", membership.MaxNameBytes)
 	addr := netip.AddrPortFrom(netip.MustParseAddr("2001:db8::1"), 65535)
@@ -117,7 +118,7 @@
 		Seq: 1<<32 - 1, Attempt: 255, Target: membership.ID(maxID), Addr: addr, Digest: maxID,
 	}
 	if size := sealedSize(t, header); size > membership.DatagramOverhead {
-		t.Errorf("a message without entries has %d bytes, %d are counted", size, membership.DatagramOverhead)
+		t.Errorf("a message without entries has %d bytes, want at most %d", size, membership.DatagramOverhead)
 	}
 	rumor := membership.Rumor{
 		Subject: membership.ID(maxID), BootTag: 1<<32 - 1, Incarnation: 1 << 62, State: membership.Suspect,
@@ -133,12 +134,12 @@
 	withRumor := header
 	withRumor.Rumors = []membership.Rumor{rumor}
 	if size := sealedSize(t, withRumor) - sealedSize(t, header); size > rumor.Size() {
-		t.Errorf("a rumor has %d bytes, %d are counted", size, rumor.Size())
+		t.Errorf("a rumor has %d bytes, want at most %d", size, rumor.Size())
 	}
 	withRecord := header
 	withRecord.Records = []membership.Record{record}
 	if size := sealedSize(t, withRecord) - sealedSize(t, header); size > record.Size() {
-		t.Errorf("a record has %d bytes, %d are counted", size, record.Size())
+		t.Errorf("a record has %d bytes, want at most %d", size, record.Size())
 	}
 	sync := header
 	sync.Buckets = make([]uint64, 64)
@@ -147,7 +148,7 @@
 	}
 	sync.Records = []membership.Record{record, record}
 	if size := sealedSize(t, sync); size > membership.MaxDatagramBytes {
-		t.Errorf("a sync message has %d bytes", size)
+		t.Errorf("a sync message has %d bytes, more than MaxDatagramBytes", size)
 	}
 }
 
@@ -176,27 +177,27 @@
 		}
 		tooMany := len(m.Rumors) > maxRumors || len(m.Records) > maxRecords || len(m.Buckets) > maxBuckets
 		if tooMany || m.BootID == 0 || !m.Kind.Known() {
-			t.Errorf("accepted: %+v", m)
+			t.Errorf("an invalid message is accepted: %+v", m)
 		}
 		again, err := Encode(nil, &m)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got, err := Decode(again); err != nil || !reflect.DeepEqual(m, got) {
-			t.Errorf("%+v came back as %+v, %v", m, got, err)
+			t.Errorf("message %+v is decoded as %+v, error %v", m, got, err)
 		}
 	})
 }
 
-// A message with keys of a newer version is read; one that says that it must not be is rejected as such.
-func TestNewerVersions(t *testing.T) {
+// A message with keys of a newer version is decoded, unless it requires a newer version.
+func TestDecodeNewerVersions(t *testing.T) {
 	newer := map[int]any{1: 5, 2: 9, 4: 1, 5: 2, 6: 3, 40: "an unknown key"}
 	data, err := encodeMode.Marshal(newer)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if m, err := Decode(data); err != nil || m.Kind != membership.Gossip {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("message with an unknown key: %+v, error %v, want a gossip message", m, err)
 	}
 	newer[3] = membership.Version + 1
 	data, err = encodeMode.Marshal(newer)
@@ -204,6 +205,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Decode(data); !errors.Is(err, ErrUnsupportedVersion) {
-		t.Errorf("one that needs a newer version: %v", err)
+		t.Errorf("message that requires a newer version: error %v, want ErrUnsupportedVersion", err)
 	}
 }
--- a/internal/transport/replay_test.go
+++ b/internal/transport/replay_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// The window answers as a set of all counters would, for those that are not far below the highest one.
-func TestReplays(t *testing.T) {
+// For counters in the window, the filter gives the same answers as a set of all counters. Older counters are rejected.
+func TestReplayFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var filter ReplayFilter
 		seen := map[uint64]bool{}
@@ -18,7 +18,7 @@
 			inWindow := len(seen) == 0 || highest < windowBits || counter > highest-windowBits
 			want := !seen[counter] && inWindow
 			if got := filter.Accept(7, 9, counter); got != want {
-				t.Fatalf("%d after %d: accepted %v, want %v", counter, highest, got, want)
+				t.Fatalf("counter %d with the highest counter %d: accepted %v, want %v", counter, highest, got, want)
 			}
 			if want {
 				seen[counter] = true
@@ -26,7 +26,7 @@
 			}
 		}
 		if filter.Accept(7, 9, highest) || !filter.Accept(7, 10, highest) || !filter.Accept(8, 9, highest) {
-			t.Fatal("processes are not told apart")
+			t.Fatal("the filter does not distinguish processes")
 		}
 	})
 }
--- a/internal/transport/seal_test.go
+++ b/internal/transport/seal_test.go
@@ -27,7 +27,7 @@
 	return sealer
 }
 
-// seal returns a copy of a sealed message.
+// seal returns the datagram of a message as a copy that stays valid.
 func seal(t *testing.T, sealer *Sealer, m *membership.Message) []byte {
 	t.Helper()
 	data, err := sealer.Seal(m)
@@ -69,15 +69,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			got, counter, err := test.opener.Open(test.data)
 			if !errors.Is(err, test.want) || err == nil && (got.From != 1 || counter != 1) {
-				t.Errorf("message %+v, counter %d, error %v, want %v", got, counter, err, test.want)
+				t.Errorf("message %+v, counter %d, error %v, want error %v", got, counter, err, test.want)
 			}
 		})
 	}
 	err := own.SetKeys([][]byte{[]byte(testKey), []byte("short")})
 	if err == nil || !strings.Contains(err.Error(), "key 2") {
-		t.Errorf("a short key: %v", err)
+		t.Errorf("a short key: error %v, want one that names key 2", err)
 	}
 	if _, _, err := own.Open(data); err != nil {
-		t.Errorf("after a rejected change of keys: %v", err)
+		t.Errorf("the old keys do not work after a rejected change of keys: %v", err)
 	}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -24,7 +24,7 @@
 	return loop
 }
 
-// newTransport returns a Transport on a loop, and its log.
+// newTransport returns a Transport that runs on a loop, and its log.
 func newTransport(t *testing.T, loop *eventloop.Loop, config Config) (*Transport, *observer.ObservedLogs) {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
@@ -40,7 +40,7 @@
 	return Config{Name: name, FleetName: "fleet", Listen: "127.0.0.1:0", Keys: [][]byte{[]byte(testKey)}, RandomSeed: 1}
 }
 
-// runUntil runs a loop and steps a transport, for some rounds at most, until a condition holds.
+// runUntil runs a loop and steps a transport until a condition holds, for maxRounds iterations at most.
 func runUntil(t *testing.T, loop *eventloop.Loop, transport *Transport, holds func() bool) {
 	t.Helper()
 	const maxRounds = 500
@@ -54,11 +54,11 @@
 		}
 	})
 	if err != nil || !holds() {
-		t.Fatalf("after %d rounds: %v", rounds, err)
+		t.Fatalf("the condition does not hold after %d iterations of the loop, error %v", rounds, err)
 	}
 }
 
-// stateOf is the state of a member in a transport's view; 0 where it doesn't know it.
+// stateOf returns the state of a member in a transport's view, or 0 if the view doesn't know the member.
 func stateOf(transport *Transport, name string) membership.State {
 	members, _ := transport.Members()
 	for _, m := range members {
@@ -78,12 +78,12 @@
 	}
 	defer socket.Close()
 	if !socket.SendTo(to.Addr(), data) {
-		t.Fatal("not sent")
+		t.Fatal("the datagram was not sent")
 	}
 }
 
-// A datagram that must not be accepted is dropped, counted by reason, and logged once a second.
-func TestDropped(t *testing.T) {
+// Invalid datagrams are dropped and counted by reason. Only one of them is logged in a second.
+func TestDroppedDatagrams(t *testing.T) {
 	var networks netipx.IPSetBuilder
 	networks.AddPrefix(netip.MustParsePrefix("127.0.0.0/30"))
 	config := testConfig("a")
@@ -115,16 +115,16 @@
 	transport.Metrics().WritePrometheus(&text)
 	for _, reason := range []string{"replay", "network", "malformed", "fleet", "key", "mac"} {
 		if !strings.Contains(text.String(), fmt.Sprintf(`dropped_total{reason=%q} 1`, reason)) {
-			t.Errorf("%s is not counted once:\n%s", reason, text.String())
+			t.Errorf("reason %s is not counted once:\n%s", reason, text.String())
 		}
 	}
 	if lines := logs.FilterMessage("fleet: datagram dropped").Len(); lines != 1 {
-		t.Errorf("%d lines in the log", lines)
+		t.Errorf("%d log messages about dropped datagrams, want 1", lines)
 	}
 }
 
-// The errors of New name the configuration key.
-func TestNewNamesTheKey(t *testing.T) {
+// The errors of New start with the configuration key that is wrong, and fit on one line.
+func TestNewErrorsNameConfigKey(t *testing.T) {
 	loop := newLoop(t)
 	transport, _ := newTransport(t, loop, testConfig("a"))
 	for want, change := range map[string]func(*Config){
@@ -138,14 +138,14 @@
 			change(&config)
 			_, err := New(loop, zap.NewNop(), config)
 			if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v", err)
+				t.Errorf("error %v, want one line that starts with the key", err)
 			}
 		})
 	}
 }
 
-// Two members on one loop find each other. After one has left, its view asks for no step.
-func TestTwoMeet(t *testing.T) {
+// Two members on one loop discover each other. After one of them has left, its view schedules no step soon.
+func TestTwoMembersJoin(t *testing.T) {
 	loop := newLoop(t)
 	first, _ := newTransport(t, loop, testConfig("a"))
 	config := testConfig("b")
@@ -157,9 +157,9 @@
 	})
 	second.Leave()
 	if changes := logs.FilterMessage("fleet: member state changed").Len(); changes != 1 {
-		t.Errorf("b logged %d changes", changes)
+		t.Errorf("b logged %d changes of members' states, want 1", changes)
 	}
 	if second.view.Wake() < loop.Clock.Now()+1000 {
-		t.Error("after it has left it still asks for steps")
+		t.Error("the view of the member that left still schedules a step within a second")
 	}
 }
