--- a/fleet/aperture.go
+++ b/fleet/aperture.go
@@ -9,7 +9,7 @@
 	// extraHostUseMs is how long a host outside the subset stays in use after it was last needed. Most hosts recover in
 	// less time.
 	extraHostUseMs = 10_000.0
-	// extraHostStaggerMs is added to that time for each further extra host, so that extra hosts are released one after
+	// extraHostStaggerMs is added to extraHostUseMs for each further extra host, so that they are released one after
 	// another.
 	extraHostStaggerMs = 1_000.0
 )
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,5 +1,5 @@
-// Package fleet divides a shared set of hosts among the gateways of a fleet. It computes subsets of hosts, shares of a
-// host's capacity, and when a gateway makes the calls that every gateway makes: time slots and polls of discovery.
+// Package fleet decides how the gateways of a fleet use a shared set of hosts. It computes which hosts a gateway uses,
+// its share of each host's capacity, and when it makes the calls that all gateways make, such as polls of discovery.
 //
 // The package is pure: it has no goroutine, clock, I/O or global state. All gateways compute the same result from the
 // same input, so their shares add up to the whole without any coordination between them. If their inputs differ, the
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -34,7 +34,7 @@
 	g.aperture.Update(g.assignment)
 }
 
-// matches reports whether the assignment was computed for the same gateways, loads aside, the same hosts and size.
+// matches reports whether the assignment was computed for the same gateways (apart from their loads), hosts and size.
 func (s *SubsetAssignment) matches(roster *Roster, hosts []Host, subsetSize int) bool {
 	return s.requestedSize == subsetSize && slices.Equal(s.hosts, hosts) &&
 		s.roster.namesHash == roster.namesHash && s.roster.selfIndex == roster.selfIndex
@@ -47,9 +47,9 @@
 
 // FleetShare returns the share of the group's traffic that a host gets from the whole fleet. ownShare is the share of
 // this gateway's traffic to the group that the host gets. If ownShare exceeds the share that the assignment predicts, the
-// other gateways are assumed to exceed their predicted shares by the same factor, for the same reason. capacityShare
-// returns the share of its capacity that a host has, from 0 to 1; it is below 1 while the host is warming up. zoneWeight
-// is the same as for TrafficShares.
+// other gateways are assumed to exceed their predicted shares by the same factor, because the cause is assumed to affect
+// all gateways. capacityShare returns the share of its capacity that a host has, from 0 to 1; it is below 1 while the
+// host is warming up. zoneWeight is the same as for TrafficShares.
 func (g *Group) FleetShare(
 	nowMs float64, host int, ownShare, zoneWeight float64, capacityShare func(host int) float64,
 ) float64 {
--- a/fleet/poll_policy.go
+++ b/fleet/poll_policy.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// PollPolicy decides when a gateway polls discovery. The gateway first polls for the endpoint list and then makes one
-// watch after another, which is a poll that waits for an update. The policy protects discovery from simultaneous polls
-// by a whole fleet, and from additional polls while it fails. The caller polls when the policy allows it, reports how
-// each poll ended and supplies random draws from 0 to 1.
+// PollPolicy decides when a gateway polls discovery. The gateway first polls for the endpoint list. Each later poll is a
+// watch, which is a poll that waits for an update. The policy protects discovery from simultaneous polls by a whole
+// fleet, and from additional polls while discovery fails. The caller polls when the policy allows it, reports how each
+// poll ended and supplies random draws from 0 to 1.
 //
 // The drain grace period starts when an update counts as notified, which may be before the gateway receives the update.
 // The policy therefore tracks since when updates may have been missed.
@@ -24,10 +24,11 @@
 	missedSince  float64 // time since which updates may count as notified without having been received; 0: none
 }
 
-// HasAnswer reports whether a poll has been answered.
+// HasAnswer reports whether a poll of the current discovery address has been answered.
 func (p *PollPolicy) HasAnswer() bool { return p.answered }
 
-// Started records when the gateway started. With pushed lists, the updates that the agent holds then count as notified.
+// Started records when the gateway started. With pushed lists, the updates that the agent holds at that time count as
+// notified.
 func (p *PollPolicy) Started(now float64) {
 	if p.Pushed {
 		p.recordMissedSince(now)
@@ -41,7 +42,7 @@
 }
 
 const (
-	spreadPerGatewayMs  = 60.0 // the fleet spreads polls that all gateways make at one event over this time for each gateway
+	spreadPerGatewayMs  = 60.0 // time per gateway over which a fleet spreads polls that one event triggers on all gateways
 	maxSpreadGraceShare = 0.6  // upper bound of that spread, as a share of the drain grace period
 	// maxAddressChangeDelayMs bounds the delay before the first poll of a new address: the old address may close its
 	// connections 1.5 s after the change.
@@ -69,7 +70,7 @@
 	return min(maxAddressChangeDelayMs, p.fleetSpreadMs()) * draw
 }
 
-// fleetSpreadMs returns the time over which the whole fleet spreads polls that all gateways make at one event.
+// fleetSpreadMs returns the time over which the fleet spreads polls that one event triggers on all gateways.
 func (p *PollPolicy) fleetSpreadMs() float64 {
 	return min(maxSpreadGraceShare*p.DrainGraceMs, spreadPerGatewayMs*float64(p.GatewayCount))
 }
@@ -88,7 +89,7 @@
 )
 
 // NextPoll returns how long the next poll may wait for an update, and after how long without an answer it times out.
-// watch says that the poll asks for updates to a known revision; other polls don't wait.
+// watch says that the poll asks for updates after a known revision; other polls don't wait.
 //
 // A watch that follows a timeout waits only shortWatchWaitMs. Updates that the unanswered poll missed count as notified
 // unansweredPollNotifiedMs after that poll was made, and a second long wait would end later than that.
@@ -199,9 +200,9 @@
 	return backoff
 }
 
-// recordUnansweredPoll records that a poll that was made at polledAt ended without an answer. Updates that an agent holds
-// count as notified from that time on. Updates that a shared discovery has count as notified from
-// unansweredPollNotifiedMs after the poll was made.
+// recordUnansweredPoll records that a poll that was made at polledAt ended without an answer. With pushed lists,
+// updates that the poll missed may count as notified from polledAt on. With a shared discovery, they count as notified
+// unansweredPollNotifiedMs after polledAt.
 func (p *PollPolicy) recordUnansweredPoll(polledAt float64) {
 	if p.Pushed {
 		p.recordMissedSince(polledAt)
--- a/fleet/slow_start_limit.go
+++ b/fleet/slow_start_limit.go
@@ -9,7 +9,7 @@
 // SlowStartLimit limits the traffic to a host that is warming up. The limit applies to the sum of all gateways' traffic.
 type SlowStartLimit struct {
 	HostCount          float64 // hosts that normally share the group's traffic
-	OverloadMultiple   float64 // a host is overloaded above this multiple of its capacity share of an even share of traffic
+	OverloadMultiple   float64 // a host is overloaded above OverloadMultiple * capacity share * mean traffic per host
 	UsableShare        float64 // usable share of the capacity, 0 to 1; the rest covers uneven traffic and differing views
 	OverloadWindowMs   float64 // a host fails if it is overloaded for this long
 	AttemptsPerRequest float64 // attempts that a client makes for a rejected request, including the first
@@ -32,7 +32,7 @@
 }
 
 // AdmitRate returns how many requests a second one gateway may send to a warming host. capacityShare is the share of its
-// capacity that the host has, 0 to 1. groupRate is how many requests a second of this gateway the host's group answered
+// capacity that the host has, 0 to 1. groupRate is how many of this gateway's requests a second the host's group answered
 // while none of the group's hosts was warming up.
 func (l SlowStartLimit) AdmitRate(capacityShare, groupRate float64) float64 {
 	return l.OverloadMultiple * l.UsableShare * capacityShare * groupRate / max(1, l.HostCount)
--- a/fleet/subset_assignment.go
+++ b/fleet/subset_assignment.go
@@ -24,7 +24,7 @@
 
 // AssignSubsets assigns a subset of a group's hosts to every gateway. A subset has size hosts, or all hosts if there are
 // no more than that, size is 0 or this gateway's index is unknown. maxSubsetImbalance bounds the number of subsets that
-// contain a host; only a gateway that finds no host below the bound exceeds it.
+// contain a host. A gateway exceeds the bound only if it finds no host below it.
 //
 // Gateways pick hosts in the order of their hashes, and all gateways make their first pick before any makes its second.
 // Each picks the host that it prefers most among the hosts below the bound, and it prefers hosts of its own zone. A
--- a/fleet/traffic_shares.go
+++ b/fleet/traffic_shares.go
@@ -4,9 +4,9 @@
 // the whole fleet, and the share of this gateway's traffic to the group that the host gets. The input is the same on all
 // gateways: the assignment, the hosts' capacity shares (0 to 1) and the gateways' loads.
 //
-// Each gateway is assumed to use the hosts that its Aperture would use if hosts only warmed up and none failed, and to
-// distribute its requests over them in proportion to their capacity shares. A host in the gateway's own zone counts
-// zoneWeight times. Each result sums to 1 if any host has capacity.
+// Each gateway is assumed to use the hosts that its Aperture would use if hosts were warming up but none failed or was
+// full, and to distribute its requests over them in proportion to their capacity shares. A host in the gateway's own zone
+// counts zoneWeight times. Each result sums to 1 if any host has capacity.
 //
 // A host in few subsets gets little of the group's traffic, even if it gets most requests of the gateways that use it.
 // If each gateway multiplies its requests to a host by a limit divided by the host's fleet share, the fleet's sum meets
