--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -172,7 +172,7 @@
 
 func (p *profile) copyRules(settings *routing.Settings) {
 	settings.DrainGrace = duration(*p.Rules.DrainGraceMs)
-	settings.RemovalNotBinding = p.Rules.RemovalNotBinding
+	settings.UseUnlistedHosts = p.Rules.RemovalNotBinding
 	settings.SlowStartMinShare = *p.Rules.SlowStartMinShare
 	settings.SlowStartWindow = duration(*p.Rules.SlowStartWindowMs)
 	settings.OverloadMultiple = *p.Rules.OverloadMultiple
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -78,7 +78,7 @@
 func (h *host) drainGraceOver() bool {
 	core := h.core
 	sinceMs := h.drainingSinceMs
-	if core.settings.RemovalNotBinding && h.State == routing.StateGone {
+	if core.settings.UseUnlistedHosts && h.State == routing.StateGone {
 		sinceMs = 0
 	}
 	excludedMs, excluded := core.exclusions[h.ID]
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -119,7 +119,7 @@
 	drainingSince := excludedSince
 	switch {
 	case host.State == StateGone:
-		return r.settings.RemovalNotBinding && !host.listedAsDraining && !excluded
+		return r.settings.UseUnlistedHosts && !host.listedAsDraining && !excluded
 	case host.State == StateReady && !excluded:
 		return true
 	case host.State == StateDraining && (!excluded || host.drainNotifiedAt < excludedSince):
--- a/routing/maintenance.go
+++ b/routing/maintenance.go
@@ -62,7 +62,7 @@
 		group.peakAnswerRate = max(group.servedCount/seconds, faded)
 	}
 	group.servedCount = 0
-	if !r.settings.RemovalNotBinding {
+	if !r.settings.UseUnlistedHosts {
 		group.hosts = slices.DeleteFunc(group.hosts, r.removeGoneHost)
 	}
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -45,7 +45,7 @@
 //     result of an attempt with RequestDone.
 //   - A request that may have run is sent again only if it is idempotent, or inside its deduplication window.
 //   - A host that is draining, gone or excluded gets no new request, except the primary during the drain
-//     grace period. (Where Settings.RemovalNotBinding is set, a host that the list drops stays in service.)
+//     grace period. (Where Settings.UseUnlistedHosts is set, a host that the list drops stays in service.)
 //   - The same seed and the same events lead to the same actions: no decision depends on the order of a map.
 //   - Events about requests, attempts or hosts that the Router doesn't know, and events that come late or
 //     twice, are ignored. A clock that goes back is taken to stand still.
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -83,7 +83,7 @@
 	MaxRetryAfter        time.Duration // longest RetryAfter that clients follow
 	MaxAttempts          int           // per request
 	DrainGrace           time.Duration // how long a draining primary may still get requests; see inService
-	RemovalNotBinding    bool          // a host that the list drops, and never named as draining, may be used
+	UseUnlistedHosts     bool          // a host that the list drops, and never named as draining, may be used
 	SlowStartMinShare    float64       // share of its capacity that a host has for certain when it starts
 	SlowStartWindow      time.Duration // after which it has all of it; the share grows linearly
 	OverloadMultiple     float64       // a warming host fails under more than this times its share of capacity
