--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -122,14 +122,14 @@
 		}
 	}
 	class := routing.Class{
-		Name:                entry.Name,
-		MaxStaleness:        duration(p.Consistency.MaxStalenessMs[index]),
-		KeySharedByAllHosts: entry.IdempotencyScope == scopeAllHosts,
-		DedupWindow:         duration(entry.DedupWindowMs),
-		LatencyObjective:    duration(entry.LatencyObjectiveMs),
-		Deadline:            duration(entry.DeadlineMs),
-		PriorityWeight:      entry.PriorityWeight,
-		LateWeightShare:     entry.LateWeightShare,
+		Name:              entry.Name,
+		MaxStaleness:      duration(p.Consistency.MaxStalenessMs[index]),
+		DedupAcrossGroups: entry.IdempotencyScope == scopeAllHosts,
+		DedupWindow:       duration(entry.DedupWindowMs),
+		LatencyObjective:  duration(entry.LatencyObjectiveMs),
+		Deadline:          duration(entry.DeadlineMs),
+		PriorityWeight:    entry.PriorityWeight,
+		LateWeightShare:   entry.LateWeightShare,
 	}
 	var err error
 	class.Consistency, err = lookup(consistencies, p.Consistency.Levels[index], "FamilyInfo.NeedsByClass")
--- a/internal/server/operator_config.go
+++ b/internal/server/operator_config.go
@@ -217,16 +217,16 @@
 		weight = 1
 	}
 	return routing.Class{
-		Name:                t.Name,
-		Consistency:         consistency,
-		MaxStaleness:        milliseconds(t.MaxStalenessMs),
-		Idempotency:         idempotency,
-		KeySharedByAllHosts: t.DedupOnAnyHost,
-		DedupWindow:         milliseconds(t.DedupWindowMs),
-		LatencyObjective:    milliseconds(t.LatencyObjectiveMs),
-		Deadline:            milliseconds(t.DeadlineMs),
-		PriorityWeight:      weight,
-		LateWeightShare:     t.LateWeightShare,
+		Name:              t.Name,
+		Consistency:       consistency,
+		MaxStaleness:      milliseconds(t.MaxStalenessMs),
+		Idempotency:       idempotency,
+		DedupAcrossGroups: t.DedupOnAnyHost,
+		DedupWindow:       milliseconds(t.DedupWindowMs),
+		LatencyObjective:  milliseconds(t.LatencyObjectiveMs),
+		Deadline:          milliseconds(t.DeadlineMs),
+		PriorityWeight:    weight,
+		LateWeightShare:   t.LateWeightShare,
 	}, nil
 }
 
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -100,7 +100,7 @@
 // giveUp gives a request its final answer: Reject where the client may send it again without harm, else
 // Fail. A rejected request may have run. Then it is idempotent, or every group drops the repeat of its key.
 func (r *Router) giveUp(request *request) {
-	droppedAnywhere := request.class.Idempotency == IdempotentWithKey && request.class.KeySharedByAllHosts
+	droppedAnywhere := request.class.Idempotency == IdempotentWithKey && request.class.DedupAcrossGroups
 	harmless := !request.mayHaveRun || request.class.Idempotency == Idempotent || droppedAnywhere
 	switch {
 	case !harmless:
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -44,16 +44,16 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name                string
-	Consistency         Consistency
-	MaxStaleness        time.Duration // for ConsistencyBounded: greatest age of the data
-	Idempotency         Idempotency
-	KeySharedByAllHosts bool          // for IdempotentWithKey: every group drops repeats, not only its own
-	DedupWindow         time.Duration // for IdempotentWithKey: from the first send that may have run
-	LatencyObjective    time.Duration // an answer within it has the full PriorityWeight
-	Deadline            time.Duration // how long the client waits, all attempts together
-	PriorityWeight      float64       // value of an answer: requests of less are shed first
-	LateWeightShare     float64       // share of PriorityWeight that an answer after LatencyObjective has
+	Name              string
+	Consistency       Consistency
+	MaxStaleness      time.Duration // for ConsistencyBounded: greatest age of the data
+	Idempotency       Idempotency
+	DedupAcrossGroups bool          // for IdempotentWithKey: every group drops repeats, not only its own
+	DedupWindow       time.Duration // for IdempotentWithKey: from the first send that may have run
+	LatencyObjective  time.Duration // an answer within it has the full PriorityWeight
+	Deadline          time.Duration // how long the client waits, all attempts together
+	PriorityWeight    float64       // value of an answer: requests of less are shed first
+	LateWeightShare   float64       // share of PriorityWeight that an answer after LatencyObjective has
 }
 
 // Tenant is a customer with a quota of the service. No routing decision depends on it: a quota divided by
