--- a/routing/admission.go
+++ b/routing/admission.go
@@ -2,42 +2,45 @@
 
 import "math"
 
-// Load shedding by priority. Each group has an admission gate for each role of its hosts: the probability
-// that a request of the mean weight rate is let through to a host of the role. Many gateways with a single
-// attempt each can overrun a host without one of them reaching its concurrency limit; by the gates each
-// sheds a part of its requests. The gates move as in AIMD: they open by additive increase and close by
-// multiplicative decrease. For the other places that reject requests see the package comment.
+// Load shedding by priority. Each group has an admission gate for each role of its hosts. The value of a
+// gate is the probability that a request with the mean weight rate is admitted to a host of that role. Many
+// gateways with a single attempt each can overload a host although none of them reaches its concurrency
+// limit; the gates make each gateway shed part of its requests. The gates follow AIMD: they open by
+// additive increase and close by multiplicative decrease. For the other places where requests are rejected,
+// see the package comment.
 
 const (
-	// maxAdmissionGate is how far a gate opens. It is above 1, so that after answers in time a late one doesn't
-	// shed anything. A gate starts at 1, where the first late answer sheds.
+	// maxAdmissionGate is the upper bound of a gate. It is above 1 so that a single late answer after answers
+	// in time sheds nothing. A gate starts at 1, where the first late answer sheds load.
 	maxAdmissionGate = 1.6
-	// admissionGateIncrease is added to a gate by an answer in time.
+	// admissionGateIncrease is how much an answer in time raises a gate.
 	admissionGateIncrease = 0.1
-	// admissionGateDecrease is the factor by which a late answer, a time-out or a rejection lowers a gate.
+	// admissionGateDecrease is the factor by which a late answer, a timeout or a rejection lowers a gate.
 	admissionGateDecrease = 0.75
-	// otherGroupsGateStep is the part of each step that the gates of the other groups take: a gateway with
-	// little traffic gets too few answers from each group alone.
+	// otherGroupsGateStep is the fraction of each step that is applied to the gates of the other groups. A
+	// gateway with little traffic gets too few answers from each group alone.
 	otherGroupsGateStep = 0.2
 	// weightRateGain is the weight of a new request in the mean weight rate.
 	weightRateGain = 0.05
-	// gateObjectiveShare is the part of its class's latency objective within which an answer is in time.
+	// gateObjectiveShare is the share of its class's latency objective within which an answer counts as in
+	// time.
 	gateObjectiveShare = 0.6
-	// clientRetryWeightShare is the part of its priority weight that a client's retry has, where a late answer
-	// has none: its latency objective counts from the first attempt and has most likely passed.
+	// clientRetryWeightShare is the factor applied to the priority weight of a client's retry if late answers
+	// of its class have no weight. The latency objective counts from the client's first attempt and has most
+	// likely passed.
 	clientRetryWeightShare = 0.1
 )
 
-// openGates lets all requests through.
+// openGates sets all gates to 1, so that they admit all requests.
 func (g *group) openGates() {
 	for role := range g.admissionGates {
 		g.admissionGates[role] = 1
 	}
 }
 
-// adjustAdmissionGates moves the gates of the host's role after an attempt. An error, or a lost connection,
-// moves none. Anything but an answer in time counts only if this gateway had no other attempt open at the
-// host, else its own concurrency may be the cause.
+// adjustAdmissionGates adjusts the gates of the host's role after an attempt. An error or a lost connection
+// changes no gate. An outcome other than an answer in time counts only if this gateway had no other attempt
+// open at the host when it sent this one. Otherwise, its own concurrency may be the cause.
 func (r *Router) adjustAdmissionGates(ended *attempt, outcome Outcome) {
 	latency := (r.now - ended.sentAt).Seconds()
 	objective := ended.request.class.LatencyObjective.Seconds()
@@ -60,21 +63,21 @@
 	}
 }
 
-// passesAdmissionGate draws whether a request is let through to a host, and reports it. It draws only while
-// the gate is below 1, and once for each role of a request, which it marks in request.gateDrawn: what has
-// passed once passes again. The more a request weighs for the time that it takes, the likelier it passes.
+// passesAdmissionGate reports whether a request is admitted to a host, by a random draw if the gate is
+// below 1. The draw is made once per request and role, as recorded in request.gateChecked: a request that
+// has passed is not checked again. The higher the weight rate of a request, the more likely it passes.
 func (r *Router) passesAdmissionGate(request *request, target *host) bool {
 	role := target.role()
 	gate := request.group.admissionGates[role]
-	if gate >= 1 || request.gateDrawn[role] {
+	if gate >= 1 || request.gateChecked[role] {
 		return true
 	}
-	request.gateDrawn[role] = true
+	request.gateChecked[role] = true
 	return r.rng.Float64() < math.Pow(gate, r.meanWeightRate/r.weightRate(request))
 }
 
-// weightRate is the priority weight of a request that is answered now, for each second that an answer of
-// its class takes. It orders what waits, and what is shed first.
+// weightRate returns the priority weight of an answer now, divided by the mean latency of the class in
+// seconds. It determines the order of waiting requests and which requests are shed first.
 func (r *Router) weightRate(request *request) float64 {
 	class := request.class
 	weight := class.PriorityWeight
--- a/routing/attempt_timeout.go
+++ b/routing/attempt_timeout.go
@@ -2,21 +2,24 @@
 
 import "time"
 
-// Attempt time-outs: when an answer is overdue. It may be lost, or its host may be slow, hung or cut off.
+// Attempt timeouts. An answer that takes too long is overdue: it may be lost, or its host may be slow, hung
+// or disconnected from the network.
 
 const (
-	// minAttemptTimeout is the least time after which an answer is overdue: pauses of hosts and networks cost
-	// this much without a fault.
+	// minAttemptTimeout is the shortest attempt timeout. Hosts and networks pause for this long without a
+	// fault.
 	minAttemptTimeout = 150 * time.Millisecond
-	// maxTimeoutDeviations is how many mean deviations past its class's mean time an answer is overdue.
+	// maxTimeoutDeviations is the distance of the timeout from the mean latency of the class, in mean
+	// deviations, unless it is shortened.
 	maxTimeoutDeviations = 10
-	// minTimeoutDeviations is how many it is where a retry would else come too late for the latency objective.
+	// minTimeoutDeviations is the shortest such distance. The timeout is shortened where a retry would
+	// otherwise come too late for the latency objective.
 	minTimeoutDeviations = 6
 )
 
-// attemptTimeout returns after which time an answer of a class is overdue, by what its answers take at
-// present from whichever host. Where it can, it leaves a retry a mean answer time before the latency
-// objective.
+// attemptTimeout returns the time after which an answer to a request of a class is overdue. It depends on
+// the current latency of the class over all hosts. If possible, it leaves a retry one mean latency before
+// the latency objective.
 func (r *Router) attemptTimeout(class int) time.Duration {
 	mean, deviation := r.latencies[class].meanSeconds, r.latencies[class].deviationSeconds
 	latestRetry := r.settings.Classes[class].LatencyObjective.Seconds() - mean
@@ -24,8 +27,9 @@
 	return max(r.scaleToObjective(minAttemptTimeout), secondsToDuration(mean+margin))
 }
 
-// checkOverdueAttempts finds the attempts at a host whose answers have become overdue. Each is a failure, and
-// is cancelled where mayRetryAfterCancel allows it. A single request that runs very long is treated alike.
+// checkOverdueAttempts finds the open attempts of a host that have become overdue. Each one counts as a
+// failure of the host, and is cancelled if mayRetryAfterCancel allows it. A request that legitimately runs
+// very long is treated in the same way.
 func (r *Router) checkOverdueAttempts(host *host) {
 	for _, open := range host.openAttempts {
 		request, age := open.request, r.now-open.sentAt
@@ -34,7 +38,7 @@
 		}
 		r.latencyOf(request).observe(age.Seconds(), overdueLatencyGain)
 		open.overdue = true
-		r.addFailure(host, open.nothingReceivedSince())
+		r.addFailure(host, open.nothingReceivedSinceSent())
 		if !request.finished && r.settings.CancelAllowed && r.mayRetryAfterCancel(open) {
 			r.emit(CancelAttempt{request.ID, open.number})
 		}
@@ -42,9 +46,9 @@
 }
 
 // mayRetryAfterCancel reports whether the idempotency of a request allows a retry after its open attempt is
-// cancelled: it is idempotent, or its deduplication window isn't over. It ignores MaxAttempts, the deadline
-// and whether another host is free: an overdue attempt takes up its host, and where no retry follows the
-// client is answered at once.
+// cancelled: the request is idempotent, or its deduplication window is still open. It ignores MaxAttempts,
+// the deadline and whether another host is free. An overdue attempt occupies its host, and if no retry
+// follows, the client gets its answer at once.
 func (r *Router) mayRetryAfterCancel(open *attempt) bool {
 	request := open.request
 	uncertainSince := open.sentAt
--- a/routing/consistency.go
+++ b/routing/consistency.go
@@ -6,25 +6,26 @@
 )
 
 // Session consistency, after Harmonia (Zhu and others, "Harmonia: Near-linear scalability for replicated
-// storage with in-network conflict detection", VLDB 2019): the dirty set holds the writes in flight, the
-// stamp is the position of the last completed write. Both are kept for each session and each gateway.
+// storage with in-network conflict detection", VLDB 2019). The dirty set of a session holds its writes in
+// flight, and its stamp is the position of its last completed write. Each gateway keeps its own dirty sets
+// and stamps.
 //
-// Invariant: the stamp of a session that isn't in the table is at most stampFloor, so that evicting a
-// session never lets one of its reads miss its writes.
+// Invariant: the stamp of a session that isn't in the table is at most stampFloor. Evicting a session
+// therefore never lets one of its reads miss its writes.
 
 const (
-	sessionRetention = 30 * time.Second // after the end of its last write a session is evicted
-	maxSessions      = 50_000           // above this number all sessions without a write in flight are evicted
+	sessionRetention = 30 * time.Second // how long after the end of its last write a session is kept
+	maxSessions      = 50_000           // if exceeded, all sessions without a write in flight are evicted
 )
 
-// A session is what the Router knows of one client session's writes.
+// A session holds the state of one client session's writes.
 type session struct {
 	dirtyWrites []uint64 // write numbers of its writes in flight, ascending
-	stamp       Position // position that its reads need
+	stamp       Position // position required by the reads of the session
 	updatedAt   time.Duration
 }
 
-// sessionFor returns a session, which it creates where it isn't in the table.
+// sessionFor returns the session with a key, creating it if it isn't in the table.
 func (r *Router) sessionFor(key string) *session {
 	found := r.sessions[key]
 	if found == nil {
@@ -34,7 +35,7 @@
 	return found
 }
 
-// markDirty adds a write to its session's dirty set when it is first sent.
+// markDirty adds a write to the dirty set of its session when the write is first sent.
 func (r *Router) markDirty(request *request) {
 	if request.writeNumber != 0 {
 		return
@@ -47,8 +48,8 @@
 	}
 }
 
-// completeWrite records that a write was committed at a position. The primary applies a session's writes
-// in order, so a write that is the last of its dirty set completes all of them.
+// completeWrite records that a write was committed at a position. The primary applies the writes of a
+// session in order, so the last write of the dirty set completes all of them.
 func (r *Router) completeWrite(request *request, committed Position) {
 	request.mayHaveRun = false
 	session := r.sessions[request.Session]
@@ -62,9 +63,9 @@
 	r.restartRetention(session)
 }
 
-// removeDirtyWrite takes a write that is finished, with or without success, from its session's dirty set, if
-// it is still there. One that may have run may have been committed at any time until now, so the session's
-// reads need the current position.
+// removeDirtyWrite removes a finished write, successful or not, from its session's dirty set if it is still
+// there. A write that may have run may have been committed at any time until now, so the session's reads
+// then require the current position.
 func (r *Router) removeDirtyWrite(request *request) {
 	session := r.sessions[request.Session]
 	if session == nil || request.Session == "" {
@@ -79,14 +80,15 @@
 	r.restartRetention(session)
 }
 
-// raiseStamp makes the session's reads need at least a position.
+// raiseStamp makes the session's reads require at least the given position.
 func (s *session) raiseStamp(least Position) { s.stamp = max(s.stamp, least) }
 
-// restartRetention lets sessionRetention begin now.
+// restartRetention restarts the retention period of a session.
 func (r *Router) restartRetention(session *session) { session.updatedAt = r.now }
 
-// requiredPosition returns the position that a host needs to have for a read, 0 for any, and whether only
-// the primary may serve it, whatever the replicas have. Writes need none.
+// requiredPosition returns the position that a host must have applied to serve a read; 0 allows any
+// position. It also returns whether only the primary may serve the read, whatever positions the replicas
+// have. A write requires no position.
 func (r *Router) requiredPosition(request *request) (required Position, primaryOnly bool) {
 	switch request.class.Consistency {
 	case ConsistencyBounded:
@@ -101,29 +103,29 @@
 	return 0, false
 }
 
-// sessionPosition returns the position that a read needs to see its session's completed writes. session is
-// nil where the table has none.
+// sessionPosition returns the position at which a read sees all completed writes of its session. session is
+// nil if it isn't in the table.
 func (r *Router) sessionPosition(request *request, session *session) Position {
 	required := r.stampFloor
 	if session != nil {
 		required = session.stamp
 	}
-	if r.siblingRunning { // the session may have written through the other process until the read arrived
+	if r.siblingRunning { // until the read arrived, the session may have written through the sibling process
 		required = max(required, request.arrivedAt-r.settings.PositionEpoch)
 	}
 	if r.settings.SessionTokensCarried && request.SinceLastWrite > 0 {
 		required = max(required, request.arrivedAt-request.SinceLastWrite-r.settings.PositionEpoch)
 	}
 	if r.settings.StalenessCheck == StalenessCheckNone {
-		// Nothing would stop a replica of unknown position from answering: only one of a known position may.
+		// A replica that has not applied the position would answer all the same, so its position must be known.
 		required = max(required, 1)
 	}
 	return required
 }
 
-// onSiblingProcess handles that another process of this gateway has begun or ceased to serve requests.
-// While it does, any session may write through it (see sessionPosition). Once it has ceased, all that it
-// wrote lies before this moment.
+// onSiblingProcess handles that another process of this gateway has started or stopped serving requests.
+// While it serves, any session may write through it (see sessionPosition). Once it has stopped, all of its
+// writes have positions at or before the current one.
 func (r *Router) onSiblingProcess(event SiblingProcess) {
 	r.siblingRunning = event.Running
 	if event.Running {
@@ -135,8 +137,8 @@
 	}
 }
 
-// evictSessions bounds the table. The stamps of evicted sessions become part of stampFloor; the order of
-// the map doesn't matter.
+// evictSessions limits the size of the session table. It raises stampFloor to the stamps of evicted
+// sessions, so the iteration order of the map doesn't matter.
 func (r *Router) evictSessions() {
 	tooMany := len(r.sessions) > maxSessions
 	for key, session := range r.sessions {
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -7,7 +7,7 @@
 
 // Dispatching: the way of a request from its group's queue to a host. Each step is a rule of a file of its
 // own: mayAttempt and giveUp (retry.go), requiredPosition (consistency.go), selectForRead (replica.go),
-// selectForWrite (primary.go), acquireSlowStart (slowstart.go), passesAdmissionGate (admission.go).
+// selectForWrite (primary.go), passesSlowStart (slowstart.go), passesAdmissionGate (admission.go).
 
 // dispatchWaiting dispatches a group's waiting requests: those of the greatest weight rate first, and of
 // these the newest first. In a queue that lasts, oldest first would answer every request just too late.
@@ -33,8 +33,8 @@
 	}
 	required, primaryOnly := r.requiredPosition(request)
 	target := r.selectHost(request, required, primaryOnly)
-	if target != nil && target.receivesAsPrimary(request) && !r.acquireSlowStartAsPrimary(target, request) {
-		request.droppedBySlowStart = r.isAdmittedByChance(target)
+	if target != nil && target.receivesAsPrimary(request) && !r.passesSlowStartAsPrimary(target, request) {
+		request.droppedBySlowStart = r.usesRandomAdmission(target)
 		target = nil
 	}
 	switch {
@@ -74,7 +74,7 @@
 	request.triedHosts = append(request.triedHosts, target)
 	target.openAttempts = append(target.openAttempts, sent)
 	r.countLoadSent(request, target)
-	r.emit(Attempt{Request: request.ID, Host: target.ID, SendBefore: request.retryBefore()})
+	r.emit(Attempt{Request: request.ID, Host: target.ID, SendBefore: request.sendBefore()})
 }
 
 // countLoadSent adds an attempt to what was sent lately, in seconds of the mean answer time of its class.
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -28,14 +28,14 @@
 		listed[endpoint.ID] = true
 		r.applyEndpoint(endpoint, update)
 	}
-	isFirst := r.largestGroupSize == 0
+	isFirstList := r.largestGroupSize == 0
 	// Each group's traffic is taken to be made for as many hosts as the largest group has had: a gateway that
 	// starts late may see one group at its smallest.
 	for _, group := range r.sortedGroups {
 		if update.Full {
 			r.removeUnlisted(group, listed, update)
 		}
-		r.largestGroupSize = max(r.largestGroupSize, r.settledHostCount(group, isFirst))
+		r.largestGroupSize = max(r.largestGroupSize, r.countReadyHosts(group, isFirstList))
 	}
 }
 
@@ -48,12 +48,12 @@
 	}
 }
 
-// settledHostCount is the number of a group's ready hosts. In a list that isn't the first, hosts that warm up
+// countReadyHosts is the number of a group's ready hosts. In a list that isn't the first, hosts that warm up
 // don't count: they may replace others that are still listed.
-func (r *Router) settledHostCount(group *group, isFirst bool) int {
+func (r *Router) countReadyHosts(group *group, includeWarming bool) int {
 	count := 0
 	for _, host := range group.hosts {
-		if host.State == StateReady && (isFirst || r.capacityShare(host) >= 1) {
+		if host.State == StateReady && (includeWarming || r.capacityShare(host) >= 1) {
 			count++
 		}
 	}
--- a/routing/lag.go
+++ b/routing/lag.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Replica lag: which position a replica is taken to have. Where replicas don't check, it is the last known
-// one. Where they check, a wrong estimate costs only a misdirected read, so a replica counts as up to date
-// until it rejects a read. Otherwise all gateways would crowd the few hosts whose position they learned
-// last.
+// Replica lag: which position a replica is assumed to have applied. If replicas don't check positions
+// themselves (StalenessCheck), it is the last known one. If they do, a wrong estimate costs only one
+// misdirected read, so a replica counts as up to date until it rejects a read. Otherwise all gateways would
+// concentrate their reads on the few hosts whose position they learned last.
 
 const (
-	// negligibleLag is the lag below which a replica that checks counts as up to date.
+	// negligibleLag is the lag below which a replica that checks positions counts as up to date.
 	negligibleLag = 400 * time.Millisecond
-	// lagRetention is how long a lag is kept where no health checks may confirm it.
+	// lagRetention is how long a known lag is used if health checks are not allowed and can't confirm it.
 	lagRetention = 3 * time.Second
-	// lagCheckInterval is the interval of health checks to a lagging replica by one gateway. Where gateways
-	// are many, they space their health checks by gatewaySlotGap.
+	// lagCheckInterval is the interval at which one gateway sends health checks to a lagging replica. If there
+	// are many gateways, they space their health checks by gatewaySlotGap.
 	lagCheckInterval = 500 * time.Millisecond
 )
 
-// estimatedPosition returns the position that a replica is taken to have.
+// estimatedPosition returns the position that a replica is assumed to have applied.
 func (r *Router) estimatedPosition(replica *host) Position {
 	switch {
 	case r.settings.StalenessCheck == StalenessCheckNone:
@@ -28,19 +28,19 @@
 	return r.currentPosition()
 }
 
-// lagIsKnown reports whether a replica is known to be behind, and the knowledge isn't too old.
+// lagIsKnown reports whether a replica is known to lag and this knowledge hasn't expired.
 func (r *Router) lagIsKnown(replica *host) bool {
 	return replica.lag > 0 && (r.settings.HealthChecksAllowed || r.now < replica.lagKnownAt+lagRetention)
 }
 
-// healthCheckLagging asks a replica that is behind for its position from time to time. A health check costs
-// much less than the reads that the replica would reject, each after a wait.
-func (r *Router) healthCheckLagging(replica *host) {
+// healthCheckLaggingReplica sends a lagging replica a health check if one is due, to learn its position. A
+// health check costs much less than the reads that the replica would reject, each after a wait.
+func (r *Router) healthCheckLaggingReplica(replica *host) {
 	slots := r.roster.Schedule()
 	interval := slots.Interval(durationToMillis(lagCheckInterval), durationToMillis(gatewaySlotGap))
-	useful := r.settings.HealthChecksAllowed && r.settings.StalenessCheck != StalenessCheckNone
+	enabled := r.settings.HealthChecksAllowed && r.settings.StalenessCheck != StalenessCheckNone
 	lastKnownAt := max(replica.lagKnownAt, replica.healthCheckedAt)
-	if useful && r.now >= lastKnownAt+millisToDuration(interval) {
+	if enabled && r.now >= lastKnownAt+millisToDuration(interval) {
 		r.sendHealthCheck(replica)
 	}
 }
@@ -51,9 +51,10 @@
 	r.emit(HealthCheck{host.ID})
 }
 
-// onHealthCheckResult handles a load report. A report of RolePrimary makes the host the primary if it is
-// newer than the other evidence; a primary's position is the time of its report. A report of RoleReplica
-// changes no role. No report ends an ejection, recent failures or unresponsiveness.
+// onHealthCheckResult handles a load report. A report of RolePrimary makes the host the primary if the
+// report is newer than the other evidence about the role. The position in a primary's report is the time of
+// the report. A report of RoleReplica changes no role. No report ends an ejection, resets recent failures
+// or ends unresponsiveness.
 func (r *Router) onHealthCheckResult(event HealthCheckResult) {
 	host := r.hosts[event.Host]
 	if host == nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// observeAttemptResult records what an attempt's result shows about its host: role, position, and lag.
+// observeAttemptResult records the role, position and lag of a host that follow from an attempt's result.
 func (r *Router) observeAttemptResult(ended *attempt, event AttemptResult) {
 	isWrite := ended.request.class.Consistency == ConsistencyWrite
 	switch event.Outcome {
@@ -81,7 +82,7 @@
 			role = RoleReplica
 		}
 		r.observeRole(ended.host, role)
-		if !isWrite || event.Outcome != OutcomeOK { // the position of a write that succeeded is its own commit
+		if !isWrite || event.Outcome != OutcomeOK { // a successful write reports the position of its own commit
 			r.observePosition(ended.host, event.Position)
 		}
 	}
@@ -90,8 +91,8 @@
 	}
 }
 
-// observeStalenessCheck records how a replica's check of a read ended: a replica that answered had the
-// required position when the read was sent, one that rejected it had not.
+// observeStalenessCheck records what a replica's check of a read shows. A replica that answered had applied
+// the required position when the read was sent. A replica that rejected the read had not.
 func (r *Router) observeStalenessCheck(ended *attempt, event AttemptResult) {
 	replica := ended.host
 	allowedLag := ended.sentAt - r.settings.PositionEpoch - ended.requiredPosition
@@ -107,8 +108,8 @@
 	}
 }
 
-// observePosition records that a host has applied a position, 0 where it is unknown. The report may be as
-// old as the lag that it shows, so it can lower a known lag but never raise it.
+// observePosition records the position that a host reports to have applied; 0 means unknown. The report may
+// be as old as the lag that it shows, so it can lower a known lag but never raise it.
 func (r *Router) observePosition(host *host, reported Position) {
 	if reported <= 0 {
 		return
--- a/routing/maintenance.go
+++ b/routing/maintenance.go
@@ -11,8 +11,8 @@
 const (
 	// maintenanceInterval is the least time between two fadings of evidence.
 	maintenanceInterval = time.Second
-	// maxEvidenceAge is the age at which evidence has faded altogether.
-	maxEvidenceAge = time.Minute
+	// maxDecayTime is the age at which evidence has faded altogether.
+	maxDecayTime = time.Minute
 	// answerRateRetentionPerSecond is the part of a group's peak answer rate that is left after a second.
 	answerRateRetentionPerSecond = 0.95
 	// loadRetentionPerSecond is the part of what is counted as sent lately that is left after a second.
@@ -32,17 +32,17 @@
 			}
 		}
 	}
-	if elapsed := min(r.now-r.lastMaintenanceAt, maxEvidenceAge); elapsed >= maintenanceInterval {
+	if elapsed := min(r.now-r.lastMaintenanceAt, maxDecayTime); elapsed >= maintenanceInterval {
 		r.lastMaintenanceAt = r.now
-		r.fadeEvidence(elapsed.Seconds())
+		r.decayStatistics(elapsed.Seconds())
 	}
 }
 
-// fadeEvidence lets what the Router has learned lose weight by the seconds that have passed, and removes
+// decayStatistics lets what the Router has learned lose weight by the seconds that have passed, and removes
 // what it needs no more.
-func (r *Router) fadeEvidence(seconds float64) {
+func (r *Router) decayStatistics(seconds float64) {
 	for _, group := range r.sortedGroups {
-		r.fadeGroup(group, seconds)
+		r.decayGroup(group, seconds)
 	}
 	loadRetention := math.Pow(loadRetentionPerSecond, seconds)
 	r.totalLoadSent *= loadRetention
@@ -51,9 +51,9 @@
 	r.loadEstimator.UpdateBaseline(durationToMillis(r.now), r.allWarmedUp())
 }
 
-// fadeGroup lets the failures and the answer rate of a group fade, and removes its hosts that are gone. While
+// decayGroup lets the failures and the answer rate of a group fade, and removes its hosts that are gone. While
 // one of its hosts is warming up the answer rate stays: what the group answers then is only what it was sent.
-func (r *Router) fadeGroup(group *group, seconds float64) {
+func (r *Router) decayGroup(group *group, seconds float64) {
 	for _, host := range group.hosts {
 		host.recentFailures *= math.Pow(failureRetentionPerSecond, seconds)
 	}
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Primary discovery. The primary of a group is the host that last answered as such. The endpoint list is
-// often out of date: the host that it names as primary only gets the first writes. Reads never go by the
-// list, since a host that isn't primary any more would answer them with old data.
+// Primary discovery. The primary of a group is the host that last answered or reported as primary. The
+// endpoint list is often out of date, so the host that it names as primary gets writes only while no
+// responsive primary is known. Reads never rely on the list: a host that is no longer the primary would
+// answer them with old data.
 
 const (
-	// primarySearchPause is the least time that writes wait after a round of a search, which comes to each host
-	// once: the pause ends at the next slot of this gateway. This is the value before scaleToObjective.
+	// primarySearchPause is the shortest pause of writes after a round of a search, in which each host has its
+	// turn once. The pause ends at the next slot of this gateway. The value applies before scaleToObjective.
 	primarySearchPause = 50 * time.Millisecond
-	// gatewaySlotGap is the least time between the slots of two gateways that do the same: the ends of two
-	// pauses in a search, or two health checks of one lagging replica. It isn't scaled.
+	// gatewaySlotGap is the shortest time between the slots of two gateways that do the same thing: end the
+	// pause of a search, or check the health of a lagging replica. It isn't scaled.
 	gatewaySlotGap = 2 * time.Millisecond
 )
 
-// A primarySearch tries the hosts of a group in turn with writes.
+// A primarySearch sends writes to the hosts of a group in turn until one of them is the primary.
 type primarySearch struct {
-	nextHost     int // index in group.hosts, modulo their number
-	triedInRound int // hosts that this round has come to, those that got no write included
+	nextHost     int // index in group.hosts, modulo the number of hosts
+	triedInRound int // hosts visited in this round, including those that got no write
 	pausedUntil  time.Duration
 }
 
-// observeRole records the role that a host gives itself.
+// observeRole records the role that a host reports about itself.
 func (r *Router) observeRole(host *host, role Role) {
 	group := host.group
 	switch role {
@@ -40,9 +41,9 @@
 	}
 }
 
-// availablePrimary returns the primary, or nil where it is unknown or may not get a request now. It may be
-// unresponsive: a read that comes to the primary has no other host that may answer it, and its answer ends
-// the unresponsiveness. Only writes search another primary (selectForWrite).
+// availablePrimary returns the primary, or nil if it is unknown or may not get a request now. The primary
+// may be unresponsive: a read that is sent to the primary has no other host that may answer it, and its
+// answer ends the unresponsiveness. Only writes search for another primary (selectForWrite).
 func (r *Router) availablePrimary(group *group) *host {
 	if group.primary != nil && r.mayReceive(group.primary) {
 		return group.primary
@@ -50,9 +51,10 @@
 	return nil
 }
 
-// selectForWrite returns the host for a write, or nil where it has to wait: the primary, where it is known
-// and responsive; else the host that the list names; else the next host of the search. While one of the
-// first two is only short of capacity the write waits for it.
+// selectForWrite returns the host for a write, or nil if the write has to wait. It uses the known primary
+// if it is responsive, otherwise the listed primary if it is credible and responsive, otherwise the next
+// host of the search. A write waits for a responsive primary or listed primary that may not get a request
+// now.
 func (r *Router) selectForWrite(request *request) *host {
 	group := request.group
 	if primary := group.primary; primary != nil && r.isResponsive(primary) {
@@ -67,9 +69,9 @@
 	return r.searchPrimary(request)
 }
 
-// credibleListedPrimary returns the host that the list names as primary, or nil where there is none or it
-// has answered as a replica since. A search in its place would send several writes of each gateway to
-// replicas.
+// credibleListedPrimary returns the host that the endpoint list names as primary. It returns nil if there
+// is none or if the host has answered as a replica since the list named it. A search instead would send
+// several writes of each gateway to replicas.
 func (g *group) credibleListedPrimary() *host {
 	if g.listedPrimary != nil && g.listedPrimary.answeredAsReplicaAt < g.listedPrimaryAt {
 		return g.listedPrimary
@@ -77,10 +79,10 @@
 	return nil
 }
 
-// searchPrimary returns the next host of the group's search that may get a write, or nil where there is none
-// and during the pause after a round. A call looks at each host at most once. Where the round ends during a
-// call, the call goes on with the next round, and the pause holds from the next call on. It keeps the
-// request's last attempt for a primary that is found in time.
+// searchPrimary returns the next host of the group's search that may get a write. It returns nil if there
+// is none or during the pause after a round. A call considers each host at most once. If the round ends
+// during a call, the call continues with the next round, and the pause applies from the next call on. The
+// last attempt of a request is not used for the search, but kept for a primary that is found in time.
 func (r *Router) searchPrimary(request *request) *host {
 	group := request.group
 	lastAttempt := request.attemptCount > 0 && request.attemptCount >= r.settings.MaxAttempts-1
@@ -89,16 +91,16 @@
 	}
 	for range group.hosts {
 		candidate := r.nextSearchHost(group)
-		// A warming host that rejects a write has had the load of it all the same.
-		if r.mayReceive(candidate) && r.acquireSlowStart(candidate, 1, r.now-request.arrivedAt) {
+		// A write also loads a warming host that rejects it.
+		if r.mayReceive(candidate) && r.passesSlowStart(candidate, 1, r.now-request.arrivedAt) {
 			return candidate
 		}
 	}
 	return nil
 }
 
-// nextSearchHost advances the search by one host. After a round it pauses until a slot of this gateway's
-// own, so that the gateways' rounds don't coincide.
+// nextSearchHost returns the next host of the search. At the end of a round it starts a pause that ends in
+// a slot of this gateway, so that the rounds of different gateways don't coincide.
 func (r *Router) nextSearchHost(group *group) *host {
 	search := &group.search
 	next := group.hosts[search.nextHost%len(group.hosts)]
@@ -114,11 +116,12 @@
 	return next
 }
 
-// receivesAsPrimary reports whether the host of a request is the primary or, for a write, the listed primary.
+// receivesAsPrimary reports whether the host of a request is the primary or, for a write, the listed
+// primary.
 //
-// Known weakness: it is true too where searchPrimary returned that host, an unresponsive primary for example.
-// searchPrimary has acquired the host's slow start then, and dispatch acquires it again: a warming host is
-// charged twice for the write.
+// Known weakness: it also returns true if searchPrimary returned this host, for example an unresponsive
+// primary. searchPrimary has then already called passesSlowStart for the host, and dispatch calls it again,
+// so a warming host is charged twice for the write.
 func (h *host) receivesAsPrimary(request *request) bool {
 	isListed := request.class.Consistency == ConsistencyWrite && h == h.group.listedPrimary
 	return h == h.group.primary || isListed
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Replica selection.
+// Replica selection: which replica serves a read, and when a read goes to the primary or waits.
 
 const (
-	// ownZoneWeight is how many times as often a host of the gateway's own zone is picked as another: traffic
-	// between zones costs. The others keep a part, since a zone's traffic may be more than its hosts can
-	// serve.
+	// ownZoneWeight is the factor by which hosts in the gateway's own zone are preferred, because traffic
+	// between zones is expensive. Hosts in other zones still get some reads, since the hosts of a zone may not
+	// be able to serve all of its traffic.
 	ownZoneWeight = 4.0
-	// positionCheckTimeout is how long a read waits for a replica's answer to a health check, before
+	// positionCheckTimeout is how long a read waits for the result of a replica's health check, before
 	// scaleToObjective.
 	positionCheckTimeout = 50 * time.Millisecond
 )
 
-// replicaFitness is how well a host suits a read.
+// replicaFitness classifies how well a host suits a read.
 type replicaFitness int
 
 const (
-	replicaUnsuitable replicaFitness = iota // the primary, not eligible, or tried already
-	replicaUpToDate                         // at or past the required position, with capacity
-	replicaFull                             // at or past the required position, without capacity
-	replicaLagging                          // behind it as far as is known, but perhaps not by much
-	replicaFarBehind                        // known to be so far behind it that it would reject the read
+	replicaUnsuitable replicaFitness = iota // the primary, not eligible, or already tried
+	replicaUpToDate                         // at or past the required position, below its concurrency limit
+	replicaFull                             // at or past the required position, at its concurrency limit
+	replicaLagging                          // probably behind the required position, but perhaps only slightly
+	replicaFarBehind                        // known to be so far behind that it would reject the read
 )
 
-// readCandidates are the replicas that suit a read.
+// readCandidates holds the replicas that suit a read.
 type readCandidates struct {
 	upToDate []*host // replicaUpToDate
 	lagging  []*host // replicaLagging
-	anyFull  bool    // there is one that is replicaFull
+	anyFull  bool    // at least one replica is replicaFull
 }
 
 // selectForRead returns a random replica among those at or past the required position. If there is none, it
-// returns the most advanced replica where replicas check, else the primary. It returns nil where the read
-// has to wait, or is to be given up (request.droppedBySlowStart).
+// returns the most advanced replica if replicas check positions themselves (StalenessCheck), otherwise the
+// primary. It returns nil if the read has to wait or is to be given up (request.droppedBySlowStart).
 func (r *Router) selectForRead(request *request, required Position) *host {
 	candidates := r.findReadCandidates(request, required)
 	replica := r.pickReplica(request, r.preferSubset(request.group, candidates.upToDate))
@@ -49,8 +49,8 @@
 	return r.fallbackForRead(request, candidates)
 }
 
-// findReadCandidates sorts the hosts of a read's group by their fitness. Besides, it sends health checks that
-// are due to those behind (healthCheckLagging).
+// findReadCandidates classifies the hosts of a read's group by their fitness. It also sends health checks
+// that are due to lagging replicas (healthCheckLaggingReplica).
 func (r *Router) findReadCandidates(request *request, required Position) readCandidates {
 	var candidates readCandidates
 	for _, host := range request.group.hosts {
@@ -60,27 +60,27 @@
 		case replicaFull:
 			candidates.anyFull = true
 		case replicaLagging:
-			r.healthCheckLagging(host)
+			r.healthCheckLaggingReplica(host)
 			candidates.lagging = append(candidates.lagging, host)
 		case replicaFarBehind:
-			r.healthCheckLagging(host)
+			r.healthCheckLaggingReplica(host)
 		}
 	}
 	return candidates
 }
 
-// fallbackForRead returns the host for a read where no replica at or past its position may get it now, or nil
-// where the read waits.
+// fallbackForRead returns a host for a read if no replica at or past the required position may get it now.
+// It returns nil if the read has to wait.
 func (r *Router) fallbackForRead(request *request, candidates readCandidates) *host {
 	primary := request.group.primary
 	primaryBusy := primary == nil || len(primary.openAttempts) > 0
-	replicasCheck := r.settings.StalenessCheck != StalenessCheckNone
+	replicasCheckStaleness := r.settings.StalenessCheck != StalenessCheckNone
 	switch {
 	case candidates.anyFull && primaryBusy:
-		return nil // wait for a replica; only a primary without an attempt from here helps out
-	case !replicasCheck && r.awaitPosition(request, r.preferSubset(request.group, candidates.lagging)):
+		return nil // wait for a replica: the primary helps only if this gateway has no attempt open there
+	case !replicasCheckStaleness && r.awaitPosition(request, r.preferSubset(request.group, candidates.lagging)):
 		return nil
-	case replicasCheck && !candidates.anyFull:
+	case replicasCheckStaleness && !candidates.anyFull:
 		if replica := r.mostAdvancedReplica(candidates.lagging); replica != nil {
 			return replica
 		}
@@ -88,7 +88,7 @@
 	return r.availablePrimary(request.group)
 }
 
-// replicaFitness returns how well a host suits a read that needs a position.
+// replicaFitness returns the fitness of a host for a read that requires a position.
 func (r *Router) replicaFitness(host *host, request *request, required Position) replicaFitness {
 	if host.role() == primaryRole || !r.eligible(host) || slices.Contains(request.triedHosts, host) {
 		return replicaUnsuitable
@@ -106,9 +106,10 @@
 	return replicaFull
 }
 
-// pickReplica returns a random replica by selectionWeight, or nil where there is none. If the one drawn is
-// warming up and gets enough already, it returns nil, whatever the others have free, and sets
-// request.droppedBySlowStart if requests are admitted to the one drawn by chance.
+// pickReplica returns a random replica, weighted by selectionWeight, or nil if there is none. If the picked
+// replica is warming up and may not get another request, it returns nil even if other replicas have
+// capacity. If requests to the picked replica are admitted at random, it also sets
+// request.droppedBySlowStart.
 func (r *Router) pickReplica(request *request, replicas []*host) *host {
 	sum := 0.0
 	for _, replica := range replicas {
@@ -123,16 +124,16 @@
 		return nil
 	}
 	picked := replicas[index]
-	if !r.acquireSlowStart(picked, r.selectionWeight(picked)/sum, 0) {
-		request.droppedBySlowStart = r.isAdmittedByChance(picked)
+	if !r.passesSlowStart(picked, r.selectionWeight(picked)/sum, 0) {
+		request.droppedBySlowStart = r.usesRandomAdmission(picked)
 		return nil
 	}
 	return picked
 }
 
-// selectionWeight is how often a host is picked in comparison with others: by the share of its capacity
-// that it has for certain, half as often for each failure, and more often in the gateway's own zone. Two
-// unknown zones ("") count as the same zone here, unlike in package fleet.
+// selectionWeight returns the relative probability that a host is picked. It is proportional to the share
+// of its capacity that the host is certain to have, is halved by each recent failure, and is higher in the
+// gateway's own zone. Two unknown zones ("") count as the same zone here, unlike in package fleet.
 func (r *Router) selectionWeight(host *host) float64 {
 	weight := r.capacityShare(host) * math.Exp2(-host.recentFailures)
 	if host.Zone == r.settings.Zone {
@@ -141,9 +142,10 @@
 	return weight
 }
 
-// awaitPosition reports whether a read waits for the position of a replica, a random one among those that
-// aren't known to be up to date. Each of many gateways learns a replica's position so seldom that without
-// the check nearly all reads would go to the primary.
+// awaitPosition reports whether a read waits for a replica to report its position. The first call for a
+// read chooses the replica at random among those that may lag, and sends it a health check unless one is
+// pending. Each of many gateways learns the position of a replica so rarely that without this check nearly
+// all reads would go to the primary.
 func (r *Router) awaitPosition(request *request, replicas []*host) bool {
 	timeout := r.scaleToObjective(positionCheckTimeout)
 	if request.healthCheckedHost == nil && len(replicas) > 0 && r.settings.HealthChecksAllowed {
@@ -157,12 +159,12 @@
 	return checked != nil && checked.healthCheckedAt > 0 && r.now < checked.healthCheckedAt+timeout
 }
 
-// mostAdvancedReplica returns the replica with the newest position among those that may get a request, or
-// nil. Each warming one with capacity uses up a token of its slow-start budget, or a random draw, though only
-// one gets the request.
+// mostAdvancedReplica returns the replica with the newest estimated position among those that may get a
+// request, or nil. Each warming replica with capacity spends a token of its slow-start budget or a random
+// draw, although only one of them gets the request.
 func (r *Router) mostAdvancedReplica(replicas []*host) *host {
 	replicas = slices.DeleteFunc(replicas, func(replica *host) bool {
-		return !replica.hasCapacity() || !r.acquireSlowStart(replica, 1, 0)
+		return !replica.hasCapacity() || !r.passesSlowStart(replica, 1, 0)
 	})
 	if len(replicas) == 0 {
 		return nil
--- a/routing/request.go
+++ b/routing/request.go
@@ -24,7 +24,7 @@
 	uncertainSince time.Duration // when the first such attempt was sent
 
 	droppedBySlowStart bool            // the draw for a warming host failed; other hosts may be free
-	gateDrawn          [hostRoles]bool // the admission gate of a role was drawn for it already
+	gateChecked        [hostRoles]bool // the admission gate of a role was drawn for it already
 	causedError        bool            // any host answers it with a quick error; see recordRequestCausedError
 	finished           bool            // it has its final answer, or its client is gone
 }
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// Retry and giving up. A request may be attempted while its time, its attempts and its idempotency allow
-// it; else it gets its final answer at once, so that the client can act on it.
+// Retry rules. A request may be attempted as long as its deadline, its number of attempts and its
+// idempotency allow it. Otherwise it gets its final answer at once, so that the client can react to it.
 
 const (
-	// minLatencyShare is the part of its class's mean answer time that an answer takes at least.
+	// minLatencyShare is the shortest latency that wouldAnswerTooLate expects of an answer, as a share of the
+	// mean latency of its class.
 	minLatencyShare = 0.7
-	// dedupWindowMargin is the end of a deduplication window that is left unused, at most a fifth of the
-	// window: hosts count it from when an attempt arrives, and one attempt may be on its way longer than
-	// another.
+	// dedupWindowMargin is how long before the end of a deduplication window the last retry may be sent. A
+	// host starts the window when an attempt arrives, and two attempts can have different network delays.
 	dedupWindowMargin = 20 * time.Millisecond
-	// dedupWindowMarginDivisor is the part of a short deduplication window that is left unused: one fifth.
+	// dedupWindowMarginDivisor limits the margin in a short deduplication window to a fifth of the window.
 	dedupWindowMarginDivisor = 5
-	// waitingCheckInterval is the interval at which requests that wait are looked at, before scaleToObjective.
+	// waitingCheckInterval is the interval between two attempts to dispatch the waiting requests, before
+	// scaleToObjective.
 	waitingCheckInterval = 10 * time.Millisecond
 )
 
-// mayAttempt reports whether a request that has no attempt in flight may be sent, now or later. Where it may
-// not, the request gets its final answer now.
+// mayAttempt reports whether a request without an attempt in flight may be sent to a host, now or later. If
+// it may not, dispatch gives it its final answer.
 func (r *Router) mayAttempt(request *request) bool {
 	switch {
-	case r.deadlineIsDue(request),
+	case r.expiresBeforeNextCheck(request),
 		request.attemptCount >= r.settings.MaxAttempts,
 		request.causedError,
-		r.isUnseenTooLong(request),
-		r.isTooLateToCount(request):
+		r.reachedNoHostInTime(request),
+		r.wouldAnswerTooLate(request):
 		return false
 	}
-	return r.mayRepeat(request)
+	return r.isSafeToRetry(request)
 }
 
-// hasWaited reports whether a request arrived before this moment. What has just arrived is not given up for
-// lack of time, unless its deadline has passed; slow start or an admission gate may still drop it.
+// hasWaited reports whether a request arrived before the current time. A request that has just arrived is
+// not given up for lack of time unless its deadline has passed. Slow start or an admission gate may still
+// drop it.
 func (r *Router) hasWaited(request *request) bool { return r.now > request.arrivedAt }
 
-// deadlineIsDue reports whether a request's deadline has passed, or would pass before it is looked at
-// again.
-func (r *Router) deadlineIsDue(request *request) bool {
+// expiresBeforeNextCheck reports whether a request's deadline has passed or, for a request that has waited,
+// would pass before the next attempt to dispatch it.
+func (r *Router) expiresBeforeNextCheck(request *request) bool {
 	if r.now >= request.deadline {
 		return true
 	}
@@ -46,9 +48,10 @@
 	return r.hasWaited(request) && nextCheck >= request.deadline
 }
 
-// isUnseenTooLong reports whether half of a request's time has passed and no attempt has reached a host.
-// Its client is answered while there is time to send it again.
-func (r *Router) isUnseenTooLong(request *request) bool {
+// reachedNoHostInTime reports whether no attempt of a waiting request has reached a host, and half of its
+// time will have passed at the next check. The client is then answered early enough to send the request
+// again.
+func (r *Router) reachedNoHostInTime(request *request) bool {
 	if request.reachedHost || !r.hasWaited(request) {
 		return false
 	}
@@ -56,9 +59,9 @@
 	return nextCheck >= request.arrivedAt+request.TimeLeft/2
 }
 
-// isTooLateToCount reports whether an answer would come after the latency objective to a request whose late
-// answers have no weight. mayAttempt then has it given up at once.
-func (r *Router) isTooLateToCount(request *request) bool {
+// wouldAnswerTooLate reports whether a request that has waited would be answered after its latency
+// objective or its deadline, while late answers of its class have no weight.
+func (r *Router) wouldAnswerTooLate(request *request) bool {
 	if request.class.LateWeightShare != 0 || !r.hasWaited(request) {
 		return false
 	}
@@ -66,9 +69,9 @@
 	return earliestAnswer >= min(request.arrivedAt+request.class.LatencyObjective, request.deadline)
 }
 
-// mayRepeat reports whether it does no harm to send a request (again): it can't have run, is idempotent, or
-// hosts drop its repeat.
-func (r *Router) mayRepeat(request *request) bool {
+// isSafeToRetry reports whether sending a request, for the first time or again, does no harm: it can't have
+// run yet, it is idempotent, or hosts still drop repeats of its idempotency key.
+func (r *Router) isSafeToRetry(request *request) bool {
 	if !request.mayHaveRun {
 		return true
 	}
@@ -76,37 +79,38 @@
 	case Idempotent:
 		return true
 	case IdempotentWithKey:
-		return r.now < request.retryBefore()
+		return r.now < request.sendBefore()
 	}
 	return false
 }
 
-// retryBefore returns the clock time until which hosts drop the repeat of a request with an idempotency key
-// that may have run; 0 for any other request.
-func (req *request) retryBefore() time.Duration {
+// sendBefore returns the clock time until which hosts drop a repeat of the request, if the request has an
+// idempotency key and may have run. It returns 0 for any other request.
+func (req *request) sendBefore() time.Duration {
 	if !req.mayHaveRun || req.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
 	return req.class.dedupWindowEnd(req.uncertainSince)
 }
 
-// dedupWindowEnd returns the clock time until which hosts drop the repeat of a request that may have run
-// since a time.
+// dedupWindowEnd returns the clock time until which hosts drop repeats of a request whose first attempt
+// that may have run was sent at uncertainSince.
 func (c *Class) dedupWindowEnd(uncertainSince time.Duration) time.Duration {
 	margin := min(dedupWindowMargin, c.DedupWindow/dedupWindowMarginDivisor)
 	return uncertainSince + c.DedupWindow - margin
 }
 
-// giveUp gives a request its final answer: Reject where the client may send it again without harm, else
-// Fail. A rejected request may have run. Then it is idempotent, or every group drops the repeat of its key.
+// giveUp gives a request its final answer: Reject if the client can safely send it again, otherwise Fail. A
+// rejected request may have run if it is idempotent, or if the hosts of every group drop repeats of its
+// key.
 func (r *Router) giveUp(request *request) {
-	droppedAnywhere := request.class.Idempotency == IdempotentWithKey && request.class.DedupAcrossGroups
-	harmless := !request.mayHaveRun || request.class.Idempotency == Idempotent || droppedAnywhere
+	repeatDroppedByAllGroups := request.class.Idempotency == IdempotentWithKey && request.class.DedupAcrossGroups
+	safeToResend := !request.mayHaveRun || request.class.Idempotency == Idempotent || repeatDroppedByAllGroups
 	switch {
-	case !harmless:
+	case !safeToResend:
 		r.emit(Fail{request.ID})
 	case r.settings.RetryAfterAllowed:
-		// Always the longest wait: of the retries that come sooner, most would miss their latency objective too.
+		// Always the longest wait: most earlier retries would miss their latency objective too.
 		r.emit(Reject{request.ID, r.settings.MaxRetryAfter})
 	default:
 		r.emit(Reject{Request: request.ID})
