--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// Dispatching: the way of a request from its group's queue to a host. Each step is a rule of a file of its
-// own: mayAttempt and giveUp (retry.go), requiredPosition (consistency.go), selectForRead (replica.go),
-// selectForWrite (primary.go), passesSlowStart (slowstart.go), passesAdmissionGate (admission.go).
+// Dispatching: how a request gets from the queue of its group to a host. Each step is a rule in a file of
+// its own: mayAttempt and giveUp (retry.go), requiredPosition (consistency.go), selectForRead (replica.go),
+// selectForWrite (primary.go), passesSlowStart (slowstart.go) and passesAdmissionGate (admission.go).
 
-// dispatchWaiting dispatches a group's waiting requests: those of the greatest weight rate first, and of
-// these the newest first. In a queue that lasts, oldest first would answer every request just too late.
+// dispatchWaiting dispatches the waiting requests of a group in descending order of their weight rate, and
+// the newest first among equals. In a queue that persists, serving the oldest first would answer every
+// request just too late.
 func (r *Router) dispatchWaiting(group *group) {
 	waiting := group.waiting
 	group.waiting = nil
@@ -49,7 +50,7 @@
 	}
 }
 
-// selectHost returns a host for a request, or nil where none may get it now.
+// selectHost returns a host for a request, or nil if no host may get it now.
 func (r *Router) selectHost(request *request, required Position, primaryOnly bool) *host {
 	switch {
 	case request.class.Consistency == ConsistencyWrite:
@@ -77,7 +78,8 @@
 	r.emit(Attempt{Request: request.ID, Host: target.ID, SendBefore: request.sendBefore()})
 }
 
-// countLoadSent adds an attempt to what was sent lately, in seconds of the mean answer time of its class.
+// countLoadSent adds an attempt to the load that was sent recently, as the mean latency of its class in
+// seconds.
 func (r *Router) countLoadSent(request *request, target *host) {
 	seconds := r.latencyOf(request).meanSeconds
 	r.totalLoadSent += seconds
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// The endpoint list, and which hosts it leaves in service. The list is often out of date: a host that it
-// names as primary only gets the first writes (see primary.go).
+// The endpoint list, and which hosts it leaves in service. The list is often out of date: the host that it
+// names as primary gets writes only while no responsive primary is known (see primary.go).
 
 const (
-	// subscribeRetryInterval is how long after a failed poll the endpoint list is asked for again.
+	// subscribeRetryInterval is how long after a failed poll the Router requests the endpoint list again.
 	subscribeRetryInterval = 500 * time.Millisecond
-	// goneHostRetention is how long a host that is gone is kept, counted from when it was notified that it
-	// drains or, without a drain, that it is gone. Rolling replacements must not fill the tables.
+	// goneHostRetention is how long a host that is gone is kept. The time counts from the notification that
+	// the host is draining or, if there was none, that it is gone. Without removal, rolling replacements would
+	// fill the tables.
 	goneHostRetention = 30 * time.Second
 )
 
-// onEndpointUpdate applies the endpoint list or changes of it.
+// onEndpointUpdate applies the endpoint list or changes to it.
 func (r *Router) onEndpointUpdate(update EndpointUpdate) {
 	if update.Failed {
 		r.subscribeAt = r.now + subscribeRetryInterval
@@ -29,8 +30,8 @@
 		r.applyEndpoint(endpoint, update)
 	}
 	isFirstList := r.largestGroupSize == 0
-	// Each group's traffic is taken to be made for as many hosts as the largest group has had: a gateway that
-	// starts late may see one group at its smallest.
+	// Each group's traffic is assumed to need as many hosts as the largest group has had. A gateway that
+	// starts late may see a group while most of its hosts are missing.
 	for _, group := range r.sortedGroups {
 		if update.Full {
 			r.removeUnlisted(group, listed, update)
@@ -39,7 +40,7 @@
 	}
 }
 
-// removeUnlisted marks the hosts of a group that a full list doesn't name as gone.
+// removeUnlisted marks the hosts of a group that are missing from a full list as gone.
 func (r *Router) removeUnlisted(group *group, listed map[string]bool, update EndpointUpdate) {
 	for _, host := range group.hosts {
 		if !listed[host.ID] && host.State != StateGone {
@@ -48,8 +49,8 @@
 	}
 }
 
-// countReadyHosts is the number of a group's ready hosts. In a list that isn't the first, hosts that warm up
-// don't count: they may replace others that are still listed.
+// countReadyHosts returns the number of a group's ready hosts. Unless includeWarming is set, as it is for
+// the first list, hosts that are warming up don't count: they may replace others that are still listed.
 func (r *Router) countReadyHosts(group *group, includeWarming bool) int {
 	count := 0
 	for _, host := range group.hosts {
@@ -69,7 +70,7 @@
 		}
 		host = r.addHost(endpoint)
 	}
-	if endpoint.StartedAt > host.StartedAt { // it has restarted: its recent failures no longer count
+	if endpoint.StartedAt > host.StartedAt { // the host has restarted, so its recent failures no longer count
 		host.StartedAt, host.recentFailures, host.unresponsive = endpoint.StartedAt, 0, false
 	}
 	if endpoint.Primary && !host.Primary {
@@ -79,15 +80,16 @@
 	r.setEndpointState(host, endpoint.State, update)
 }
 
-// addHost adds a host that the list names for the first time. Where its position is needed before it may
-// serve reads it gets a health check; with subsets, only when it is needed, since every gateway would check
-// every host. This check isn't recorded in healthCheckedAt: a read may send another at once.
+// addHost adds a host that appears in the list for the first time. If a host may serve reads only once its
+// position is known, it gets a health check. Gateways with subsets send that check only when a read needs
+// the position, because otherwise every gateway would check every host. The check isn't recorded in
+// healthCheckedAt, so a read may send another one at once.
 func (r *Router) addHost(endpoint Endpoint) *host {
 	group := r.groupFor(endpoint.Group)
 	added := &host{
 		Endpoint: endpoint, group: group, lastOutcomeAt: r.now, concurrencyLimit: initialConcurrencyLimit,
 	}
-	added.State, added.Primary = StateReady, false // applyEndpoint sets them as changes
+	added.State, added.Primary = StateReady, false // applyEndpoint then changes them to the listed values
 	r.hosts[endpoint.ID] = added
 	group.hosts = append(group.hosts, added)
 	slices.SortFunc(group.hosts, func(a, b *host) int { return cmp.Compare(a.ID, b.ID) })
@@ -98,22 +100,22 @@
 	return added
 }
 
-// setEndpointState records the state that the list gives a host.
+// setEndpointState records the listed state of a host.
 func (r *Router) setEndpointState(host *host, state EndpointState, update EndpointUpdate) {
 	if state != StateReady && host.State == StateReady {
 		host.drainNotifiedAt = update.effectiveNotifiedAt(r.now)
 	}
-	if state != StateGone { // a host that is gone stays listed as draining if it was
+	if state != StateGone { // for a host that is gone the last listed state is kept
 		host.listedAsDraining = state == StateDraining
 	}
 	host.State = state
 	r.topologyVersion++
 }
 
-// inService reports whether the endpoint list and the exclusions by hand allow requests to a host. A
-// primary that drains or is excluded is used until the end of the drain grace period, since only it accepts
-// writes. The period ends here two ticks early; package proxy checks again, with a margin of its own, when it
-// writes the request (drainGraceMarginMs).
+// inService reports whether the endpoint list and the operators' exclusions allow requests to a host. A
+// draining or excluded primary remains in service until the end of the drain grace period, since no other
+// host accepts writes. Here the period ends two ticks early. Package proxy checks it again, with a margin
+// of its own, when it writes the request (drainGraceMarginMs).
 func (r *Router) inService(host *host) bool {
 	excludedSince, excluded := r.excludedSince[host.ID]
 	drainingSince := excludedSince
@@ -130,8 +132,8 @@
 	return host.role() == primaryRole && inGracePeriod
 }
 
-// removeGoneHost removes a host that is gone, after goneHostRetention, from the table of hosts, and reports
-// whether it did.
+// removeGoneHost removes a host that is gone from the table of hosts once goneHostRetention is over, unless
+// the host has open attempts or is the primary. It reports whether it removed the host.
 func (r *Router) removeGoneHost(host *host) bool {
 	isUsed := len(host.openAttempts) > 0 || host.role() == primaryRole
 	if host.State != StateGone || isUsed || r.now < host.drainNotifiedAt+goneHostRetention {
--- a/routing/maintenance.go
+++ b/routing/maintenance.go
@@ -6,20 +6,22 @@
 	"time"
 )
 
-// Maintenance: what is due by time rather than by an event, and the fading of what the Router has learned.
+// Maintenance: work that is due at a certain time instead of after an event, and the decay of the Router's
+// statistics.
 
 const (
-	// maintenanceInterval is the least time between two fadings of evidence.
+	// maintenanceInterval is the shortest time between two decays of the statistics.
 	maintenanceInterval = time.Second
-	// maxDecayTime is the age at which evidence has faded altogether.
+	// maxDecayTime is the longest time that a single decay accounts for. By then the recent failures have
+	// decayed almost completely.
 	maxDecayTime = time.Minute
-	// answerRateRetentionPerSecond is the part of a group's peak answer rate that is left after a second.
+	// answerRateRetentionPerSecond is the share of a group's peak answer rate that remains after one second.
 	answerRateRetentionPerSecond = 0.95
-	// loadRetentionPerSecond is the part of what is counted as sent lately that is left after a second.
+	// loadRetentionPerSecond is the share of the recently sent load that remains after one second.
 	loadRetentionPerSecond = 0.98
 )
 
-// runMaintenance does what is due at this time rather than by an event.
+// runMaintenance does the work that is due at the current time.
 func (r *Router) runMaintenance() {
 	if r.subscribeAt > 0 && r.now >= r.subscribeAt {
 		r.subscribeAt = 0
@@ -38,8 +40,8 @@
 	}
 }
 
-// decayStatistics lets what the Router has learned lose weight by the seconds that have passed, and removes
-// what it needs no more.
+// decayStatistics reduces the weight of what the Router has learned according to the seconds that have
+// passed, and removes sessions and hosts that are no longer needed.
 func (r *Router) decayStatistics(seconds float64) {
 	for _, group := range r.sortedGroups {
 		r.decayGroup(group, seconds)
@@ -51,8 +53,9 @@
 	r.loadEstimator.UpdateBaseline(durationToMillis(r.now), r.allWarmedUp())
 }
 
-// decayGroup lets the failures and the answer rate of a group fade, and removes its hosts that are gone. While
-// one of its hosts is warming up the answer rate stays: what the group answers then is only what it was sent.
+// decayGroup decays the recent failures and the peak answer rate of a group, and removes its hosts that are
+// gone. The answer rate doesn't decay while a host of the group is warming up: the group then answers only
+// the reduced load that it was sent.
 func (r *Router) decayGroup(group *group, seconds float64) {
 	for _, host := range group.hosts {
 		host.recentFailures *= math.Pow(failureRetentionPerSecond, seconds)
--- a/routing/router.go
+++ b/routing/router.go
@@ -13,45 +13,45 @@
 // logInterval is the shortest time between two Log actions.
 const logInterval = time.Second
 
-// A Router decides for one gateway. It is not safe for concurrent use.
+// A Router makes the routing decisions of one gateway. It is not safe for concurrent use.
 type Router struct {
 	settings Settings
 	rng      *rand.Rand    // source of every random draw
 	now      time.Duration // clock time of the current Step; never goes back
-	actions  []Action      // of the current Step, in order
+	actions  []Action      // actions of the current Step, in order
 
 	hosts        map[string]*host // by ID
 	groups       map[int]*group   // by ID
-	sortedGroups []*group         // by ID, ascending: no decision depends on the order of a map
+	sortedGroups []*group         // by ascending ID, so that no decision depends on the order of a map
 	requests     map[uint64]*request
 
 	sessions        map[string]*session
-	stampFloor      Position // session stamp of all sessions that aren't in the table
-	lastWriteNumber uint64
-	siblingRunning  bool // another process of this gateway serves requests
+	stampFloor      Position // session stamp of every session that isn't in the table
+	lastWriteNumber uint64   // writeNumber of the last write that was sent
+	siblingRunning  bool     // another process of this gateway is serving requests
 
 	roster           *fleet.Roster            // the gateways that share the hosts
-	topologyVersion  int                      // grows with each change of hosts or gateways
-	largestGroupSize int                      // most hosts that were ready in any group; see slowstart.go
-	excludedSince    map[string]time.Duration // clock time at which operators excluded a host, by its ID
-	subscribeAt      time.Duration            // when to ask for the endpoint list; 0: not needed
+	topologyVersion  int                      // incremented by each change of hosts or gateways
+	largestGroupSize int                      // most ready hosts that any group has had; see slowstart.go
+	excludedSince    map[string]time.Duration // clock time at which operators excluded a host, by host ID
+	subscribeAt      time.Duration            // when to request the endpoint list; 0: no request is due
 
 	latencies       []latencyEstimate   // by class
-	quickErrors     movingFailureShare  // quick errors, against answers
-	connectFailures movingFailureShare  // failed connections, against answers
-	loadEstimator   fleet.LoadEstimator // arrivals over the rate that was lately served
+	quickErrors     movingFailureShare  // share of quick errors among quick errors and answers
+	connectFailures movingFailureShare  // share of failed connections among failed connections and answers
+	loadEstimator   fleet.LoadEstimator // arrival rate relative to the recently served rate
 	meanWeightRate  float64             // mean weight rate of requests; see weightRate
-	totalLoadSent   float64             // seconds of answer time sent lately; fades
-	primaryLoadSent float64             // part of it that was sent to primaries
+	totalLoadSent   float64             // recently sent load in seconds of latency; decays
+	primaryLoadSent float64             // part of totalLoadSent that was sent to primaries
 
 	lastMaintenanceAt time.Duration
-	overdueCheckAt    time.Duration // when attempts are next checked for being overdue
-	timerAt           time.Duration // of the last SetTimer
-	lastLogAt         time.Duration
+	overdueCheckAt    time.Duration // when open attempts are next checked for being overdue
+	timerAt           time.Duration // when the last SetTimer fires
+	lastLogAt         time.Duration // time of the last Log action
 }
 
-// New returns a Router with the given settings; all its random draws come from seed. It returns a
-// *SettingError for settings that it can't work with.
+// New returns a Router with the given settings. All its random draws derive from seed. It returns a
+// *SettingError if the settings are invalid.
 func New(settings Settings, seed uint64) (*Router, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 		requests:      map[uint64]*request{},
 		sessions:      map[string]*session{},
 		excludedSince: map[string]time.Duration{},
-		// A primary is taken to get half of the traffic until requests have shown its part.
+		// Until requests have shown its actual share, a primary is assumed to get half of the traffic.
 		totalLoadSent:   2,
 		primaryLoadSent: 1,
 		topologyVersion: 1,
@@ -74,12 +74,12 @@
 	r.latencies = slices.Repeat(
 		[]latencyEstimate{{meanSeconds: first, deviationSeconds: first / 2}}, len(settings.Classes))
 	if settings.SubscribeToEndpoints {
-		r.subscribeAt = 1 // the least time that isn't 0: in the first Step
+		r.subscribeAt = 1 // the smallest value other than 0, so that it is due in the first Step
 	}
 	return r, nil
 }
 
-// Step handles what has happened up to now and returns what to do, in order.
+// Step handles the events up to now and returns the resulting actions, in order.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
 	r.now, r.actions = max(now, r.now), nil
 	for _, event := range events {
@@ -93,7 +93,7 @@
 	return r.actions
 }
 
-// handle passes an event to the rule that it concerns. TimerFired needs none: Step does what is due.
+// handle passes an event to its handler. TimerFired has none, because every Step does the work that is due.
 func (r *Router) handle(event Event) {
 	switch event := event.(type) {
 	case EndpointUpdate:
@@ -120,14 +120,14 @@
 	}
 }
 
-// emit adds an action to those of the current Step.
+// emit adds an action to the current Step.
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// currentPosition is the position of a host that has applied everything up to now.
+// currentPosition returns the position of a host that has applied all commits up to now.
 func (r *Router) currentPosition() Position { return r.now - r.settings.PositionEpoch }
 
-// log writes a line for the operators: what has happened to a host. Lines of any group within logInterval of
-// the last one are dropped, and not counted.
+// log emits a log line that says what happened to a host. A line within logInterval after the last one, of
+// any group, is dropped and not counted.
 func (r *Router) log(host *host, whatHappened string) {
 	if r.lastLogAt > 0 && r.now < r.lastLogAt+logInterval {
 		return
@@ -141,25 +141,25 @@
 type group struct {
 	id      int
 	hosts   []*host    // by ID, ascending
-	waiting []*request // to be dispatched in this Step or a later one
+	waiting []*request // requests to dispatch in this Step or a later one
 
-	primary         *host         // host that last answered as primary; nil: unknown
-	primarySeenAt   time.Duration // when it did
-	listedPrimary   *host         // host that the endpoint list names as primary; nil: none yet
-	listedPrimaryAt Position      // position at the time when the list began to name it
+	primary         *host         // host that was last observed as primary; nil: unknown
+	primarySeenAt   time.Duration // when it was last observed as primary
+	listedPrimary   *host         // host that the endpoint list last named as primary; nil: none yet
+	listedPrimaryAt Position      // current position when the list began to name it
 	search          primarySearch
 
-	servedCount    float64 // answers since the last maintenance
-	peakAnswerRate float64 // greatest number of answers per second; fades
+	servedCount    float64 // answers since the last decay
+	peakAnswerRate float64 // peak number of answers per second; decays
 
-	admissionGates [hostRoles]float64 // by role of the host; see admission.go
+	admissionGates [hostRoles]float64 // admission gates by role of the host; see admission.go
 
 	subset        fleet.Group // assignment of the ready hosts to gateways
-	subsetHosts   []*host     // hosts of that assignment, in its order
-	subsetVersion int         // topologyVersion at which it was made
+	subsetHosts   []*host     // the hosts of the assignment, in its order
+	subsetVersion int         // topologyVersion of the assignment
 }
 
-// groupFor returns a group, which it creates where it is new.
+// groupFor returns the group with an ID, creating it if it doesn't exist.
 func (r *Router) groupFor(id int) *group {
 	if r.groups[id] == nil {
 		created := &group{id: id}
