--- a/routing/actions.go
+++ b/routing/actions.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// Action is something for the embedding program to do. It is one of the types of this file.
+// Action is a task for the embedding program. Its implementations are the types in this file.
 type Action interface{ action() }
 
-// Attempt sends a request to a host. The attempts of a request count from 0.
+// Attempt tells the program to send a request to a host. The attempts of a request are numbered from 0.
 type Attempt struct {
 	Request uint64
 	Host    string
-	// GiveUpAt is the clock time at which the attempt ends with OutcomeTimeout; 0: when the client gives up. The
-	// Router leaves it at 0.
+	// GiveUpAt is the clock time at which the attempt ends with OutcomeTimeout; 0: at the end of the request's
+	// time. The Router always sets it to 0.
 	GiveUpAt time.Duration
-	// SendBefore is the clock time until which the request must be written, else it must not be sent at all:
-	// the deduplication window may be over by then. 0: no such limit.
+	// SendBefore is the clock time before which the request must be written. After it the request must not be
+	// sent, because the deduplication window may be over. 0: no limit.
 	SendBefore time.Duration
 }
 
-// CancelAttempt ends an attempt whose answer is overdue. Its AttemptResult still comes.
+// CancelAttempt cancels an attempt whose answer is overdue. The attempt still ends with an AttemptResult.
 type CancelAttempt struct {
 	Request uint64
 	Attempt int
 }
 
-// Reject is a final answer: the request had no effect, or may be sent again without harm.
+// Reject is a final answer which says that the request had no effect or can safely be sent again.
 type Reject struct {
 	Request    uint64
-	RetryAfter time.Duration // how long the client should wait before it sends the request again; 0: not given
+	RetryAfter time.Duration // how long the client should wait before it retries; 0: not given
 }
 
-// Fail is a final answer that doesn't say whether the request had an effect.
+// Fail is a final answer that leaves open whether the request had an effect.
 type Fail struct{ Request uint64 }
 
 // HealthCheck asks a host for its role and position.
 type HealthCheck struct{ Host string }
 
-// SubscribeEndpoints asks for the endpoint list and its changes.
+// SubscribeEndpoints requests the endpoint list and its changes.
 type SubscribeEndpoints struct{}
 
-// SetTimer asks for a Step with TimerFired after a while. The Router ignores a timer that it needs no more.
+// SetTimer requests a Step with TimerFired after a delay. The Router ignores timers that it no longer
+// needs.
 type SetTimer struct{ After time.Duration }
 
-// Log is a line for the operators about a host.
+// Log is a log line about a host.
 type Log struct {
-	Text  string // what happened; it names the group and the host
+	Text  string // what happened, including the group and the host
 	Group int
 	Host  string
 }
--- a/routing/events.go
+++ b/routing/events.go
@@ -21,13 +21,13 @@
 type Endpoint struct {
 	ID        string
 	Group     int
-	Primary   bool // what the list says, which is often out of date or missing
+	Primary   bool // whether the list names it as primary; often out of date or missing
 	State     EndpointState
 	StartedAt time.Duration // clock time of its last start; 0: long ago
-	Zone      string        // "" where it is unknown
+	Zone      string        // "" if unknown
 }
 
-// Role is the role that a host gives itself in an answer or a load report.
+// Role is the role that a host reports about itself in an answer or a load report.
 type Role int
 
 // The roles.
@@ -45,17 +45,17 @@
 // may have run.
 const (
 	OutcomeOK             Outcome = iota
-	OutcomeMisdirected            // a write at a replica, or a read that the replica is too far behind for
-	OutcomeRejected               // rejected by the host, which has no capacity left
-	OutcomeNoConnection           // no connection in time, or it broke before the request was written
+	OutcomeMisdirected            // a write sent to a replica, or a read for which the replica lags too far
+	OutcomeRejected               // the host rejected the request for lack of capacity
+	OutcomeNoConnection           // no connection in time, or it broke before the whole request was written
 	OutcomeNotSent                // the attempt ended before the request was written
 	OutcomeError                  // the host answered with an error
-	OutcomeTimeout                // the time of the request was over
-	OutcomeConnectionLost         // the connection broke
-	OutcomeCancelled              // cancelled by CancelAttempt
+	OutcomeTimeout                // the time of the request expired
+	OutcomeConnectionLost         // the connection broke after the request was written
+	OutcomeCancelled              // CancelAttempt cancelled the attempt
 )
 
-// String returns the outcome's name, as it stands in logs.
+// String returns the name of the outcome as it appears in logs.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeOK:
@@ -89,17 +89,18 @@
 	return false
 }
 
-// Event is something that happened. It is one of the types of this file.
+// Event is something that happened. Its implementations are the types in this file.
 type Event interface{ event() }
 
-// EndpointUpdate brings the endpoint list, or changes of it.
+// EndpointUpdate carries the endpoint list or changes to it.
 type EndpointUpdate struct {
-	Full, Failed bool          // Full: hosts that aren't in Endpoints are gone; Failed: the poll brought nothing
-	NotifiedAt   time.Duration // clock time from which it counts as known, where that is before now; 0: now
+	Full, Failed bool          // Full: hosts missing from Endpoints are gone; Failed: the poll returned no list
+	NotifiedAt   time.Duration // clock time of the notification, if it was earlier than now; 0: now
 	Endpoints    []Endpoint
 }
 
-// effectiveNotifiedAt returns the clock time from which the update counts as known.
+// effectiveNotifiedAt returns the clock time at which the update became known: NotifiedAt, or the current
+// time if NotifiedAt is unset or later.
 func (u EndpointUpdate) effectiveNotifiedAt(now time.Duration) time.Duration {
 	if u.NotifiedAt > 0 {
 		return min(u.NotifiedAt, now)
@@ -107,36 +108,37 @@
 	return now
 }
 
-// Request is a client's request.
+// Request announces a new request of a client.
 type Request struct {
 	ID             uint64
 	Class          int           // index in Settings.Classes
 	Tenant         int           // index in Settings.Tenants, or -1
-	Group          int           // the only group whose hosts may serve it
-	Session        string        // "" where it has none
-	SinceLastWrite time.Duration // age of the session's last write, on the simulator's wire only; 0: not given
-	TimeLeft       time.Duration // until the client gives up
+	Group          int           // the group whose hosts serve it; no other group may
+	Session        string        // session key; "": none
+	SinceLastWrite time.Duration // age of the session's last write; 0: not given (only the simulator gives it)
+	TimeLeft       time.Duration // time until the client stops waiting
 	ClientRetry    bool          // the client sends a rejected or failed request again
 }
 
-// AttemptResult ends an attempt.
+// AttemptResult reports the end of an attempt.
 type AttemptResult struct {
 	Request     uint64
-	Attempt     int    // number of the attempt, from 0
-	Host        string // not read: the Router knows the attempt's host
+	Attempt     int    // index among the attempts of the request, from 0
+	Host        string // not used: the Router knows the host of the attempt
 	Outcome     Outcome
-	RequestDone bool // the client has its answer, or needs none any more
+	RequestDone bool // the client has its answer or no longer needs one
 	Role        Role
 	Position    Position
 }
 
-// StreamStarted says that a streamed answer has begun to reach the client. It can't be retried any more.
+// StreamStarted reports that part of a streamed answer has reached the client, so the request can't be
+// retried.
 type StreamStarted struct{ Request uint64 }
 
-// ClientGone says that the client waits no longer.
+// ClientGone reports that the client no longer waits for an answer.
 type ClientGone struct{ Request uint64 }
 
-// HealthCheckResult brings what a HealthCheck found.
+// HealthCheckResult carries the result of a HealthCheck.
 type HealthCheckResult struct {
 	Host     string
 	Outcome  Outcome
@@ -144,24 +146,25 @@
 	Position Position
 }
 
-// ExcludeHost is an operator's order not to use a host until IncludeHost, whatever the endpoint list says.
+// ExcludeHost is an operator's command not to use a host until IncludeHost, whatever the endpoint list
+// says.
 type ExcludeHost struct {
 	Host  string
-	Since time.Duration // clock time of the order, where an earlier process received it; 0: now
+	Since time.Duration // clock time of the command, if an earlier process received it; 0: now
 }
 
-// IncludeHost ends the exclusion of a host, however often it was excluded.
+// IncludeHost ends the exclusion of a host, no matter how many times it was excluded.
 type IncludeHost struct{ Host string }
 
-// SiblingProcess says that another process of the same gateway, with a Router of its own, has begun or
-// ceased to serve requests, as during an upgrade.
+// SiblingProcess reports that another process of this gateway, with its own Router, has started or stopped
+// serving requests, for example during an upgrade.
 type SiblingProcess struct{ Running bool }
 
-// RosterUpdate brings the gateways that share the hosts. It replaces Settings.GatewayCount and
+// RosterUpdate carries the gateways that share the hosts. It replaces Settings.GatewayCount and
 // GatewayNumber.
 type RosterUpdate struct{ Roster *fleet.Roster }
 
-// TimerFired says that the time of a SetTimer has come.
+// TimerFired reports that the time of a SetTimer has come.
 type TimerFired struct{}
 
 func (EndpointUpdate) event()    {}
--- a/routing/exclusion.go
+++ b/routing/exclusion.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Exclusion by hand: operators' orders not to use a host. They are kept apart from the endpoint list and
-// overrule it: a host that is listed anew, restarts or drains stays excluded until it is included. A host
-// counts as draining from its exclusion on (see inService).
+// Exclusions: operators' commands not to use a host. They are kept apart from the endpoint list and
+// override it: a host that is listed again, restarts or drains stays excluded until it is included. From
+// its exclusion on, a host counts as draining (see inService).
 
-// onExcludeHost excludes a host, whether it is known or not. Its open attempts may finish. Of several
-// exclusions the earliest counts.
+// onExcludeHost excludes a host, even one that is not listed yet. Its open attempts may finish. If a host
+// is excluded several times, the earliest time applies.
 func (r *Router) onExcludeHost(event ExcludeHost) {
 	since := r.now
 	if event.Since > 0 {
@@ -18,8 +18,8 @@
 	}
 }
 
-// onIncludeHost ends a host's exclusion. What counted against it belongs to the time before: it gets
-// requests at once, one that is warming up within its limits.
+// onIncludeHost ends the exclusion of a host. The earlier failures, lag and ejection no longer apply: the
+// host gets requests at once, within the limits of slow start if it is warming up.
 func (r *Router) onIncludeHost(event IncludeHost) {
 	if _, excluded := r.excludedSince[event.Host]; !excluded {
 		return
@@ -35,8 +35,8 @@
 }
 
 // UnavailableHosts returns the number of listed hosts that are draining, excluded, ejected or unresponsive.
-// Unresponsive hosts are counted although they get reads. Ejections are taken at the clock time now, drain
-// grace periods at the time of the last Step.
+// Unresponsive hosts are counted although they still get reads. Ejections are evaluated at the clock time
+// now, and drain grace periods at the time of the last Step.
 func (r *Router) UnavailableHosts(now time.Duration) int {
 	count := 0
 	for _, host := range r.hosts {
--- a/routing/host.go
+++ b/routing/host.go
@@ -7,44 +7,44 @@
 	"merlinjunction/fleet"
 )
 
-// A host is what the Router knows of one database host. These methods say what it may be used for:
+// A host holds the state of one database host. These methods report what it may be used for:
 //
-//	inService     the endpoint list and the exclusions by hand allow requests to it
-//	isResponsive  inService and not unresponsive: writes wait for such a primary, else they search another
-//	eligible      inService, not ejected, and without an open attempt if it has a recent failure
+//	inService     the endpoint list and the operators' exclusions allow requests to it
+//	isResponsive  inService and not unresponsive: writes use such a primary, otherwise they search for another
+//	eligible      inService, not ejected, and without an open attempt if recentFailures is 1 or more
 //	mayReceive    eligible and below its concurrency limit (hasCapacity)
 type host struct {
 	Endpoint
 	group *group
 
-	drainNotifiedAt  time.Duration // when it became known that it drains or is gone
+	drainNotifiedAt  time.Duration // clock time of the notification that it is draining or gone
 	listedAsDraining bool          // the list has named it as draining, and not as ready since
 
-	position            Position      // it has applied all commits up to here: a lower bound, never lowered
-	lag                 time.Duration // last known lag, where replicas check; 0: not behind
-	lagKnownAt          time.Duration // when that became known
-	answeredAsReplicaAt Position      // position at the time when it last answered as replica; 0: never
-	lastOutcomeAt       time.Duration // when an attempt last had a result from it; at first, when it was added
+	position            Position      // lower bound of its applied position; never lowered
+	lag                 time.Duration // last known lag, if replicas check positions themselves; 0: not behind
+	lagKnownAt          time.Duration // when the lag was last observed
+	answeredAsReplicaAt Position      // current position when it last answered as a replica; 0: never
+	lastOutcomeAt       time.Duration // when an attempt last had an outcome from it; initially when it was added
 
-	openAttempts   []*attempt // oldest first
-	recentFailures float64    // overdue answers and failed connections; they fade; see addFailure
-	unresponsive   bool       // nothing comes from it, or connections to it fail; see outlier.go
-	ejectedUntil   time.Duration
+	openAttempts   []*attempt    // oldest first
+	recentFailures float64       // count of recent failures, which decays; see addFailure
+	unresponsive   bool          // nothing is received from it, or connections to it fail; see outlier.go
+	ejectedUntil   time.Duration // it gets no requests before this time
 
-	concurrencyLimit  float64       // open attempts that it may have from this gateway
-	limitCutAllowedAt time.Duration // when the limit may be lowered again
+	concurrencyLimit  float64       // number of attempts that this gateway may have open at it
+	limitCutAllowedAt time.Duration // when concurrencyLimit may be lowered again
 
-	subsetIndex     int               // index in group.subsetHosts; -1: not in it
-	healthCheckedAt time.Duration     // when a health check was sent that is still unanswered; 0: none is
-	slowStartBudget fleet.TokenBucket // sends that it may get from this gateway while it warms up
+	subsetIndex     int               // index in group.subsetHosts; -1: not among them
+	healthCheckedAt time.Duration     // when the pending health check was sent; 0: none is pending
+	slowStartBudget fleet.TokenBucket // sends that this gateway may make to it while it warms up
 }
 
-// removeOpenAttempt takes an attempt from those that are open at the host, if it is among them.
+// removeOpenAttempt removes an attempt from the open attempts of the host, if it is among them.
 func (h *host) removeOpenAttempt(ended *attempt) {
 	h.openAttempts = slices.DeleteFunc(h.openAttempts, func(open *attempt) bool { return open == ended })
 }
 
-// hostRole distinguishes the primary of a group from its replicas. It is used as an index.
+// hostRole distinguishes the primary of a group from its replicas, and is used as an array index.
 type hostRole int
 
 const (
@@ -53,7 +53,8 @@
 	hostRoles int = iota // number of roles
 )
 
-// role is primaryRole for the host that last answered as primary of its group, else replicaRole.
+// role returns primaryRole if the host was last observed as the primary of its group, otherwise
+// replicaRole.
 func (h *host) role() hostRole {
 	if h == h.group.primary {
 		return primaryRole
--- a/routing/request.go
+++ b/routing/request.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// A request is a client's request between its arrival and the end of its last attempt.
+// A request holds the state of a client's request from its arrival to the end of its last attempt.
 type request struct {
 	Request
 	class *Class
 	group *group
 
 	arrivedAt time.Duration
-	deadline  time.Duration // clock time at which the client gives up
+	deadline  time.Duration // clock time at which the client stops waiting
 
-	writeNumber  uint64   // order of this write among all writes sent; 0: none, or not sent yet
-	attemptCount int      // attempts sent so far
-	openAttempt  *attempt // attempt in flight; nil: none
+	writeNumber  uint64   // order among all writes sent; 0: not a write, or not sent yet
+	attemptCount int      // number of attempts sent so far
+	openAttempt  *attempt // the attempt in flight; nil: none
 	triedHosts   []*host  // hosts of all attempts, in order
 
 	reachedHost       bool  // an attempt has reached a host
-	misdirected       bool  // a replica was too far behind for it: the primary is next
-	healthCheckedHost *host // replica whose position it has waited for; nil: none
+	misdirected       bool  // a host rejected it with OutcomeMisdirected: a read then goes to the primary
+	healthCheckedHost *host // replica whose position the read has waited for; nil: none
 
-	mayHaveRun     bool          // an attempt that has ended may have had its effect
+	mayHaveRun     bool          // it may have been executed by an attempt that has ended
 	uncertainSince time.Duration // when the first such attempt was sent
 
-	droppedBySlowStart bool            // the draw for a warming host failed; other hosts may be free
-	gateChecked        [hostRoles]bool // the admission gate of a role was drawn for it already
+	droppedBySlowStart bool            // it failed a draw for a warming host; other hosts may be free
+	gateChecked        [hostRoles]bool // the draw at the admission gate was made, by role of the host
 	causedError        bool            // any host answers it with a quick error; see recordRequestCausedError
 	finished           bool            // it has its final answer, or its client is gone
 }
 
-// An attempt is one sending of a request to a host.
+// An attempt is a single send of a request to a host.
 type attempt struct {
 	request *request
-	number  int // among the request's attempts, from 0
+	number  int // index among the attempts of the request, from 0
 	host    *host
 	sentAt  time.Duration
 
-	requiredPosition Position // that the host needed to have; 0: none
-	onlyOneAtHost    bool     // this gateway had no other attempt open at the host when it was sent
-	overdue          bool     // its answer has taken longer than attemptTimeout
+	requiredPosition Position // position that the host must have applied; 0: none
+	onlyOneAtHost    bool     // this gateway had no other open attempt at the host when it was sent
+	overdue          bool     // its answer took longer than attemptTimeout
 	streaming        bool     // part of its answer has reached the client
 }
 
-// onRequest accepts a new request. It waits in its group until dispatchWaiting, in the same Step.
+// onRequest accepts a new request. It waits in its group until dispatchWaiting runs in the same Step.
 func (r *Router) onRequest(event Request) {
 	if event.Class < 0 || event.Class >= len(r.settings.Classes) || r.requests[event.ID] != nil {
 		return
@@ -58,7 +58,8 @@
 	group.waiting = append(group.waiting, arrived)
 }
 
-// onAttemptResult handles the end of an attempt. The request ends with it or waits to be dispatched again.
+// onAttemptResult handles the end of an attempt. Either the request ends too, or it waits to be dispatched
+// again.
 func (r *Router) onAttemptResult(event AttemptResult) {
 	request := r.requests[event.Request]
 	if request == nil || request.openAttempt == nil || request.openAttempt.number != event.Attempt {
@@ -88,9 +89,9 @@
 	request.group.waiting = append(request.group.waiting, request)
 }
 
-// onStreamStarted handles that an answer has begun to reach the client. The host has done its part in
-// time; how long the rest takes depends on the client too, so the attempt no longer counts against the
-// host's limit.
+// onStreamStarted handles that part of an answer has reached the client. The host has answered, and how
+// long the rest takes also depends on the client, so the attempt no longer counts towards the host's
+// concurrency limit.
 func (r *Router) onStreamStarted(event StreamStarted) {
 	request := r.requests[event.Request]
 	if request != nil && request.openAttempt != nil {
@@ -102,8 +103,8 @@
 	r.finish(request)
 }
 
-// finish ends a request: nothing more is sent for it. While an attempt is in flight the request stays
-// known, so that the result still counts for its host and its session.
+// finish ends a request, so that nothing more is sent for it. While an attempt is in flight the request
+// stays in the table, so that the result of the attempt still updates the state of its host and session.
 func (r *Router) finish(request *request) {
 	if request == nil {
 		return
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -6,20 +6,20 @@
 	"merlinjunction/fleet"
 )
 
-// Position is a point of a group's log: the time, counted from Settings.PositionEpoch, up to which a host
-// has applied all commits. Zero means unknown.
+// Position is a point in the log of a group: the time, relative to Settings.PositionEpoch, up to which a
+// host has applied all commits. Zero means unknown.
 type Position = time.Duration
 
-// Consistency is how new the data behind an answer must be.
+// Consistency is how recent the data of an answer must be.
 type Consistency int
 
 // The consistency levels of a class.
 const (
 	ConsistencyAny     Consistency = iota // any host may answer
 	ConsistencyBounded                    // at most Class.MaxStaleness old when the request is sent
-	ConsistencySession                    // includes all that the session has written
-	ConsistencyStrong                     // includes all that was written before the request arrived
-	ConsistencyWrite                      // a write: only the primary accepts it
+	ConsistencySession                    // includes all writes of the session
+	ConsistencyStrong                     // includes all writes before the request arrived
+	ConsistencyWrite                      // a write, which only the primary accepts
 )
 
 // Idempotency is whether a request that may have run can be sent again.
@@ -27,70 +27,70 @@
 
 // The idempotency levels of a class.
 const (
-	Idempotent        Idempotency = iota // may be sent again, and rejected, at any time
+	Idempotent        Idempotency = iota // may always be sent again, and rejected although it may have run
 	IdempotentWithKey                    // hosts drop repeats of its key during Class.DedupWindow
 	NotIdempotent                        // must never run twice
 )
 
-// StalenessCheck is what a replica does with a read that needs a newer position than it has applied.
+// StalenessCheck is what a replica does with a read that requires a newer position than it has applied.
 type StalenessCheck int
 
-// The ways in which replicas check.
+// The ways in which replicas check positions.
 const (
-	StalenessCheckNone   StalenessCheck = iota // it answers from what it has: the gateway must choose well
+	StalenessCheckNone   StalenessCheck = iota // it answers anyway: the gateway must choose a suitable replica
 	StalenessCheckReject                       // it rejects the read at once (OutcomeMisdirected)
-	StalenessCheckWait                         // it waits for the position a short time, then rejects the read
+	StalenessCheckWait                         // it waits briefly for the position, then rejects the read
 )
 
-// Class is a kind of request.
+// Class is a kind of request and the rules for it.
 type Class struct {
 	Name              string
 	Consistency       Consistency
-	MaxStaleness      time.Duration // for ConsistencyBounded: greatest age of the data
+	MaxStaleness      time.Duration // for ConsistencyBounded: maximum age of the data
 	Idempotency       Idempotency
-	DedupAcrossGroups bool          // for IdempotentWithKey: every group drops repeats, not only its own
-	DedupWindow       time.Duration // for IdempotentWithKey: from the first send that may have run
+	DedupAcrossGroups bool          // for IdempotentWithKey: all groups drop repeats, not only the request's own
+	DedupWindow       time.Duration // for IdempotentWithKey: counts from the first send that may have run
 	LatencyObjective  time.Duration // an answer within it has the full PriorityWeight
-	Deadline          time.Duration // how long the client waits, all attempts together
-	PriorityWeight    float64       // value of an answer: requests of less are shed first
+	Deadline          time.Duration // how long the client waits, over all attempts
+	PriorityWeight    float64       // value of an answer: requests with less are shed first
 	LateWeightShare   float64       // share of PriorityWeight that an answer after LatencyObjective has
 }
 
-// Tenant is a customer with a quota of the service. No routing decision depends on it: a quota divided by
-// the number of gateways means little where gateways are many and their load is uneven.
+// Tenant is a customer with a quota. No routing decision depends on it: a quota divided by the number of
+// gateways is meaningless if there are many gateways with uneven load.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // requests per second, over all gateways
+	QuotaPerSecond float64 // requests per second over all gateways
 }
 
-// Settings are fixed for the life of a Router. New validates them.
+// Settings are fixed for the lifetime of a Router. New validates them.
 type Settings struct {
 	Classes              []Class
 	Tenants              []Tenant
-	OverQuotaWeightShare float64       // priority weight share of requests over quota; not read by any rule
+	OverQuotaWeightShare float64       // share of the priority weight for requests over quota; no rule reads it
 	GatewayCount         int           // number of gateways that share the hosts; RosterUpdate replaces it
-	GatewayNumber        int           // this gateway among them, from 1; 0: unknown
-	SubsetSize           int           // hosts of a group that this gateway prefers for reads; 0: all of them
+	GatewayNumber        int           // number of this gateway among them, from 1; 0: unknown
+	SubsetSize           int           // number of hosts per group that this gateway prefers for reads; 0: all
 	Zone                 string        // zone of this gateway; hosts of the same zone are preferred
 	TickInterval         time.Duration // shortest timer; an action may take effect this much later
 	PositionEpoch        time.Duration // clock time at which positions are 0
 	StalenessCheck       StalenessCheck
 	SessionTokensCarried bool          // session reads carry Request.SinceLastWrite (simulator only)
-	SubscribeToEndpoints bool          // the endpoint list comes only after SubscribeEndpoints
-	CancelAllowed        bool          // CancelAttempt may be used
-	HealthChecksAllowed  bool          // HealthCheck may be used
+	SubscribeToEndpoints bool          // the endpoint list is sent only after SubscribeEndpoints
+	CancelAllowed        bool          // the Router may emit CancelAttempt
+	HealthChecksAllowed  bool          // the Router may emit HealthCheck
 	RetryAfterAllowed    bool          // Reject may carry RetryAfter
-	MaxRetryAfter        time.Duration // longest RetryAfter that clients follow
-	MaxAttempts          int           // per request
+	MaxRetryAfter        time.Duration // longest RetryAfter that clients obey
+	MaxAttempts          int           // maximum number of attempts per request
 	DrainGrace           time.Duration // how long a draining primary may still get requests; see inService
-	UseUnlistedHosts     bool          // a host that the list drops, and never named as draining, may be used
-	SlowStartMinShare    float64       // share of its capacity that a host has for certain when it starts
-	SlowStartWindow      time.Duration // after which it has all of it; the share grows linearly
-	OverloadMultiple     float64       // a warming host fails under more than this times its share of capacity
-	OverloadWindow       time.Duration // if that lasts so long
+	UseUnlistedHosts     bool          // a host that is missing from the list but never drained stays in use
+	SlowStartMinShare    float64       // share of its capacity that a host is certain to have when it starts
+	SlowStartWindow      time.Duration // time in which that share grows linearly to the full capacity
+	OverloadMultiple     float64       // a warming host fails above this multiple of its capacity share
+	OverloadWindow       time.Duration // how long an overload must last for the host to fail
 }
 
-// Schedule returns this gateway's slot among all gateways, as the settings give it.
+// Schedule returns the slot of this gateway among all gateways according to the settings.
 func (s *Settings) Schedule() fleet.SlotSchedule {
 	return fleet.SlotSchedule{GatewayCount: s.GatewayCount, Slot: s.GatewayNumber - 1}
 }
--- a/routing/settings_validation.go
+++ b/routing/settings_validation.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// SettingError says that New can't work with a setting.
+// SettingError reports an invalid setting.
 type SettingError struct {
-	Class   *Class // class at fault; nil where the setting belongs to no class
-	Setting string // name of the setting, or of several that are checked together; see nameClasses
-	Problem string // what is wrong with it
+	Class   *Class // the invalid class; nil if the setting belongs to no class
+	Setting string // name of the setting, or of several that are validated together; see nameClasses
+	Problem string // what is wrong with the setting
 }
 
-// Error names the class, where there is one, and the setting.
+// Error names the class, if there is one, and the setting.
 func (e *SettingError) Error() string {
 	if e.Class != nil {
 		return fmt.Sprintf("routing: class %q: %s %s", e.Class.Name, e.Setting, e.Problem)
@@ -17,8 +17,9 @@
 	return fmt.Sprintf("routing: %s %s", e.Setting, e.Problem)
 }
 
-// The names of the settings in the texts of SettingErrors. Several (Routers, Subset, ColdShare, Aim, Need,
-// MaxAge) are spelled neither like the fields, which the comments give, nor like the keys of a file.
+// Names of the settings in the texts of SettingErrors. Several of them (Routers, Subset, ColdShare, Aim,
+// Need, MaxAge) match neither the field names, which are given in the comments, nor the keys of a
+// configuration file.
 const (
 	nameClasses             = "Classes"
 	nameAttemptsAndGateways = "MaxAttempts or Routers"           // MaxAttempts, GatewayCount
@@ -29,7 +30,7 @@
 	nameConsistencyAndKind  = "Need or Effect"                   // Consistency, Idempotency
 )
 
-// validate returns a *SettingError for the first setting that New can't work with.
+// validate returns a *SettingError for the first invalid setting, or nil.
 func (s *Settings) validate() error {
 	switch {
 	case len(s.Classes) == 0:
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// validate returns a *SettingError for the first field of the class that New can't work with.
+// validate returns a *SettingError for the first invalid field of the class, or nil.
 func (c *Class) validate() error {
 	switch {
 	case c.Deadline <= 0 || c.LatencyObjective <= 0:
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -6,12 +6,12 @@
 	"merlinjunction/fleet"
 )
 
-// Subset assignment: which hosts of a group this gateway prefers for reads. Package fleet assigns them, the
-// same way at each gateway, from the gateways and the hosts that are ready. The primary is assigned too:
-// which host it is becomes known late, and not to all gateways at the same time.
+// Subset assignment: which hosts of a group this gateway prefers for reads. Package fleet computes the
+// assignment from the gateways and the ready hosts, so all gateways get the same result. The assignment
+// includes the primary, because the gateways learn late, and at different times, which host it is.
 
-// updateSubset brings a group's assignment up to date. It reports whether this gateway keeps to a subset at
-// all.
+// updateSubset recomputes a group's assignment if the hosts or gateways have changed. It reports whether
+// this gateway uses subsets.
 func (r *Router) updateSubset(group *group) bool {
 	if r.settings.SubsetSize == 0 {
 		return false
@@ -34,8 +34,8 @@
 	return true
 }
 
-// preferSubset returns those of the hosts that a read may go to that this gateway prefers, or all where it
-// prefers none of them.
+// preferSubset returns the candidate hosts of a read that are in use in this gateway's subset, or all
+// candidates if none is.
 func (r *Router) preferSubset(group *group, hosts []*host) []*host {
 	if len(hosts) < 2 || !r.updateSubset(group) {
 		return hosts
@@ -56,8 +56,8 @@
 	return preferred
 }
 
-// fleetTrafficShare is the part of its group's traffic that comes to a host from all gateways, where
-// ownShare of this gateway's does.
+// fleetTrafficShare returns the share of a group's traffic from all gateways that goes to a host, given the
+// share of this gateway's traffic (ownShare) that does.
 func (r *Router) fleetTrafficShare(host *host, ownShare float64) float64 {
 	group := host.group
 	mayBePrimary := host == group.primary || host == group.listedPrimary
--- a/routing/timer.go
+++ b/routing/timer.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// timerHorizon is the time within which something must be due for a timer to be set.
+// timerHorizon limits how far ahead a timer is set.
 const timerHorizon = time.Minute
 
-// scheduleTimer asks for a Step at the time when something is due: the endpoint list, requests that wait,
-// or the first attempt that becomes overdue. It sets no timer where nothing is due within timerHorizon, or
-// where the last timer comes soon enough.
+// scheduleTimer requests a Step for the time of the next due work: requesting the endpoint list,
+// dispatching waiting requests, or handling the first attempt that becomes overdue. It sets no timer if
+// nothing is due within timerHorizon or if the last timer fires early enough.
 func (r *Router) scheduleTimer() {
 	limit := r.now + timerHorizon
 	due := limit
 	if r.subscribeAt > 0 {
 		due = r.subscribeAt
 	}
-	for _, request := range r.requests { // the least of all: the order of the map doesn't matter
+	for _, request := range r.requests { // a minimum, so the order of the map doesn't matter
 		open := request.openAttempt
 		switch {
 		case open == nil:
