--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Gateways with a request now and then reach no concurrency limit: late answers must make each shed a part, what
-// weighs least for its time first, and answers in time must open the gate again.
-func TestLateAnswersShedLoadOfSmallGateways(t *testing.T) {
+// Gateways with few requests never reach their concurrency limits. Late answers must make each of them shed part of
+// its requests, those of low weight first, and answers in time must open the gate again.
+func TestLateAnswersShedLoadOfGatewaysWithLittleTraffic(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.Classes[classBounded].PriorityWeight = 0.2 })
 	harness.listGroup()
 	id := uint64(0)
@@ -28,15 +28,15 @@
 	heavy := sentOf(60, classAny, 350*ms)
 	light := sentOf(60, classBounded, 350*ms)
 	if heavy > 50 || light >= heavy {
-		t.Errorf("of 60 each, %d of high and %d of low weight were sent while answers were late", heavy, light)
+		t.Errorf("late answers: sent %d of 60 of high weight, want at most 50, and %d of low, want fewer", heavy, light)
 	}
 	sentOf(200, classAny, 10*ms)
 	if sent := sentOf(60, classAny, 10*ms); sent < 55 {
-		t.Errorf("%d of 60 sent after answers were in time again", sent)
+		t.Errorf("answers in time again: sent %d of 60, want at least 55", sent)
 	}
 }
 
-// Without overload one answer in ten is late by chance: that must shed nothing.
+// Without overload, one answer in ten may be late by chance. That must not shed any request.
 func TestSingleLateAnswersShedNothing(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
--- a/routing/attempt_timeout_test.go
+++ b/routing/attempt_timeout_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// With short latency objectives an answer must become overdue while the client still waits.
-func TestTimesFollowShortObjectives(t *testing.T) {
+// With short latency objectives an answer must become overdue while the client is still waiting.
+func TestAttemptTimeoutShrinksWithShortObjectives(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) {
 		for i := range s.Classes {
 			s.Classes[i].LatencyObjective /= 4
@@ -20,15 +20,15 @@
 			return
 		}
 	}
-	t.Error("an answer is not overdue after three quarters of its objective")
+	t.Error("the attempt was not cancelled after three quarters of its latency objective")
 }
 
-// An answer that is lost leaves its attempt open at a host that answers others: the attempt's own time-out must end
-// it, and the request be retried elsewhere while an answer still counts.
-func TestLostAnswerIsNotWaitedForWhileItsHostAnswersOthers(t *testing.T) {
+// A lost answer leaves its attempt open at a host that answers other requests. The attempt's own timeout must end it,
+// so that the request is retried at another host within its latency objective.
+func TestLostAnswerIsCancelledAndRetriedWhileItsHostAnswersOthers(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
-	for id := uint64(100); id < 200; id++ { // so that the latency of the class is known
+	for id := uint64(100); id < 200; id++ { // to establish the latency of the class
 		harness.answer(20*ms, id, harness.attemptedHost(harness.request(id, classAny, "")))
 	}
 	lost := harness.attemptedHost(harness.request(1, classAny, ""))
@@ -40,7 +40,7 @@
 			}
 			harness.want(actions, CancelAttempt{1, 0})
 			if harness.router.hosts[lost].unresponsive {
-				t.Fatal("a host that answers others counts as unresponsive")
+				t.Fatal("a host that answers other requests counts as unresponsive")
 			}
 			retryHost := harness.attemptedHost(harness.step(ms,
 				AttemptResult{Request: 1, Host: lost, Outcome: OutcomeCancelled}))
@@ -50,12 +50,13 @@
 			return
 		}
 	}
-	t.Fatal("never cancelled")
+	t.Fatal("the attempt with the lost answer was not cancelled")
 }
 
-// An overdue attempt of a request with an idempotency key is left open once no repeat of the key may follow: an answer to
-// it is the request's last chance. The window counts from the first attempt that may have run.
-func TestOverdueAttemptIsKeptAtTheEndOfTheDedupWindow(t *testing.T) {
+// An overdue attempt of a request with an idempotency key stays open once the key's deduplication window allows no
+// retry, because its answer is then the last chance of the request. The window starts with the first attempt that may
+// have run.
+func TestOverdueAttemptIsNotCancelledAfterTheDedupWindow(t *testing.T) {
 	for _, test := range []struct {
 		window    time.Duration
 		cancelled bool
@@ -72,7 +73,7 @@
 				cancelled = cancelled || isCancel
 			}
 			if cancelled != test.cancelled {
-				t.Errorf("cancelled %v", cancelled)
+				t.Errorf("attempt cancelled: %v, want %v", cancelled, test.cancelled)
 			}
 		})
 	}
--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -10,7 +10,7 @@
 	for _, test := range []struct {
 		name      string
 		limit     float64
-		open      int // attempts that are open beside the one that is answered
+		open      int // other open attempts at the host
 		latencies []time.Duration
 		want      float64
 	}{
--- a/routing/consistency.go
+++ b/routing/consistency.go
@@ -20,9 +20,9 @@
 
 // A session holds the state of one client session's writes.
 type session struct {
-	dirtyWrites []uint64 // write numbers of its writes in flight, ascending
-	stamp       Position // position required by the reads of the session
-	updatedAt   time.Duration
+	dirtyWrites []uint64      // write numbers of its writes in flight, ascending
+	stamp       Position      // position required by the reads of the session
+	updatedAt   time.Duration // start of the retention period
 }
 
 // sessionFor returns the session with a key, creating it if it isn't in the table.
--- a/routing/consistency_test.go
+++ b/routing/consistency_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-func TestWriteGoesToPrimaryAndDirtySessionFollows(t *testing.T) {
+func TestWritesAndReadsOfADirtySessionGoToThePrimary(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	if host := harness.attemptedHost(harness.request(1, classKeyedWrite, "s")); host != "p" {
-		t.Fatalf("write went to %s", host)
+		t.Fatalf("the write went to %s, want p", host)
 	}
 	if host := harness.attemptedHost(harness.request(2, classSession, "s")); host != "p" {
-		t.Fatalf("a dirty session's read went to %s", host)
+		t.Fatalf("the read of a dirty session went to %s, want p", host)
 	}
 	if host := harness.attemptedHost(harness.request(3, classSession, "other")); host == "p" {
-		t.Fatal("a clean session's read went to the primary")
+		t.Fatal("the read of a clean session went to the primary")
 	}
 }
 
-func TestCompletionCleansAndStamps(t *testing.T) {
+func TestCompletedWriteClearsDirtySetAndRaisesStamp(t *testing.T) {
 	harness := newHarness(t, noHealthChecks)
 	harness.listGroup()
 	harness.request(1, classKeyedWrite, "s")
@@ -28,20 +28,20 @@
 		Request: 1, Host: "p", RequestDone: true, Role: RolePrimary, Position: harness.now + 4*ms,
 	})
 	if host := harness.attemptedHost(harness.request(2, classSession, "s")); host != "p" {
-		t.Fatalf("no replica has the stamp, but the read went to %s", host)
+		t.Fatalf("no replica has reached the stamp, but the read went to %s, want p", host)
 	}
 	harness.step(ms, HealthCheckResult{Host: "a", Role: RoleReplica, Position: harness.now})
 	for id := uint64(3); id < 8; id++ {
 		if host := harness.attemptedHost(harness.request(id, classSession, "s")); host != "a" {
-			t.Fatalf("only a has the stamp, but the read went to %s", host)
+			t.Fatalf("only a has reached the stamp, but the read went to %s", host)
 		}
 		harness.answer(ms, id, "a")
 	}
 }
 
-// A Router that has just started knows no positions: where replicas don't check, none is tried before its position
-// is known.
-func TestUnknownReplicaGetsNoSessionReadWhereNoneChecks(t *testing.T) {
+// A Router that has just started knows no positions. If replicas don't check positions themselves, a session read
+// waits until the position of a replica is known.
+func TestReplicaOfUnknownPositionGetsNoSessionReadWithoutStalenessCheck(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.StalenessCheck = StalenessCheckNone })
 	harness.list(ready("p", "a")...)
 	harness.want(harness.request(1, classSession, "s"))
@@ -49,7 +49,7 @@
 	harness.want(actions, Attempt{Request: 1, Host: "a"})
 }
 
-// Writes that never ran, or whose outcome is unknown, must not leave sessions in the table for good.
+// Writes that never ran or whose outcome is unknown must not keep their sessions in the table forever.
 func TestSessionTableIsBounded(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -67,13 +67,13 @@
 		harness.step(time.Second)
 	}
 	if entries := len(harness.router.sessions) + len(harness.router.requests); entries > 0 {
-		t.Fatalf("%d entries left", entries)
+		t.Fatalf("%d sessions and requests left after 40 s, want 0", entries)
 	}
 }
 
-// Another process of the gateway may have answered a write of any session: while it runs, and for what it did until
-// it ended, no replica counts as up to date that has not reported a position since.
-func TestSiblingProcessMakesSessionsCountAsHavingWritten(t *testing.T) {
+// Another process of the gateway may have completed a write of any session. While it runs, and for its writes until
+// it ended, a replica counts as up to date only if it has reported a position since.
+func TestSessionReadsSeeWritesOfASiblingProcess(t *testing.T) {
 	harness := newHarness(t, noHealthChecks)
 	harness.listGroup()
 	harness.catchUp()
@@ -87,18 +87,18 @@
 		return host
 	}
 	if host := read(); host == "p" {
-		t.Fatalf("a clean session's read goes to %s", host)
+		t.Fatalf("the read of a clean session went to %s, want a replica", host)
 	}
 	harness.step(ms, SiblingProcess{Running: true})
 	if host := read(); host != "p" {
-		t.Errorf("while another process runs it goes to %s", host)
+		t.Errorf("while the sibling process runs, the read went to %s, want p", host)
 	}
 	harness.step(ms, SiblingProcess{Running: false})
 	if host := read(); host != "p" {
-		t.Errorf("just after that process has ended it goes to %s", host)
+		t.Errorf("just after the sibling process ended, the read went to %s, want p", host)
 	}
 	harness.step(ms, HealthCheckResult{Host: "a", Role: RoleReplica, Position: harness.now})
 	if host := read(); host != "a" {
-		t.Errorf("once a replica has reached that position it goes to %s", host)
+		t.Errorf("after replica a reported that position, the read went to %s, want a", host)
 	}
 }
--- a/routing/dispatch_test.go
+++ b/routing/dispatch_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Oldest first, a queue that lasts would answer everything just too late; newest first answers part of it in time.
-func TestNewestOfWaitingRequestsGoesFirst(t *testing.T) {
+// In a queue that persists, serving the oldest request first would answer every request just too late. Serving the
+// newest first answers some of them in time.
+func TestNewestWaitingRequestIsSentFirst(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.list(ready("p")...)
 	harness.step(ms, HealthCheckResult{Host: "p", Role: RolePrimary, Position: harness.now})
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestDrainingHostGetsNothingNew(t *testing.T) {
+func TestDrainingHostGetsNoNewRequests(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	harness.update(
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestDrainWhileARequestWaits(t *testing.T) {
+func TestWaitingRequestIsNotSentToADrainingHost(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.list(ready("a")...)
 	limit := uint64(initialConcurrencyLimit)
@@ -66,7 +66,7 @@
 }
 
 // A health check of each new host by each gateway is a connection for every pair of a gateway and a host.
-func TestNewHostsGetHealthChecksOnlyWhereReplicasDoNotCheck(t *testing.T) {
+func TestNewHostsGetHealthChecksOnlyWithoutStalenessCheck(t *testing.T) {
 	for check, want := range map[StalenessCheck]int{
 		StalenessCheckNone: 2, StalenessCheckReject: 0, StalenessCheckWait: 0,
 	} {
@@ -83,7 +83,7 @@
 
 // A list may be empty, repeated, contradictory or large, and events may come late, twice or for nothing: none of it
 // may panic, send past a drain or answer twice.
-func TestContradictoryListsReportsAndClocks(t *testing.T) {
+func TestContradictoryListsAndReports(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.step(0, EndpointUpdate{}, EndpointUpdate{Full: true}, EndpointUpdate{Failed: true})
 	harness.want(harness.step(ms, newRequest(1, classAny, time.Second)))
--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -7,7 +7,7 @@
 )
 
 // A list, a restart or a drain that ends must not bring back a host that operators have excluded; one include must.
-func TestExclusionOverrulesTheListUntilOneInclude(t *testing.T) {
+func TestExclusionOverridesTheListUntilTheHostIsIncluded(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	harness.catchUp()
--- a/routing/lag_test.go
+++ b/routing/lag_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A replica that lags by seconds would reject each read after a wait: it gets health checks until it has caught up.
+// A replica that lags by seconds would reject each read after a wait. It must get health checks instead of reads
+// until it has caught up.
 func TestLaggingReplicaGetsHealthChecksNotReads(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -36,14 +37,14 @@
 				})
 			case Attempt:
 				if action.Host != "p" {
-					t.Fatalf("sent to %s, which lags", action.Host)
+					t.Fatalf("the read went to %s, which lags, want p", action.Host)
 				}
 			}
 		}
 		answerAtPrimary(id, 0)
 	}
 	if healthChecks < 8 || healthChecks > 24 {
-		t.Errorf("%d health checks in 4 s", healthChecks)
+		t.Errorf("%d health checks in 4 s, want 8 to 24", healthChecks)
 	}
 	harness.catchUp()
 	if host := harness.attemptedHost(harness.request(99, classBounded, "")); host == "p" {
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTimesShrinkWithTheShortestObjective(t *testing.T) {
+func TestDurationsShrinkWithTheShortestObjective(t *testing.T) {
 	for _, test := range []struct{ shortestObjective, want time.Duration }{
 		{time.Second, 100 * ms},
 		{200 * ms, 100 * ms},
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -72,7 +72,7 @@
 // share by at most one step.
 type movingFailureShare struct {
 	share          float64 // 0 to 1
-	lastFailedHost *host   // host of the last failure
+	lastFailedHost *host
 }
 
 // recordFailure records a failure at a host.
@@ -190,8 +190,8 @@
 // primary. Many hosts that are really down at the same time can't be told apart from this case.
 func (r *Router) recordConnectFailure(host *host) {
 	r.connectFailures.recordFailure(host)
-	respondedLately := r.now < host.lastOutcomeAt+r.scaleToObjective(recentResponseTime)
-	if respondedLately && !host.hasRecentFailure() { // a single connection was lost
+	respondedRecently := r.now < host.lastOutcomeAt+r.scaleToObjective(recentResponseTime)
+	if respondedRecently && !host.hasRecentFailure() { // a single connection was lost
 		host.ejectedUntil = r.now + r.scaleToObjective(rejectionEjectionTime)
 	} else {
 		host.ejectedUntil = r.now + r.scaleToObjective(connectFailureEjectionTime)<<int(host.recentFailures)
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Where clients' time is over before an answer is overdue, the time-out counts against a host from which nothing came.
-func TestTimeoutCountsAgainstUnresponsiveHost(t *testing.T) {
+// If requests expire before their answers are overdue, their timeouts must count against a host that sends nothing,
+// and not against a host that answers other requests.
+func TestTimeoutsMakeASilentHostUnresponsive(t *testing.T) {
 	for _, answersOthers := range []bool{false, true} {
 		t.Run(fmt.Sprint("answers others ", answersOthers), func(t *testing.T) {
 			harness := newHarness(t, nil)
@@ -24,14 +25,14 @@
 					AttemptResult{Request: id, Host: host, Outcome: OutcomeTimeout, RequestDone: true})
 			}
 			if unresponsive := harness.router.hosts["p"].unresponsive; unresponsive == answersOthers {
-				t.Errorf("unresponsive %v", unresponsive)
+				t.Errorf("host p unresponsive: %v, want %v", unresponsive, !answersOthers)
 			}
 		})
 	}
 }
 
-// A lost connection takes all its attempts with it: a host must not be ejected for it.
-func TestLostConnectionIsNoDeadHost(t *testing.T) {
+// A lost connection ends all attempts on it at once. These must not count as separate failures and eject the host.
+func TestLostConnectionDoesNotEjectHost(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	for id := range uint64(3) {
@@ -43,12 +44,12 @@
 		AttemptResult{Request: 2, Host: "p", Outcome: OutcomeConnectionLost})
 	harness.want(actions, Fail{2}, Fail{1}, Fail{0})
 	if host := harness.attemptedHost(harness.request(9, classUnsafeWrite, "s")); host != "p" {
-		t.Fatalf("went to %s", host)
+		t.Fatalf("the next write went to %s, want p", host)
 	}
 }
 
-// A bad request gets a quick error from whichever host is tried. Such errors move from host to host: they must neither
-// be retried nor count against hosts, while those of a single failing host are still retried.
+// An invalid request gets a quick error from every host. Such errors occur at one host after another. They must not
+// be retried and must not count against hosts, while the errors of a single failing host are still retried.
 func TestQuickErrorsFromEveryHostAreRequestCaused(t *testing.T) {
 	retries := func(fails func(host string) bool) int {
 		harness := newHarness(t, nil)
@@ -71,21 +72,22 @@
 		}
 		hosts := harness.router.hosts
 		if failures := hosts["a"].recentFailures + hosts["b"].recentFailures; failures > 0 {
-			t.Errorf("%v recent failures for quick errors", failures)
+			t.Errorf("quick errors left %v recent failures, want 0", failures)
 		}
 		return count
 	}
 	if count := retries(func(string) bool { return true }); count > 4 {
-		t.Errorf("%d of 40 bad requests were retried", count)
+		t.Errorf("%d of 40 invalid requests were retried, want at most 4", count)
 	}
 	if count := retries(func(host string) bool { return host == "a" }); count < 10 {
-		t.Errorf("only %d retries of what failed at a single host", count)
+		t.Errorf("%d retries of requests that failed at a single host, want at least 10", count)
 	}
 }
 
-// A primary that alone refuses connections is dead, and another is sought. Where one host after another refuses while
-// others answer, connections are scarce: the primary is kept, and no replica is tried with its writes.
-func TestScarceConnectionsAreNoDeadPrimary(t *testing.T) {
+// A primary that is the only host to refuse connections is down, and writes search for another one. If one host after
+// another refuses connections while others answer, connections are scarce: the primary is kept, and its writes are
+// not tried at replicas.
+func TestScarceConnectionsDoNotMakePrimaryUnresponsive(t *testing.T) {
 	for _, scarce := range []bool{false, true} {
 		t.Run(fmt.Sprint("scarce ", scarce), func(t *testing.T) {
 			harness := newHarness(t, nil)
@@ -98,19 +100,19 @@
 				}
 			}
 			if primary.unresponsive == scarce {
-				t.Fatalf("unresponsive %v after two refusals", primary.unresponsive)
+				t.Fatalf("primary unresponsive after two refused connections: %v, want %v", primary.unresponsive, !scarce)
 			}
-			primary.unresponsive = false // it has answered since
+			primary.unresponsive = false // as after an answer
 			router.recordConnectFailure(primary)
 			if primary.unresponsive == scarce {
-				t.Errorf("the refusing primary is unresponsive: %v", primary.unresponsive)
+				t.Errorf("primary unresponsive after another refusal: %v, want %v", primary.unresponsive, !scarce)
 			}
 		})
 	}
 }
 
-// A host that refuses connections is ejected, twice as long for each recent failure that it has; one that has responded just
-// before only for a short time.
+// A host that refuses a connection is ejected, for twice as long for each recent failure. A host without recent
+// failures that has just responded is ejected only briefly.
 func TestEjectionAfterRefusedConnections(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -118,10 +120,10 @@
 		sinceOutcome time.Duration
 		want         time.Duration
 	}{
-		{"responded just before", 0, 0, rejectionEjectionTime},
+		{"responded recently", 0, 0, rejectionEjectionTime},
 		{"responded long ago", 0, time.Second, connectFailureEjectionTime},
-		{"responded just before, with a failure", 1, 0, 2 * connectFailureEjectionTime},
-		{"with as many failures as can be", maxRecentFailures, time.Second, 64 * connectFailureEjectionTime},
+		{"responded recently, with a failure", 1, 0, 2 * connectFailureEjectionTime},
+		{"with the maximum of failures", maxRecentFailures, time.Second, 64 * connectFailureEjectionTime},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness := newHarness(t, nil)
@@ -133,7 +135,7 @@
 				t.Errorf("ejected for %v, want %v", ejection, test.want)
 			}
 			if harness.router.eligible(host) {
-				t.Error("an ejected host may get requests")
+				t.Error("an ejected host is eligible")
 			}
 		})
 	}
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -18,9 +18,9 @@
 
 // A primarySearch sends writes to the hosts of a group in turn until one of them is the primary.
 type primarySearch struct {
-	nextHost     int // index in group.hosts, modulo the number of hosts
-	triedInRound int // hosts visited in this round, including those that got no write
-	pausedUntil  time.Duration
+	nextHost       int // index in group.hosts, modulo the number of hosts
+	visitedInRound int // hosts visited in this round, including those that got no write
+	pausedUntil    time.Duration
 }
 
 // observeRole records the role that a host reports about itself.
@@ -31,7 +31,7 @@
 		if group.primary != host {
 			r.log(host, "is now the primary")
 		}
-		group.primary, group.primarySeenAt, group.search.triedInRound = host, r.now, 0
+		group.primary, group.primarySeenAt, group.search.visitedInRound = host, r.now, 0
 	case RoleReplica:
 		host.answeredAsReplicaAt = r.currentPosition()
 		if group.primary == host {
@@ -105,9 +105,9 @@
 	search := &group.search
 	next := group.hosts[search.nextHost%len(group.hosts)]
 	search.nextHost++
-	search.triedInRound++
-	if search.triedInRound >= len(group.hosts) {
-		search.triedInRound = 0
+	search.visitedInRound++
+	if search.visitedInRound >= len(group.hosts) {
+		search.visitedInRound = 0
 		pauseMs := durationToMillis(r.scaleToObjective(primarySearchPause))
 		slots := r.roster.Schedule()
 		endMs := slots.NextSlot(durationToMillis(r.now), pauseMs, durationToMillis(gatewaySlotGap))
--- a/routing/primary_test.go
+++ b/routing/primary_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// newListedPrimaryHarness lists a group whose third host the list names as primary.
+// newListedPrimaryHarness lists a group whose host "c" is named as primary by the list.
 func newListedPrimaryHarness(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
 	harness := newHarness(t, change)
@@ -17,86 +17,90 @@
 	return harness
 }
 
-// listPrimary has the list name a host as primary.
+// listPrimary updates the list so that it names a host as primary.
 func (h *harness) listPrimary(id string) {
 	h.update(Endpoint{ID: id, Group: 1, State: StateReady, Primary: true})
 }
 
-// The first writes go to the host that the list names as primary, each of them.
+// While no primary is known, each write goes to the host that the list names as primary.
 func TestFirstWritesGoToTheListedPrimary(t *testing.T) {
 	harness := newListedPrimaryHarness(t, nil)
 	for id := uint64(1); id <= 3; id++ {
 		if hosts := attemptedHosts(harness.step(ms, writeRequest(id))); len(hosts) != 1 || hosts[0] != "c" {
-			t.Errorf("write %d goes to %v", id, hosts)
+			t.Errorf("write %d went to %v, want c", id, hosts)
 		}
 	}
 }
 
-// Where the listed primary answers as a replica, the other hosts are tried, until the list names another.
-func TestListedPrimaryThatIsReplicaIsDropped(t *testing.T) {
+// If the listed primary answers as a replica, writes are tried at the other hosts until the list names another
+// primary.
+func TestListedPrimaryThatAnswersAsReplicaIsNotUsed(t *testing.T) {
 	harness := newListedPrimaryHarness(t, nil)
 	harness.step(ms, writeRequest(1))
 	hosts := attemptedHosts(harness.step(ms,
 		AttemptResult{Request: 1, Host: "c", Outcome: OutcomeMisdirected, Role: RoleReplica}))
 	if len(hosts) != 1 || hosts[0] == "c" {
-		t.Errorf("a misdirected write goes to %v", hosts)
+		t.Errorf("the misdirected write went to %v, want one host other than c", hosts)
 	}
 	harness.listPrimary("b")
 	if hosts := attemptedHosts(harness.step(ms, writeRequest(2))); len(hosts) != 1 || hosts[0] != "b" {
-		t.Errorf("once another is listed a write goes to %v", hosts)
+		t.Errorf("after the list named b, a write went to %v, want b", hosts)
 	}
 }
 
-// The host that answers as primary goes before the one that the list names: the list is late.
-func TestAnswerAsPrimaryOverrulesTheList(t *testing.T) {
+// A host that has answered as primary takes precedence over the listed primary, because the list may be out of date.
+func TestAnswerAsPrimaryOverridesTheList(t *testing.T) {
 	harness := newListedPrimaryHarness(t, nil)
 	harness.step(ms, writeRequest(1))
 	harness.step(ms,
 		AttemptResult{Request: 1, Host: "c", Outcome: OutcomeOK, Role: RolePrimary, RequestDone: true})
 	harness.listPrimary("a")
 	if hosts := attemptedHosts(harness.step(ms, writeRequest(2))); len(hosts) != 1 || hosts[0] != "c" {
-		t.Errorf("a write goes to %v", hosts)
+		t.Errorf("a write went to %v, want c", hosts)
 	}
 }
 
-// A read never goes to the listed primary for being listed: one that needs the primary waits for an answer as such.
+// The list is no proof that a host is the primary. A read that needs the primary waits until a host has reported or
+// answered as primary.
 func TestReadsDontGoToTheListedPrimary(t *testing.T) {
 	harness := newListedPrimaryHarness(t, noHealthChecks)
 	hosts := attemptedHosts(harness.step(ms, newRequest(1, classStrong, 2*time.Second)))
 	if len(hosts) > 0 {
-		t.Errorf("a read of strong consistency goes to %v, which has proved nothing", hosts)
+		t.Errorf("a read of strong consistency went to %v, want none while no primary is known", hosts)
 	}
 }
 
-func TestDemotedReplicaGetsNoBoundedReadWhereNoneChecks(t *testing.T) {
+// A primary that has answered as a replica must get neither a bounded read before its position is known nor, because
+// of an older report, a read that needs the primary.
+func TestDemotedPrimaryGetsNoReadsWithoutStalenessCheck(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.StalenessCheck = StalenessCheckNone })
 	harness.listGroup()
 	harness.request(1, classKeyedWrite, "s")
 	harness.step(300*ms, AttemptResult{Request: 1, Host: "p", Outcome: OutcomeMisdirected, Role: RoleReplica})
 	for _, action := range harness.request(2, classBounded, "") {
 		if attempt, ok := action.(Attempt); ok && attempt.Request == 2 {
-			t.Fatalf("no host is up to date or primary, but the read went to %s", attempt.Host)
+			t.Fatalf("no host is up to date or the primary, but the read went to %s", attempt.Host)
 		}
 	}
-	// A report from before the demotion must not make it primary again.
+	// A report from before the demotion must not make the host primary again.
 	harness.step(ms, HealthCheckResult{Host: "p", Role: RolePrimary, Position: harness.now - 100*ms})
 	for _, action := range harness.request(3, classStrong, "") {
 		if attempt, ok := action.(Attempt); ok && attempt.Request == 3 {
-			t.Fatalf("went to %s on an old report", attempt.Host)
+			t.Fatalf("a strong read went to %s because of an outdated report", attempt.Host)
 		}
 	}
 }
 
-// A primary that accepts requests and answers nothing must not keep the group waiting for it: what may be retried is
-// cancelled, and the other hosts are tried.
-func TestHungPrimaryDoesNotEatEveryAttempt(t *testing.T) {
+// A primary that accepts requests but never answers must not block the writes of its group. Attempts of writes that
+// may be retried are cancelled, and the other hosts are tried.
+func TestHungPrimaryDoesNotUseUpAllAttempts(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.Classes[classKeyedWrite].DedupWindow = 10 * time.Second })
 	harness.listGroup()
 	first := newRequest(1, classKeyedWrite, 5*time.Second)
 	if host := harness.attemptedHost(harness.step(ms, first)); host != "p" {
-		t.Fatalf("went to %s", host)
+		t.Fatalf("the write went to %s, want p", host)
 	}
-	// A single overdue answer may be lost on the way; with the second the primary is unresponsive.
+	// A single overdue answer may have been lost; the second one makes the primary unresponsive.
 	for attempt, staysAtPrimary := range []bool{true, false} {
 		var actions []Action
 		for i := 0; len(actions) == 0 && i < 400; i++ {
@@ -106,7 +110,7 @@
 		host := harness.attemptedHost(harness.step(ms,
 			AttemptResult{Request: 1, Attempt: attempt, Host: "p", Outcome: OutcomeCancelled}))
 		if (host == "p") != staysAtPrimary {
-			t.Fatalf("after %d overdue answers the write went to %s", attempt+1, host)
+			t.Fatalf("after %d overdue answers the write went to %s, want p: %v", attempt+1, host, staysAtPrimary)
 		}
 	}
 }
--- a/routing/replica_test.go
+++ b/routing/replica_test.go
@@ -5,12 +5,14 @@
 	"time"
 )
 
-func TestStaleReplicaGetsNoBoundedReadWhereNoneChecks(t *testing.T) {
+// A replica that doesn't check positions itself would answer a bounded read with data that is too old, so the read
+// must go to the primary once the known positions of the replicas are too old.
+func TestStaleReplicaGetsNoBoundedReadWithoutStalenessCheck(t *testing.T) {
 	harness := newHarness(t, noHealthChecks)
 	harness.listGroup()
 	harness.step(300 * ms)
 	if host := harness.attemptedHost(harness.request(1, classBounded, "")); host != "p" {
-		t.Fatalf("positions are 300 ms old, but the read went to %s", host)
+		t.Fatalf("positions are 300 ms old, but the read went to %s, want p", host)
 	}
 	if host := harness.attemptedHost(harness.request(2, classAny, "")); host == "p" {
 		t.Fatal("a read that any host may answer went to the primary")
@@ -24,12 +26,13 @@
 	actions := harness.step(ms,
 		AttemptResult{Request: 1, Host: host, Outcome: OutcomeMisdirected, Role: RoleReplica})
 	if host = harness.attemptedHost(actions); host != "p" {
-		t.Fatalf("a misdirected read went to %s", host)
+		t.Fatalf("a misdirected read went to %s, want p", host)
 	}
 }
 
-// Traffic between zones costs: a replica of the own zone is picked more often, but never alone.
-func TestOwnZoneIsFavoured(t *testing.T) {
+// Traffic between zones is expensive: replicas in the gateway's own zone are picked more often, but never
+// exclusively.
+func TestOwnZoneIsPreferred(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.Zone = "here" })
 	harness.list(
 		Endpoint{ID: "p", Group: 1, State: StateReady, Zone: "there"},
@@ -44,12 +47,13 @@
 		harness.answer(ms, id, host)
 	}
 	if reads["a"] < 350 || reads["b"] < 50 || reads["a"]+reads["b"] != 500 {
-		t.Errorf("picked %v", reads)
+		t.Errorf("500 reads went to %v, want at least 350 to a, at least 50 to b and none to p", reads)
 	}
 }
 
-// Replicas without capacity must not leave an idle primary unused, and a busy one must be spared.
-func TestIdlePrimaryHelpsFullReplicas(t *testing.T) {
+// If the replicas are at their concurrency limits, an idle primary serves reads. A primary that already has an open
+// attempt gets no more of them.
+func TestIdlePrimaryServesReadsWhileReplicasAreFull(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	id := uint64(1)
@@ -59,12 +63,13 @@
 		}
 	}
 	if host := harness.attemptedHost(harness.request(id, classAny, "")); host != "p" {
-		t.Fatalf("went to %s", host)
+		t.Fatalf("all replicas are full, but the read went to %s, want p", host)
 	}
 	harness.want(harness.request(id+1, classAny, ""))
 }
 
-// In a group without a primary a read must not be tried at every replica: what a warming host rejects is load too.
+// In a group without a primary a misdirected read must not be tried at every replica: reads that a warming host
+// rejects load it too.
 func TestMisdirectedReadWaitsForAPrimary(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.list(ready("a", "b", "c")...)
@@ -73,11 +78,11 @@
 		AttemptResult{Request: 1, Host: host, Outcome: OutcomeMisdirected, Role: RoleReplica}))
 }
 
-// A gateway that seldom learns replicas' positions must not crowd the primary with reads: it asks a replica for its
-// position first, and turns to the primary only if that is too old.
-func TestBoundedReadAwaitsPositionWhereNoneChecks(t *testing.T) {
+// A gateway that rarely learns the positions of replicas must not send all its bounded reads to the primary. It asks
+// a replica for its position first, and uses the primary only if that position is too old.
+func TestBoundedReadAwaitsPositionWithoutStalenessCheck(t *testing.T) {
 	for name, test := range map[string]struct {
-		age  time.Duration // of the position that the replica reports
+		age  time.Duration // age of the position that the replica reports
 		want func(checked string) string
 	}{
 		"new enough": {age: 50 * ms, want: func(checked string) string { return checked }},
@@ -108,14 +113,14 @@
 				})
 			}
 			if len(checked) != 1 || harness.attemptedHost(attempts) != test.want(checked[0]) {
-				t.Fatalf("checked %v, then %v", checked, attempts)
+				t.Fatalf("want one health check, got %v; then attempts %v", checked, attempts)
 			}
 		})
 	}
 }
 
-// Where replicas check, a gateway that knows no positions must not send all its reads to one replica, and one that has
-// rejected a read is left to the others only for a while.
+// If replicas check positions themselves, a gateway that knows no positions must not send all its reads to one
+// replica. A replica that has rejected a read gets no reads for a while.
 func TestReadsSpreadOverReplicasOfUnknownPosition(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.HealthChecksAllowed = false })
 	harness.list(ready("p", "a", "b")...)
@@ -130,15 +135,15 @@
 		return reads
 	}
 	if reads := readsByHost(1); reads["a"] < 8 || reads["b"] < 8 || reads["p"] > 0 {
-		t.Fatalf("reads went to %v", reads)
+		t.Fatalf("40 reads went to %v, want at least 8 each to a and b, and none to p", reads)
 	}
 	lagging := harness.router.hosts["a"]
 	lagging.lag, lagging.lagKnownAt = time.Second, harness.now
 	if reads := readsByHost(100); reads["a"] > 0 {
-		t.Fatalf("a is behind, but reads went to %v", reads)
+		t.Fatalf("a lags, but reads went to %v", reads)
 	}
 	harness.step(lagRetention)
 	if reads := readsByHost(200); reads["a"] < 8 {
-		t.Fatalf("a may have caught up, but reads went to %v", reads)
+		t.Fatalf("a may have caught up, but reads went to %v, want at least 8 to a", reads)
 	}
 }
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestEndInTheSameBatchAsAnOutcomeSendsNothing(t *testing.T) {
+func TestClientGoneInTheStepOfAnErrorPreventsTheRetry(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	harness.request(1, classKeyedWrite, "s")
@@ -13,7 +13,7 @@
 
 // A slow client may take seconds for a large answer. Once the answer has begun to reach it, the attempt takes no part
 // of its host's concurrency limit, is not overdue, and is neither retried nor cancelled.
-func TestStreamingAnswerCountsAgainstNoHostOrLimit(t *testing.T) {
+func TestStreamingAnswerDoesNotCountAgainstItsHost(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	harness.catchUp()
@@ -41,7 +41,7 @@
 }
 
 // A request waits as no host may be used, and its client leaves: it isn't sent to a host that comes then.
-func TestGoneClientsRequestIsNotSentWhenAHostComes(t *testing.T) {
+func TestWaitingRequestOfAGoneClientIsNotSent(t *testing.T) {
 	for _, gone := range []bool{true, false} {
 		harness := newHarness(t, nil)
 		harness.step(ms, EndpointUpdate{
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A request that has reached no host is rejected while its client has time to send it again.
-func TestUnseenRequestIsRejectedByHalfOfItsTime(t *testing.T) {
+// A request that has reached no host must be rejected early enough for its client to send it again. Here the group
+// has only draining hosts.
+func TestRequestThatReachedNoHostIsRejectedBeforeHalfItsTime(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	harness.list(
@@ -16,20 +17,22 @@
 	)
 	harness.now += time.Second // the drain grace period is over
 	if actions := harness.request(1, classKeyedWrite, "s"); len(actions) > 0 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want no action while the request waits, got %v", actions)
 	}
 	for elapsed := 10 * ms; elapsed <= 2*time.Second; elapsed += 10 * ms {
 		if len(harness.step(10*ms)) > 0 {
 			if elapsed >= time.Second || elapsed < 900*ms {
-				t.Errorf("rejected after %v of 2 s", elapsed)
+				t.Errorf("rejected after %v, want 900 ms to 1 s of the request's 2 s", elapsed)
 			}
 			return
 		}
 	}
-	t.Error("never rejected")
+	t.Error("the request was not rejected within 2 s")
 }
 
-func TestNonIdempotentWriteIsNeverRetriedAfterDoubt(t *testing.T) {
+// A write that isn't idempotent must fail after an outcome that leaves open whether it has run: a retry could execute
+// it twice.
+func TestNonIdempotentWriteIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	for _, outcome := range []Outcome{OutcomeError, OutcomeTimeout, OutcomeConnectionLost, OutcomeCancelled} {
 		t.Run(fmt.Sprint("outcome ", int(outcome)), func(t *testing.T) {
 			harness := newHarness(t, nil)
@@ -40,7 +43,8 @@
 	}
 }
 
-func TestNonIdempotentWriteIsRetriedAfterProof(t *testing.T) {
+// A write that a host has rejected can't have run, so it is retried although it isn't idempotent.
+func TestNonIdempotentWriteIsRetriedIfItCannotHaveRun(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	harness.request(1, classUnsafeWrite, "s")
@@ -48,37 +52,40 @@
 		AttemptResult{Request: 1, Host: "p", Outcome: OutcomeRejected, Role: RolePrimary}))
 	actions := harness.step(rejectionEjectionTime + waitingCheckInterval)
 	if host := harness.attemptedHost(actions); host != "p" {
-		t.Fatalf("went to %s", host)
+		t.Fatalf("the retry went to %s, want p", host)
 	}
 }
 
-func TestKeyedWriteStaysInsideItsDedupWindow(t *testing.T) {
+// After the deduplication window, hosts may execute a repeat of an idempotency key, so the write must fail then.
+func TestKeyedWriteIsRetriedOnlyWithinItsDedupWindow(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	harness.request(1, classKeyedWrite, "s")
 	actions := harness.step(10*ms,
 		AttemptResult{Request: 1, Host: "p", Outcome: OutcomeError, Role: RolePrimary})
 	if host := harness.attemptedHost(actions); host != "p" {
-		t.Fatalf("went to %s", host)
+		t.Fatalf("the retry went to %s, want p", host)
 	}
 	harness.want(harness.step(1200*ms,
 		AttemptResult{Request: 1, Attempt: 1, Host: "p", Outcome: OutcomeError, Role: RolePrimary}), Fail{1})
 }
 
-func TestEveryRequestGetsOneAnswerAtOnceWhereNothingCanServe(t *testing.T) {
+// A request without time left is rejected at once, and a request to a group without hosts gets exactly one answer.
+func TestRequestGetsExactlyOneAnswerIfNoHostCanServeIt(t *testing.T) {
 	harness := newHarness(t, nil)
-	withoutTime := Request{ID: 1, Class: classKeyedWrite, Group: 7, Tenant: -1}
-	harness.want(harness.step(0, withoutTime), Reject{1, 500 * ms})
+	expired := Request{ID: 1, Class: classKeyedWrite, Group: 7, Tenant: -1}
+	harness.want(harness.step(0, expired), Reject{1, 500 * ms})
 	harness.request(2, classUnsafeWrite, "s")
 	answers := 0
 	for range 400 {
 		answers += len(harness.step(10 * ms))
 	}
 	if answers != 1 {
-		t.Fatalf("%d answers", answers)
+		t.Fatalf("got %d answers to request 2, want 1", answers)
 	}
 }
 
+// The timeout of an attempt at the deadline of its request must lead to one answer, not two.
 func TestTimeoutAtTheDeadlineIsAnsweredOnce(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -17,7 +17,7 @@
 		AttemptResult{Request: 1, Attempt: 5}, Request{ID: 3, Class: 77}))
 }
 
-func TestAClockThatStandsStillOrGoesBack(t *testing.T) {
+func TestClockThatStandsStillOrGoesBack(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	host := harness.attemptedHost(harness.request(1, classAny, ""))
--- a/routing/settings_validation.go
+++ b/routing/settings_validation.go
@@ -21,13 +21,13 @@
 // Need, MaxAge) match neither the field names, which are given in the comments, nor the keys of a
 // configuration file.
 const (
-	nameClasses             = "Classes"
-	nameAttemptsAndGateways = "MaxAttempts or Routers"           // MaxAttempts, GatewayCount
-	nameNumberAndSubset     = "Index or Subset"                  // GatewayNumber, SubsetSize
-	nameTimesAndSlowStart   = "a time, ColdShare or TipMultiple" // SlowStartMinShare, OverloadMultiple
-	nameObjectiveDeadline   = "Aim or Deadline"                  // LatencyObjective, Deadline
-	nameMaxStaleness        = "MaxAge"                           // MaxStaleness
-	nameConsistencyAndKind  = "Need or Effect"                   // Consistency, Idempotency
+	nameClasses                   = "Classes"
+	nameAttemptsAndGateways       = "MaxAttempts or Routers"           // MaxAttempts, GatewayCount
+	nameGatewayNumberAndSubset    = "Index or Subset"                  // GatewayNumber, SubsetSize
+	nameTimesAndSlowStart         = "a time, ColdShare or TipMultiple" // SlowStartMinShare, OverloadMultiple
+	nameObjectiveDeadline         = "Aim or Deadline"                  // LatencyObjective, Deadline
+	nameMaxStaleness              = "MaxAge"                           // MaxStaleness
+	nameConsistencyAndIdempotency = "Need or Effect"                   // Consistency, Idempotency
 )
 
 // validate returns a *SettingError for the first invalid setting, or nil.
@@ -38,7 +38,7 @@
 	case s.MaxAttempts < 1 || s.GatewayCount < 1:
 		return &SettingError{Setting: nameAttemptsAndGateways, Problem: "is below 1"}
 	case s.GatewayNumber < 0 || s.SubsetSize < 0:
-		return &SettingError{Setting: nameNumberAndSubset, Problem: "is below 0"}
+		return &SettingError{Setting: nameGatewayNumberAndSubset, Problem: "is below 0"}
 	case min(s.SlowStartWindow, s.DrainGrace, s.TickInterval, s.MaxRetryAfter) < 0,
 		min(s.SlowStartMinShare, s.OverloadMultiple) < 0:
 		return &SettingError{Setting: nameTimesAndSlowStart, Problem: "is out of range"}
@@ -60,7 +60,7 @@
 		return &SettingError{Class: c, Setting: nameMaxStaleness, Problem: "is not above 0"}
 	case c.Consistency < ConsistencyAny || c.Consistency > ConsistencyWrite,
 		c.Idempotency < Idempotent || c.Idempotency > NotIdempotent:
-		return &SettingError{Class: c, Setting: nameConsistencyAndKind, Problem: "is unknown"}
+		return &SettingError{Class: c, Setting: nameConsistencyAndIdempotency, Problem: "is unknown"}
 	}
 	return nil
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -10,11 +10,11 @@
 // seedRandom replaces the Router's random source.
 func (h *harness) seedRandom(seed uint64) { h.router.rng = rand.New(rand.NewPCG(seed, seed)) }
 
-// Hundreds of gateways with few requests each must keep a warming group within its limit together: a least rate or a
-// burst for each gateway, however small, adds up to far too much. All sends of the first two seconds are counted.
-func TestManyGatewaysKeepWarmingHostsWithinTheirLimitTogether(t *testing.T) {
+// Hundreds of gateways with few requests each must together keep a warming group within its limit. Any minimum rate
+// or burst per gateway, however small, would add up to far too much. All sends of the first two seconds are counted.
+func TestManyGatewaysTogetherKeepWarmingHostsWithinTheirLimit(t *testing.T) {
 	const gateways = 300
-	const requestRate = 300 // per second, that the whole group answered when it was warmed up
+	const requestRate = 300 // per second, answered by the whole group after it has warmed up
 	var endpoints []Endpoint
 	for _, endpoint := range ready("a", "b", "c") {
 		endpoint.StartedAt = 100 * time.Second
@@ -37,12 +37,12 @@
 	capacityShare := s.SlowStartMinShare + (1-s.SlowStartMinShare)*2/s.SlowStartWindow.Seconds()
 	limit := s.OverloadMultiple * capacityShare * requestRate * 2
 	if sent == 0 || float64(sent) > limit {
-		t.Fatalf("%d sends in two seconds to a warming group that fails at %.0f", sent, limit)
+		t.Fatalf("%d sends in two seconds to a warming group, want 1 to %.0f", sent, limit)
 	}
 }
 
-// A warming primary has all the writes of its group, and after a search for it all that waited: each gateway thins its
-// own by the same probability, those that waited more.
+// A warming primary receives all writes of its group and, after a search for the primary, all that have waited. Each
+// gateway must thin out its writes by the same probability, and more so if they have waited.
 func TestWarmingPrimaryGetsPartOfItsWrites(t *testing.T) {
 	sentOf200 := func(startedAt, waited time.Duration) int {
 		sent := 0
@@ -72,13 +72,14 @@
 	warming := sentOf200(100*time.Second, 0)
 	warmingAfterWait := sentOf200(100*time.Second, 200*ms)
 	if warmedUp != 200 || warming == 0 || warming > 100 || warmingAfterWait >= warming {
-		t.Fatalf("of 200 writes went to a primary: warmed up %d, warming up %d, warming up after a wait %d",
+		t.Fatalf("writes of 200 sent to a primary: warmed up %d, warming up %d, warming up after a wait %d",
 			warmedUp, warming, warmingAfterWait)
 	}
 }
 
-// What a warming host rejects is load too: the writes of many gateways in search of a primary must spare it.
-func TestPrimarySearchSparesWarmingHosts(t *testing.T) {
+// A write loads a warming host even if the host rejects it, so the writes of many gateways that search for a primary
+// must mostly go to other hosts.
+func TestPrimarySearchSendsFewerWritesToWarmingHosts(t *testing.T) {
 	warming := 0
 	for seed := range uint64(200) {
 		harness := newHarness(t, nil)
@@ -92,33 +93,34 @@
 		}
 	}
 	if warming == 0 || warming > 90 {
-		t.Fatalf("%d of 200 searches began at the warming host", warming)
+		t.Fatalf("%d of 200 searches began at the warming host, want 1 to 90", warming)
 	}
 }
 
-// A warming host that the list names as primary gets the writes that it can bear, and no other host gets the rest.
+// A warming host that the list names as primary must get only as many writes as slow start allows. The others must
+// not be sent to another host.
 func TestWarmingListedPrimaryGetsPartOfItsWrites(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.GatewayCount = 300 })
 	listed := Endpoint{ID: "c", Group: 1, State: StateReady, Primary: true, StartedAt: harness.now}
 	harness.list(append(ready("a", "b", "d", "e"), listed)...)
-	sent, misdirected := 0, 0
+	sent, toOtherHosts := 0, 0
 	for id := uint64(1); id <= 200; id++ {
 		for _, host := range attemptedHosts(harness.step(10*ms, writeRequest(id))) {
 			sent++
 			if host != "c" {
-				misdirected++
+				toOtherHosts++
 			}
 			harness.step(ms, AttemptResult{Request: id, Host: host, Outcome: OutcomeRejected})
 		}
 	}
-	if misdirected > 0 || sent == 0 || sent == 200 {
-		t.Errorf("%d of 200 writes were sent, %d misdirected", sent, misdirected)
+	if toOtherHosts > 0 || sent == 0 || sent == 200 {
+		t.Errorf("%d of 200 writes were sent, %d of them to other hosts; want 1 to 199 and 0", sent, toOtherHosts)
 	}
 }
 
-// While hosts of a group warm up less is let through to it, so it answers less. That must not count as what it can
-// do: even less would be let through then.
-func TestAnswerRateOfWarmingGroupIsNotItsCapacity(t *testing.T) {
+// While hosts of a group warm up, the group is sent less and answers less. The lower answer rate must not count as
+// the group's capacity: the slow start rate would fall further.
+func TestPeakAnswerRateDoesNotDecayWhileHostsWarmUp(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
 	harness.catchUp()
@@ -140,25 +142,25 @@
 	harness.update(Endpoint{ID: "b", Group: 1, State: StateReady, StartedAt: harness.now - 12*time.Second})
 	playSecond(10)
 	if now := rate(); now < warmedUp*0.98 {
-		t.Errorf("rate %v, and %v after a second with little let through", warmedUp, now)
+		t.Errorf("rate fell from %v to %v in a second of warming up, want at least 98%%", warmedUp, now)
 	}
-	for range 20 { // warmed up again: now it is the traffic that has gone down
+	for range 20 { // the hosts have warmed up, and the traffic stays low
 		playSecond(10)
 	}
 	if now := rate(); now > warmedUp*0.8 {
-		t.Errorf("rate %v, and %v after long with little traffic", warmedUp, now)
+		t.Errorf("rate went from %v to %v in 20 s of low traffic, want at most 80%%", warmedUp, now)
 	}
 }
 
-// surgeGateway is one of many gateways with too few requests for a slow start budget of its own.
+// surgeGateway is one of many gateways with too few requests for a slow-start budget of its own.
 type surgeGateway struct {
 	*harness
 	groups int
 	lastID uint64
 }
 
-// playSecond spreads requests over a second and all groups, and counts the sends by host in sent, unless it is nil.
-// Of those counted one in retries is answered: the groups answer no more than before.
+// playSecond spreads requests over a second and all groups. If sent is not nil, it counts the sends per host there
+// and answers only one in retries of them, so that the groups answer no more than before.
 func (g *surgeGateway) playSecond(requests, retries int, sent map[string]int) {
 	for range requests {
 		g.lastID++
@@ -179,14 +181,14 @@
 	}
 }
 
-// Where many hosts are replaced at once, clients retry, and the traffic is a multiple of what the groups answered
-// before. The gateways know that multiple only by their arrivals: with each request sent three times the warming host
-// of each group must not get more than it can bear.
-func TestWarmingHostsAreSparedALoadSurge(t *testing.T) {
+// If many hosts are replaced at once, clients retry, and the traffic becomes a multiple of what the groups answered
+// before. The gateways can derive that multiple only from their arrivals. Even if each request is sent three times,
+// the warming host of each group must not exceed its limit.
+func TestWarmingHostsStayWithinTheirLimitDuringALoadSurge(t *testing.T) {
 	const gateways, groups, hostsPerGroup = 60, 20, 4
 	const requestRate = 10 // per second at each gateway without retries
 	for _, retries := range []int{1, 3} {
-		t.Run(fmt.Sprint("times ", retries), func(t *testing.T) {
+		t.Run(fmt.Sprint("sends per request ", retries), func(t *testing.T) {
 			sent := map[string]int{}
 			for number := range uint64(gateways) {
 				gateway := &surgeGateway{groups: groups, harness: newHarness(t, func(s *Settings) {
@@ -216,20 +218,20 @@
 			for group := range groups {
 				warming += sent[fmt.Sprint("a", group)]
 			}
-			s := testSettings() // halfway through the two seconds:
+			s := testSettings() // the capacity share is taken halfway through the two seconds
 			capacityShare := s.SlowStartMinShare + (1-s.SlowStartMinShare)/s.SlowStartWindow.Seconds()
 			limit := s.OverloadMultiple * capacityShare * gateways * requestRate * 2 / hostsPerGroup
-			// The limit holds although the gateways notice a surge some tenths of a second late.
+			// The limit holds although the gateways detect a surge some tenths of a second late.
 			if warming == 0 || float64(warming) > limit {
-				t.Errorf("%d sends to warming hosts that fail at %.0f", warming, limit)
+				t.Errorf("%d sends to warming hosts, want 1 to %.0f", warming, limit)
 			}
 		})
 	}
 }
 
-// A Router that starts while a group is down to its last, warming host must not take that for the group's size: what
-// the group's other hosts carried before comes to this one.
-func TestLateStartTakesGroupForAsLargeAsTheOthers(t *testing.T) {
+// A Router that starts while a group has only one, warming host left must not take one host for the size of the
+// group: the remaining host gets the traffic of all the missing ones.
+func TestRouterStartedLateUsesTheLargestGroupSize(t *testing.T) {
 	harness := newHarness(t, nil)
 	endpoints := []Endpoint{{ID: "cold", Group: 1, State: StateReady, StartedAt: harness.now}}
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -244,13 +246,13 @@
 		}
 	}
 	if sent == 0 || sent > 25 {
-		t.Fatalf("%d of 100 sent to a group's last, warming host", sent)
+		t.Fatalf("%d of 100 requests sent to the last, warming host of a group, want 1 to 25", sent)
 	}
 }
 
-// While many hosts are replaced, the new ones are listed together with the old for some seconds. A group must not
-// count as made for twice its traffic then: too much of what comes to its warming hosts would be shed.
-func TestReplacingHostsMakeNoGroupLarger(t *testing.T) {
+// While hosts are replaced, old and new ones are listed together for some seconds. The Router must not take their
+// number for the group's size: it would shed too much of the traffic to the warming hosts.
+func TestOverlappingReplacementDoesNotIncreaseGroupSize(t *testing.T) {
 	sentOf200 := func(overlap bool) int {
 		harness := newHarness(t, nil)
 		endpoints := func(from, to int, state EndpointState, startedAt time.Duration) []Endpoint {
@@ -277,6 +279,6 @@
 		return sent
 	}
 	if with, without := sentOf200(true), sentOf200(false); with == 0 || with*5 < without*4 {
-		t.Errorf("%d of 200 sent where old and new hosts overlap, else %d", with, without)
+		t.Errorf("%d of 200 sent if old and new hosts overlap, want at least 80%% of %d as without", with, without)
 	}
 }
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -84,7 +84,7 @@
 }
 
 // A host of the subset that refuses a connection, or drains, is replaced at once; nothing waits or is rejected for it.
-func TestASubsetWidensAtOnce(t *testing.T) {
+func TestUnavailableHostsOfASubsetAreReplacedAtOnce(t *testing.T) {
 	harness := newSubsetHarness(t, 3, lateReadsCount)
 	var subset []string
 	for host := range harness.readsByHost(100, 40) {
@@ -111,7 +111,7 @@
 }
 
 // A new roster changes the subset, but only where it has to.
-func TestRosterChangesTheSubset(t *testing.T) {
+func TestRosterChangesAlterTheSubsetOnlyWhereNeeded(t *testing.T) {
 	harness := newSubsetHarness(t, 0, lateReadsCount)
 	gateways := func(count int) []fleet.Gateway {
 		var gateways []fleet.Gateway
