--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -7,6 +7,8 @@
 	"time"
 )
 
+// A draining replica must get no new request. A draining primary gets writes only until the end of the drain grace
+// period.
 func TestDrainingHostGetsNoNewRequests(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -16,26 +18,26 @@
 	)
 	for id := uint64(1); id < 9; id++ {
 		if host := harness.attemptedHost(harness.request(id, classAny, "")); host != "b" {
-			t.Fatalf("went to %s", host)
+			t.Fatalf("the read went to %s, want b", host)
 		}
 		harness.step(ms, AttemptResult{Request: id, Host: "b", RequestDone: true})
 	}
 	if host := harness.attemptedHost(harness.request(20, classKeyedWrite, "s")); host != "p" {
-		t.Fatalf("in the drain grace period the primary accepts writes, but it went to %s", host)
+		t.Fatalf("in the drain grace period the write went to %s, want p", host)
 	}
 	harness.step(ms, AttemptResult{
 		Request: 20, Host: "p", RequestDone: true, Role: RolePrimary, Position: harness.now,
 	})
 	harness.step(250 * ms)
 	if host := harness.attemptedHost(harness.request(21, classKeyedWrite, "s")); host != "b" {
-		t.Fatalf("after the drain grace period it went to %s", host)
+		t.Fatalf("after the drain grace period the write went to %s, want b", host)
 	}
 }
 
-// The drain grace period counts from when the drain is known, which may be before the update.
+// The drain grace period starts when the drain becomes known, which may be before the update.
 func TestDrainGracePeriodCountsFromNotification(t *testing.T) {
 	for _, test := range []struct {
-		notifiedBefore time.Duration // the update
+		notifiedBefore time.Duration // time from the notification to the update
 		used           bool
 	}{{0, true}, {100 * ms, true}, {248 * ms, false}, {time.Hour, false}} {
 		t.Run(test.notifiedBefore.String(), func(t *testing.T) {
@@ -47,12 +49,13 @@
 			})
 			used := slices.Contains(attemptedHosts(harness.request(1, classKeyedWrite, "s")), "p")
 			if used != test.used {
-				t.Errorf("a write goes to the draining primary: %v, want %v (grace 250 ms)", used, test.used)
+				t.Errorf("a write went to the draining primary: %v, want %v (grace period 250 ms)", used, test.used)
 			}
 		})
 	}
 }
 
+// A host that starts to drain while a request waits for its capacity must not get that request.
 func TestWaitingRequestIsNotSentToADrainingHost(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.list(ready("a")...)
@@ -65,7 +68,8 @@
 		AttemptResult{Request: 1, Host: "a", RequestDone: true, Role: RoleReplica}))
 }
 
-// A health check of each new host by each gateway is a connection for every pair of a gateway and a host.
+// If each gateway checked the health of each new host, every pair of a gateway and a host would need a connection. So
+// new hosts get health checks only if replicas don't check positions themselves.
 func TestNewHostsGetHealthChecksOnlyWithoutStalenessCheck(t *testing.T) {
 	for check, want := range map[StalenessCheck]int{
 		StalenessCheckNone: 2, StalenessCheckReject: 0, StalenessCheckWait: 0,
@@ -75,14 +79,14 @@
 			update := EndpointUpdate{Full: true, Endpoints: ready("a", "b")}
 			actions := harness.router.Step(harness.now, []Event{update})
 			if hosts := healthCheckedHosts(actions); len(hosts) != want {
-				t.Errorf("health checks of %v, want %d", hosts, want)
+				t.Errorf("health checks of %v, want %d hosts", hosts, want)
 			}
 		})
 	}
 }
 
-// A list may be empty, repeated, contradictory or large, and events may come late, twice or for nothing: none of it
-// may panic, send past a drain or answer twice.
+// Lists may be empty, repeated, contradictory or large, and reports may be wrong. The Router must not panic, send
+// requests to hosts that are draining or gone, or answer a request twice.
 func TestContradictoryListsAndReports(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.step(0, EndpointUpdate{}, EndpointUpdate{Full: true}, EndpointUpdate{Failed: true})
@@ -99,7 +103,7 @@
 	for id := uint64(10); id < 30; id++ {
 		for _, host := range attemptedHosts(harness.request(id, classAny, "")) {
 			if host != "p" {
-				t.Fatalf("went to %s, whose last state was gone", host)
+				t.Fatalf("the read went to %s, whose last listed state is gone", host)
 			}
 		}
 	}
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,8 +7,8 @@
 	"merlinjunction/routing"
 )
 
-// The embedding program builds a Router, passes the endpoint list and what happens, and carries out the actions. It
-// calls Step on every event and whenever the time of the last SetTimer has come.
+// The embedding program creates a Router, passes the endpoint list and other events to it, and carries out the
+// actions. It calls Step for every event and whenever the time of the last SetTimer has come.
 func Example() {
 	const write, read = 0, 1 // indices in Settings.Classes
 	router, err := routing.New(routing.Settings{
@@ -49,8 +49,8 @@
 	step(routing.HealthCheckResult{Host: "db1", Role: routing.RolePrimary, Position: now},
 		routing.HealthCheckResult{Host: "db2", Role: routing.RoleReplica, Position: now})
 	request(1, write, "ann")
-	request(2, read, "ann") // its session has a write in flight
-	request(3, read, "bob") // its session has none
+	request(2, read, "ann") // the session has a write in flight
+	request(3, read, "bob") // the session has none
 	// Output:
 	// check db1
 	// check db2
--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A list, a restart or a drain that ends must not bring back a host that operators have excluded; one include must.
+// A new list, a restart or the end of a drain must not bring back a host that operators have excluded. A single
+// include must, however often it was excluded.
 func TestExclusionOverridesTheListUntilTheHostIsIncluded(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -22,13 +23,13 @@
 		harness.step(ms, HealthCheckResult{Host: "a", Role: RoleReplica, Position: harness.now})
 		for read := range uint64(40) {
 			if host := harness.read(uint64(i)*100 + read); host == "a" || host == "new" || host == "" {
-				t.Fatalf("after list %d read %d went to %q", i, read, host)
+				t.Fatalf("after update %d, read %d went to %q, want a host that isn't excluded", i, read, host)
 			}
 		}
 	}
 	router := harness.router
 	if unavailable := router.UnavailableHosts(harness.now); unavailable != 2 {
-		t.Errorf("%d hosts are unavailable", unavailable)
+		t.Errorf("%d hosts are unavailable, want 2", unavailable)
 	}
 	excluded := router.hosts["a"]
 	excluded.recentFailures, excluded.unresponsive, excluded.ejectedUntil = 6, true, harness.now+time.Hour
@@ -39,18 +40,19 @@
 		reads[harness.read(1000+read)]++
 	}
 	if reads["a"] == 0 || reads["new"] > 0 || router.UnavailableHosts(harness.now) != 1 {
-		t.Errorf("after the include: %v, %d unavailable", reads, router.UnavailableHosts(harness.now))
+		t.Errorf("after a was included: reads %v, want some at a and none at new; %d hosts unavailable, want 1",
+			reads, router.UnavailableHosts(harness.now))
 	}
 }
 
-// A host counts as draining from its exclusion on: a primary, which no other host can replace at once, is used during
-// the drain grace period, and no longer where an earlier process received the order.
+// From its exclusion on, a host counts as draining. No other host can replace a primary at once, so it stays in
+// service during the drain grace period, unless an earlier process received the command and the period is over.
 func TestExcludedPrimaryHasTheDrainGracePeriod(t *testing.T) {
 	for _, test := range []struct {
-		excludedBefore time.Duration // this moment
+		excludedBefore time.Duration // age of the exclusion
 		inService      bool
 	}{{0, true}, {time.Second, false}} {
-		t.Run(fmt.Sprint("excluded before ", test.excludedBefore), func(t *testing.T) {
+		t.Run(fmt.Sprint("excluded since ", test.excludedBefore), func(t *testing.T) {
 			harness := newHarness(t, nil)
 			harness.listGroup()
 			harness.catchUp()
@@ -60,7 +62,7 @@
 				harness.step(elapsed)
 				inService := harness.router.inService(harness.router.hosts["p"])
 				if inService != (test.inService && elapsed == ms) {
-					t.Errorf("%v later: in service %v", elapsed, inService)
+					t.Errorf("after another %v, excluded primary in service: %v, want %v", elapsed, inService, !inService)
 				}
 			}
 		})
--- a/routing/fuzz_test.go
+++ b/routing/fuzz_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A fuzzDriver plays an embedding program that keeps its part of the contract, and checks the rules that a Router
-// must keep as seen from outside.
+// A fuzzDriver acts as an embedding program that fulfils its part of the contract. It checks the invariants of the
+// Router that are visible from outside.
 type fuzzDriver struct {
 	t               *testing.T
 	router          *Router
@@ -17,24 +17,24 @@
 	now             time.Duration
 	lastID          uint64
 	requests        map[uint64]*fuzzRequest
-	drainNotifiedAt map[string]time.Duration // when a host was listed as draining or gone
+	drainNotifiedAt map[string]time.Duration // when a host was first listed as draining or gone
 }
 
-// A fuzzRequest is what the driver knows of a request.
+// A fuzzRequest holds the driver's state of a request.
 type fuzzRequest struct {
 	class          Class
 	deadline       time.Duration
 	attempts       int
-	openAttempts   map[int]string // hosts of the attempts that are open, by number
+	openAttempts   map[int]string // hosts of the open attempts, by attempt number
 	done           bool           // it has its final answer, or its client is gone
 	mayHaveRun     bool
 	uncertainSince time.Duration
-	sentAt         time.Duration // of the last attempt
+	sentAt         time.Duration // when the last attempt was sent
 }
 
-// FuzzRouter draws random legal sequences of events from a seed and holds the Router to: one final answer, in time;
-// no two attempts at a time; no repeat of an effect that may have happened, outside its deduplication window; nothing
-// sent past a drain.
+// FuzzRouter derives random legal sequences of events from a seed and checks that the Router gives each request one
+// final answer in time, opens at most one attempt at a time, never resends a request that may have run unless it is
+// idempotent or within its deduplication window, and sends no request after a drain.
 func FuzzRouter(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed)
@@ -83,15 +83,15 @@
 	}
 	for id, request := range d.requests {
 		if !request.done {
-			d.t.Errorf("request %d has no answer", id)
+			d.t.Errorf("request %d has no final answer", id)
 		}
 	}
 }
 
-// hostName returns the ID of a host by its number.
+// hostName returns the ID of the host with a number.
 func hostName(number int) string { return fmt.Sprintf("m%d", number) }
 
-// endpointUpdate returns the full list of five hosts, all ready, or random changes of it.
+// endpointUpdate returns the full list of five ready hosts, or random changes to it.
 func (d *fuzzDriver) endpointUpdate(full bool) EndpointUpdate {
 	update := EndpointUpdate{Full: full}
 	for number := range 5 {
@@ -130,7 +130,7 @@
 	}
 }
 
-// results ends some of the open attempts, in the order of their requests.
+// results ends some of the open attempts and reports them in the order of their requests.
 func (d *fuzzDriver) results() []Event {
 	var events []Event
 	for id := uint64(1); id <= d.lastID; id++ {
@@ -162,7 +162,7 @@
 	return events
 }
 
-// step steps the Router and checks its actions.
+// step passes events to the Router and checks its actions.
 func (d *fuzzDriver) step(events ...Event) {
 	for _, action := range d.router.Step(d.now, events) {
 		switch action := action.(type) {
@@ -172,54 +172,54 @@
 			request := d.answer(action.Request)
 			uncertain := request.mayHaveRun || len(request.openAttempts) > 0
 			if request.class.Idempotency != Idempotent && uncertain {
-				d.t.Fatalf("request %d may have run and was rejected", action.Request)
+				d.t.Fatalf("request %d was rejected although it may have run", action.Request)
 			}
 		case Fail:
 			d.answer(action.Request)
 		case CancelAttempt:
 			if !d.settings.CancelAllowed || action.Attempt >= d.requests[action.Request].attempts {
-				d.t.Fatalf("cancel %+v", action)
+				d.t.Fatalf("%+v for an attempt that wasn't sent, or without permission", action)
 			}
 		case HealthCheck:
 			if !d.settings.HealthChecksAllowed {
-				d.t.Fatal("a health check where none is allowed")
+				d.t.Fatal("a health check although health checks are not allowed")
 			}
 		}
 	}
 }
 
-// answer takes in a final answer and returns its request.
+// answer records the final answer of a request and returns the request.
 func (d *fuzzDriver) answer(id uint64) *fuzzRequest {
 	request := d.requests[id]
 	switch {
 	case request.done:
-		d.t.Fatalf("request %d has two answers", id)
+		d.t.Fatalf("request %d got a second final answer", id)
 	case d.now > request.deadline+20*ms:
-		d.t.Fatalf("request %d answered %v late", id, d.now-request.deadline)
+		d.t.Fatalf("request %d was answered %v after its deadline, want at most 20 ms", id, d.now-request.deadline)
 	}
 	request.done = true
 	return request
 }
 
-// onAttempt checks that an attempt is allowed, and opens it.
+// onAttempt checks that an attempt is allowed and records it as open.
 func (d *fuzzDriver) onAttempt(attempt Attempt) {
 	request := d.requests[attempt.Request]
 	class := request.class
 	drainNotifiedAt, draining := d.drainNotifiedAt[attempt.Host]
 	switch {
 	case request.done:
-		d.t.Fatalf("request %d is done and was sent", attempt.Request)
+		d.t.Fatalf("request %d was sent after its final answer", attempt.Request)
 	case len(request.openAttempts) > 0:
 		d.t.Fatalf("request %d has two open attempts", attempt.Request)
 	case request.attempts >= d.settings.MaxAttempts:
-		d.t.Fatalf("request %d has too many attempts", attempt.Request)
+		d.t.Fatalf("request %d was sent more than %d times", attempt.Request, d.settings.MaxAttempts)
 	case request.mayHaveRun && class.Idempotency == NotIdempotent:
-		d.t.Fatalf("request %d may have run and was sent again", attempt.Request)
+		d.t.Fatalf("request %d is not idempotent and was sent again although it may have run", attempt.Request)
 	case request.mayHaveRun && class.Idempotency == IdempotentWithKey &&
 		d.now-request.uncertainSince >= class.DedupWindow:
-		d.t.Fatalf("request %d was sent again past its deduplication window", attempt.Request)
+		d.t.Fatalf("request %d was sent again after its deduplication window", attempt.Request)
 	case draining && d.now > drainNotifiedAt+d.settings.DrainGrace:
-		d.t.Fatalf("%s got a request %v after its drain was known", attempt.Host, d.now-drainNotifiedAt)
+		d.t.Fatalf("host %s got a request %v after it was listed as draining", attempt.Host, d.now-drainNotifiedAt)
 	}
 	request.openAttempts[request.attempts] = attempt.Host
 	request.attempts++
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -42,19 +42,19 @@
 	}
 }
 
-// noHealthChecks changes settings to replicas that don't check, where their positions can't be asked for either.
+// noHealthChecks changes settings so that replicas don't check positions and can't be asked for theirs.
 func noHealthChecks(settings *Settings) {
 	settings.StalenessCheck, settings.HealthChecksAllowed = StalenessCheckNone, false
 }
 
-// A harness is a Router and the clock of its embedding program.
+// A harness holds a Router and the clock of its embedding program.
 type harness struct {
 	t      *testing.T
 	router *Router
 	now    time.Duration
 }
 
-// newHarness returns a Router with testSettings, which change may alter.
+// newHarness creates a Router with testSettings, which change may modify.
 func newHarness(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
 	settings := testSettings()
@@ -68,7 +68,8 @@
 	return &harness{t: t, router: router, now: 100 * time.Second}
 }
 
-// step lets time pass and returns the actions but for timers, health checks and log lines.
+// step advances the clock, passes events to the Router and returns its actions except for timers, health checks and
+// log lines.
 func (h *harness) step(pass time.Duration, events ...Event) []Action {
 	h.now += pass
 	var kept []Action
@@ -82,7 +83,7 @@
 	return kept
 }
 
-// ready returns the endpoints of ready hosts of group 1.
+// ready returns endpoints of group 1 in StateReady.
 func ready(ids ...string) []Endpoint {
 	var endpoints []Endpoint
 	for _, id := range ids {
@@ -91,17 +92,17 @@
 	return endpoints
 }
 
-// list brings a full endpoint list at once.
+// list sends a full endpoint list without advancing the clock.
 func (h *harness) list(endpoints ...Endpoint) {
 	h.step(0, EndpointUpdate{Full: true, Endpoints: endpoints})
 }
 
-// update brings changes of the endpoint list after a millisecond.
+// update sends changes to the endpoint list after a millisecond.
 func (h *harness) update(endpoints ...Endpoint) []Action {
 	return h.step(ms, EndpointUpdate{Endpoints: endpoints})
 }
 
-// listGroup lists a primary "p" and replicas "a" and "b" of group 1, the replicas caught up.
+// listGroup lists a primary "p" and replicas "a" and "b" in group 1 and reports the current position for all of them.
 func (h *harness) listGroup() {
 	h.t.Helper()
 	h.list(ready("p", "a", "b")...)
@@ -124,19 +125,19 @@
 // writeRequest returns a write with an idempotency key and without a session.
 func writeRequest(id uint64) Request { return newRequest(id, classKeyedWrite, 2*time.Second) }
 
-// request brings a request after a millisecond.
+// request sends a request to group 1 after a millisecond.
 func (h *harness) request(id uint64, class int, session string) []Action {
 	request := newRequest(id, class, 2*time.Second)
 	request.Session = session
 	return h.step(ms, request)
 }
 
-// answer ends the first attempt of a request after a time, with a replica's answer.
+// answer advances the clock and ends the first attempt of a request with an answer of a replica.
 func (h *harness) answer(pass time.Duration, id uint64, host string) []Action {
 	return h.step(pass, AttemptResult{Request: id, Host: host, RequestDone: true, Role: RoleReplica})
 }
 
-// read sends a read that any host may answer, answers it, and returns the host, "" where it isn't sent.
+// read sends a read that any host may serve, answers it and returns the host, or "" if the read wasn't sent.
 func (h *harness) read(id uint64) string {
 	hosts := attemptedHosts(h.request(id, classAny, ""))
 	if len(hosts) == 0 {
@@ -146,7 +147,7 @@
 	return hosts[0]
 }
 
-// attemptedHost returns the host of the only action, an attempt.
+// attemptedHost returns the host of an attempt that must be the only action.
 func (h *harness) attemptedHost(actions []Action) string {
 	h.t.Helper()
 	if len(actions) != 1 {
@@ -159,7 +160,7 @@
 	return attempt.Host
 }
 
-// want fails the test unless the actions are exactly these.
+// want fails the test unless the actions are exactly the given ones.
 func (h *harness) want(actions []Action, want ...Action) {
 	h.t.Helper()
 	if len(actions) != len(want) {
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -16,7 +16,7 @@
 				s.Classes[classSession].LatencyObjective = test.shortestObjective
 			})
 			if scaled := harness.router.scaleToObjective(100 * ms); scaled != test.want {
-				t.Errorf("100 ms become %v, want %v", scaled, test.want)
+				t.Errorf("100 ms scaled to %v, want %v", scaled, test.want)
 			}
 		})
 	}
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// A request whose client leaves in the same Step as its attempt fails must not be retried.
 func TestClientGoneInTheStepOfAnErrorPreventsTheRetry(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -11,8 +12,8 @@
 	harness.want(harness.step(100 * ms))
 }
 
-// A slow client may take seconds for a large answer. Once the answer has begun to reach it, the attempt takes no part
-// of its host's concurrency limit, is not overdue, and is neither retried nor cancelled.
+// A slow client may take seconds to receive a large answer. Once the answer has begun to reach it, the attempt must
+// not occupy its host's concurrency limit, become overdue, or be retried or cancelled.
 func TestStreamingAnswerDoesNotCountAgainstItsHost(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -24,23 +25,24 @@
 	}
 	for range 100 {
 		if actions := harness.step(100 * ms); len(actions) > 0 {
-			t.Fatalf("streaming answers lead to %v", actions)
+			t.Fatalf("streaming answers led to %v, want no actions", actions)
 		}
 	}
 	for _, host := range []string{"a", "b"} {
 		if failures := harness.router.hosts[host].recentFailures; failures > 0 {
-			t.Errorf("%s has %v recent failures", host, failures)
+			t.Errorf("host %s has %v recent failures, want 0", host, failures)
 		}
 	}
 	host := harness.router.requests[1].openAttempt.host.ID
 	harness.want(harness.step(ms,
 		AttemptResult{Request: 1, Host: host, Outcome: OutcomeConnectionLost, RequestDone: true}))
 	if harness.router.requests[1] != nil {
-		t.Error("a request whose stream broke off is still known")
+		t.Error("a request whose stream was interrupted is still in the table")
 	}
 }
 
-// A request waits as no host may be used, and its client leaves: it isn't sent to a host that comes then.
+// A request waits because no host is available, and its client leaves. The request must not be sent when a host
+// becomes available.
 func TestWaitingRequestOfAGoneClientIsNotSent(t *testing.T) {
 	for _, gone := range []bool{true, false} {
 		harness := newHarness(t, nil)
@@ -53,7 +55,7 @@
 		}
 		actions := harness.update(ready("a")...)
 		if sent := len(actions) == 1; sent == gone {
-			t.Errorf("client gone %v: %v", gone, actions)
+			t.Errorf("client gone: %v, request sent: %v, want %v (actions %v)", gone, sent, !gone, actions)
 		}
 	}
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// Events that are repeated, or that name unknown requests, attempts, hosts or classes, must lead to no actions.
 func TestUnknownAndRepeatedEventsAreIgnored(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -17,6 +18,7 @@
 		AttemptResult{Request: 1, Attempt: 5}, Request{ID: 3, Class: 77}))
 }
 
+// The Router must handle events as usual if its clock stands still or goes back.
 func TestClockThatStandsStillOrGoesBack(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -24,11 +26,11 @@
 	harness.want(harness.answer(-time.Hour, 1, host))
 	harness.want(harness.answer(0, 1, host))
 	if host := harness.attemptedHost(harness.step(0, newRequest(2, classAny, time.Second))); host == "p" {
-		t.Fatal("a read that any host may answer went to the primary")
+		t.Fatal("a read that any host may serve went to the primary")
 	}
 }
 
-// Optional settings may be missing or huge: the other rules must still hold.
+// If optional settings are zero or huge, the Router must still answer every request, and only once.
 func TestZeroAndHugeOptionalSettings(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"zero": func(s *Settings) {
@@ -61,13 +63,14 @@
 				answers += len(harness.step(10 * ms))
 			}
 			if answers < 20 || answers > 21 {
-				t.Errorf("%d answers to 20 requests", answers)
+				t.Errorf("%d answers to 20 requests, want 20 or 21", answers)
 			}
 		})
 	}
 }
 
-// An operator finds in the log when a host stops answering and which host is the primary.
+// Log lines tell operators when a host stops answering and which host is the primary, so they must name both the
+// group and the host.
 func TestLogNamesGroupAndHost(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.list(ready("p", "a")...)
@@ -80,7 +83,7 @@
 	}
 }
 
-// BenchmarkStep has the Router of a large deployment (60 groups of 5 hosts) take in and finish one request a Step.
+// BenchmarkStep measures the Steps that accept and finish a request in a large deployment (60 groups of 5 hosts).
 func BenchmarkStep(b *testing.B) {
 	router, err := New(testSettings(), 1)
 	if err != nil {
--- a/routing/settings_validation_test.go
+++ b/routing/settings_validation_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-func TestNewNamesTheSettingAtFault(t *testing.T) {
+// The error of New must name the invalid setting.
+func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
 		"Classes":     func(s *Settings) { s.Classes = nil },
 		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
@@ -20,11 +21,11 @@
 			change(&settings)
 			_, err := New(settings, 1)
 			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got error %v, want one that names %s", err, want)
 			}
 			var atFault *SettingError
 			if !errors.As(err, &atFault) || !strings.Contains(atFault.Setting, want) {
-				t.Errorf("%v doesn't carry the setting's name", err)
+				t.Errorf("got error %#v, want a *SettingError with the setting %s", err, want)
 			}
 		})
 	}
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -8,7 +8,7 @@
 	"merlinjunction/fleet"
 )
 
-// newSubsetHarness returns one of eight gateways that prefer two hosts each, and lists a primary "m0" and six replicas
+// newSubsetHarness creates one of eight gateways with a subset size of two, and lists a primary "m0" and six replicas
 // that have reported their position.
 func newSubsetHarness(t *testing.T, gatewayNumber int, change func(*Settings)) *harness {
 	t.Helper()
@@ -32,7 +32,7 @@
 	return harness
 }
 
-// position is the current position, by the clock of the last step.
+// position returns the current position by the clock of the last step.
 func (h *harness) position() Position { return h.now - h.router.settings.PositionEpoch }
 
 // subsetRequest returns a request for the group of newSubsetHarness.
@@ -40,7 +40,7 @@
 	return Request{ID: id, Class: class, Tenant: -1, TimeLeft: time.Second}
 }
 
-// readsByHost sends reads that any host may answer, one after another, and counts them by host.
+// readsByHost sends reads that any host may serve, one after another, and returns their number by host.
 func (h *harness) readsByHost(firstID uint64, count int) map[string]int {
 	reads := map[string]int{}
 	for i := range uint64(count) {
@@ -60,30 +60,32 @@
 	class.Consistency, class.MaxStaleness, class.LateWeightShare = ConsistencyAny, 0, 1
 }
 
-// Eight gateways that know their numbers keep to two replicas each, at random among them; together they use all.
+// Eight gateways that know their numbers must use two replicas each, chosen at random for each read, and together
+// nearly all replicas. A gateway of unknown number must use all.
 func TestGatewaysKeepToTheirSubsets(t *testing.T) {
 	gatewaysByHost := map[string]int{}
 	for number := 1; number <= 8; number++ {
 		reads := newSubsetHarness(t, number, lateReadsCount).readsByHost(100, 40)
 		if len(reads) != 2 {
-			t.Errorf("gateway %d used %v", number, reads)
+			t.Errorf("gateway %d used %v, want 2 hosts", number, reads)
 		}
 		for host, count := range reads {
 			gatewaysByHost[host]++
 			if count < 8 {
-				t.Errorf("gateway %d: %d of 40 at %s", number, count, host)
+				t.Errorf("gateway %d sent %d of 40 reads to %s, want at least 8", number, count, host)
 			}
 		}
 	}
 	if len(gatewaysByHost) < 6 {
-		t.Errorf("together they used %v", gatewaysByHost)
+		t.Errorf("all gateways together used %v, want at least 6 hosts", gatewaysByHost)
 	}
 	if reads := newSubsetHarness(t, 0, lateReadsCount).readsByHost(100, 60); len(reads) < 6 {
-		t.Errorf("a gateway of unknown number keeps to %v", reads)
+		t.Errorf("a gateway of unknown number used %v, want at least 6 hosts", reads)
 	}
 }
 
-// A host of the subset that refuses a connection, or drains, is replaced at once; nothing waits or is rejected for it.
+// A host of the subset that refuses a connection or drains must be replaced at once. No request may wait or be
+// rejected because of it.
 func TestUnavailableHostsOfASubsetAreReplacedAtOnce(t *testing.T) {
 	harness := newSubsetHarness(t, 3, lateReadsCount)
 	var subset []string
@@ -94,23 +96,23 @@
 	retried := attemptedHosts(harness.step(ms,
 		AttemptResult{Request: 500, Host: failed, Outcome: OutcomeNoConnection}))
 	if len(retried) != 1 || retried[0] == failed {
-		t.Fatalf("after a refused connection: %v", retried)
+		t.Fatalf("after %s refused a connection, the retry went to %v, want one other host", failed, retried)
 	}
 	harness.step(ms, AttemptResult{
 		Request: 500, Attempt: 1, Host: retried[0], Outcome: OutcomeOK, RequestDone: true,
 	})
 	if reads := harness.readsByHost(600, 20); len(reads) != 2 || reads[failed] > 0 {
-		t.Errorf("while %s is ejected: %v", failed, reads)
+		t.Errorf("while %s is ejected, reads went to %v, want 2 other hosts", failed, reads)
 	}
 	harness.step(0, EndpointUpdate{Endpoints: []Endpoint{
 		{ID: subset[0], State: StateDraining}, {ID: subset[1], State: StateDraining},
 	}})
 	if reads := harness.readsByHost(700, 20); len(reads) != 2 || reads[subset[0]]+reads[subset[1]] > 0 {
-		t.Errorf("while both drain: %v", reads)
+		t.Errorf("while %v drain, reads went to %v, want 2 other hosts", subset, reads)
 	}
 }
 
-// A new roster changes the subset, but only where it has to.
+// A gateway that joins the roster must change the subsets of the others only if necessary.
 func TestRosterChangesAlterTheSubsetOnlyWhereNeeded(t *testing.T) {
 	harness := newSubsetHarness(t, 0, lateReadsCount)
 	gateways := func(count int) []fleet.Gateway {
@@ -125,8 +127,8 @@
 	for count := 3; count < 12; count++ {
 		harness.step(0, RosterUpdate{fleet.NewNamedRoster(fleet.Gateway{Name: "g1"}, gateways(count))})
 		reads := harness.readsByHost(uint64(1000*count), 30)
-		if len(reads) < 2 || len(reads) > 3 { // a host used before stays for a while only where it was needed
-			t.Errorf("%d gateways: %v", count, reads)
+		if len(reads) < 2 || len(reads) > 3 { // a host of the previous subset stays for a while if it was needed
+			t.Errorf("with %d gateways reads went to %v, want 2 or 3 hosts", count, reads)
 		}
 		for host := range reads {
 			if previous != nil && previous[host] == 0 {
@@ -137,17 +139,18 @@
 		previous = reads
 	}
 	if changes > 4 {
-		t.Errorf("%d of 8 joins changed the subset", changes)
+		t.Errorf("%d of 8 joins changed the subset, want at most 4", changes)
 	}
 }
 
-// Reads ask replicas of the subset for their position, and new hosts don't get health checks from every gateway.
+// Reads may ask only replicas of the subset for their position, and a new host must not get health checks from every
+// gateway.
 func TestOnlyTheSubsetGetsHealthChecks(t *testing.T) {
 	harness := newSubsetHarness(t, 2, func(s *Settings) {
 		s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, true
 	})
 	checked := map[string]bool{}
-	step := func(events ...Event) []Action { // answers health checks, and returns all actions
+	step := func(events ...Event) []Action { // answers health checks and returns all actions
 		harness.now += 50 * ms
 		var actions []Action
 		for _, action := range harness.router.Step(harness.now, events) {
@@ -168,11 +171,11 @@
 		}
 	}
 	if len(checked) == 0 || len(checked) > 3 {
-		t.Errorf("checked %v", checked)
+		t.Errorf("health checks of %v, want 1 to 3 hosts", checked)
 	}
 	clear(checked)
 	step(EndpointUpdate{Endpoints: []Endpoint{{ID: "new", State: StateReady}}})
 	if len(checked) > 0 {
-		t.Error("a new host gets a health check from every gateway")
+		t.Error("a new host got a health check although no read needs its position")
 	}
 }
--- a/routing/timer_test.go
+++ b/routing/timer_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Hundreds of Routers that are stepped for nothing cost more than their traffic: one that has nothing to do sets no
-// timer, one that waits for an answer sets one for when it is overdue and not before.
+// Needless Steps of hundreds of Routers would cost more than their traffic. A Router that has nothing to do must set
+// no timer, and one that waits for an answer must set a single timer for when the answer becomes overdue.
 func TestIdleRouterSetsNoTimer(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -22,14 +22,14 @@
 	}
 	for range 50 {
 		if set := timers(); len(set) > 0 {
-			t.Fatalf("an idle Router sets timers: %v", set)
+			t.Fatalf("an idle Router set timers %v, want none", set)
 		}
 	}
 	set := timers(newRequest(1, classAny, 2*time.Second))
 	if len(set) != 1 || set[0] < 100*ms {
-		t.Fatalf("with one attempt open it sets timers: %v", set)
+		t.Fatalf("with one open attempt the Router set timers %v, want one of at least 100 ms", set)
 	}
 	if set = timers(); len(set) > 0 {
-		t.Fatalf("it sets another: %v", set)
+		t.Fatalf("the Router set timers %v although one was pending, want none", set)
 	}
 }
