--- a/routing/admission.go
+++ b/routing/admission.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// adjustAdmissionGates adjusts the gates of the host's role after an attempt. An error or a lost connection
-// changes no gate. An outcome other than an answer in time counts only if this gateway had no other attempt
-// open at the host when it sent this one. Otherwise, its own concurrency may be the cause.
+// adjustAdmissionGates adjusts the gates for the host's role in all groups after an attempt. An error or a
+// lost connection changes no gate. An outcome other than an answer in time counts only if this gateway had
+// no other attempt open at the host when it sent this one. Otherwise, its own concurrency may be the cause.
 func (r *Router) adjustAdmissionGates(ended *attempt, outcome Outcome) {
 	latency := (r.now - ended.sentAt).Seconds()
 	objective := ended.request.class.LatencyObjective.Seconds()
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -105,7 +105,7 @@
 	if state != StateReady && host.State == StateReady {
 		host.drainNotifiedAt = update.effectiveNotifiedAt(r.now)
 	}
-	if state != StateGone { // for a host that is gone the last listed state is kept
+	if state != StateGone { // a host that is gone keeps its last value
 		host.listedAsDraining = state == StateDraining
 	}
 	host.State = state
--- a/routing/host.go
+++ b/routing/host.go
@@ -24,7 +24,7 @@
 	lag                 time.Duration // last known lag, if replicas check positions themselves; 0: not behind
 	lagKnownAt          time.Duration // when the lag was last observed
 	answeredAsReplicaAt Position      // current position when it last answered as a replica; 0: never
-	lastOutcomeAt       time.Duration // when an attempt last had an outcome from it; initially when it was added
+	lastOutcomeAt       time.Duration // last outcome of an attempt from it, or when it was added or included
 
 	openAttempts   []*attempt    // oldest first
 	recentFailures float64       // count of recent failures, which decays; see addFailure
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -93,8 +93,8 @@
 	return req.class.dedupWindowEnd(req.uncertainSince)
 }
 
-// dedupWindowEnd returns the clock time until which hosts drop repeats of a request whose first attempt
-// that may have run was sent at uncertainSince.
+// dedupWindowEnd returns the clock time until which hosts are certain to drop repeats of a request.
+// uncertainSince is when the first attempt that may have run was sent.
 func (c *Class) dedupWindowEnd(uncertainSince time.Duration) time.Duration {
 	margin := min(dedupWindowMargin, c.DedupWindow/dedupWindowMarginDivisor)
 	return uncertainSince + c.DedupWindow - margin
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -18,7 +18,7 @@
 	ConsistencyAny     Consistency = iota // any host may answer
 	ConsistencyBounded                    // at most Class.MaxStaleness old when the request is sent
 	ConsistencySession                    // includes all writes of the session
-	ConsistencyStrong                     // includes all writes before the request arrived
+	ConsistencyStrong                     // includes all writes committed before the request arrived
 	ConsistencyWrite                      // a write, which only the primary accepts
 )
 
@@ -83,7 +83,7 @@
 	MaxRetryAfter        time.Duration // longest RetryAfter that clients obey
 	MaxAttempts          int           // maximum number of attempts per request
 	DrainGrace           time.Duration // how long a draining primary may still get requests; see inService
-	UseUnlistedHosts     bool          // a host that is missing from the list but never drained stays in use
+	UseUnlistedHosts     bool          // a host missing from the list is used unless it was listed as draining
 	SlowStartMinShare    float64       // share of its capacity that a host is certain to have when it starts
 	SlowStartWindow      time.Duration // time in which that share grows linearly to the full capacity
 	OverloadMultiple     float64       // a warming host fails above this multiple of its capacity share
