--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTimesShrinkWithTheShortestObjective(t *testing.T) {
+func TestDurationsShrinkWithTheShortestObjective(t *testing.T) {
 	for _, test := range []struct{ shortestObjective, want time.Duration }{
 		{time.Second, 100 * ms},
 		{200 * ms, 100 * ms},
@@ -16,7 +16,7 @@
 				s.Classes[classSession].LatencyObjective = test.shortestObjective
 			})
 			if scaled := harness.router.scaleToObjective(100 * ms); scaled != test.want {
-				t.Errorf("100 ms become %v, want %v", scaled, test.want)
+				t.Errorf("100 ms scaled to %v, want %v", scaled, test.want)
 			}
 		})
 	}
