--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -119,7 +119,7 @@
 	})
 	t.Run("full buffers", func(t *testing.T) {
 		loop, echo, conn, done := newEcho(t)
-		loop.Notify(func() { loop.MaxBufferedBytes = 100 })
+		loop.Post(func() { loop.MaxBufferedBytes = 100 })
 		if _, err := conn.Write(make([]byte, 101)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -6,5 +6,5 @@
 // the caller's step function.
 //
 // Everything runs on the goroutine that calls Loop.Run, and all functions and methods must be called from it, except
-// Loop.Notify. Times are in milliseconds.
+// Loop.Post. Times are in milliseconds.
 package eventloop
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -34,7 +34,7 @@
 	OnDelay func(ms float64)
 
 	epollFD       int
-	wakeFD        int // an eventfd that Notify writes to
+	wakeFD        int // an eventfd that Post writes to
 	registrations map[int32]registration
 	generation    int32    // of the last registration
 	nextRound     []func() // to be called in the next round
@@ -67,8 +67,8 @@
 	return l, l.register(wakeFD, l, unix.EPOLLIN)
 }
 
-// Notify runs a function in the loop's next round. Any goroutine may call it.
-func (l *Loop) Notify(fn func()) {
+// Post runs a function in the loop's next round. Any goroutine may call it.
+func (l *Loop) Post(fn func()) {
 	l.postedMutex.Lock()
 	l.posted = append(l.posted, fn)
 	l.postedMutex.Unlock()
--- a/internal/protocol/httpd/httpd_test.go
+++ b/internal/protocol/httpd/httpd_test.go
@@ -50,7 +50,7 @@
 			t.Fatalf("request %d: %q, %v", i, got, err)
 		}
 	}
-	loop.Notify(func() { now += requestTimeoutMs })
+	loop.Post(func() { now += requestTimeoutMs })
 	for i, conn := range incomplete {
 		got, err := io.ReadAll(conn)
 		if i >= len(incomplete)-maxConnections/2 && (err != nil || !strings.Contains(string(got), " 408 ")) {
@@ -61,7 +61,7 @@
 		}
 		_ = conn.Close()
 	}
-	loop.Notify(loop.Stop)
+	loop.Post(loop.Stop)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -58,7 +58,7 @@
 // RequestsInFlight is how many requests have no final response yet; testkit's steps wait for it.
 func (g *runningGateway) RequestsInFlight() int {
 	count := make(chan int, 1)
-	g.loop.Notify(func() { count <- g.core.OpenRequests() })
+	g.loop.Post(func() { count <- g.core.OpenRequests() })
 	select {
 	case n := <-count:
 		return n
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -32,7 +32,7 @@
 	reloadWith := func(stateOfA string) {
 		t.Helper()
 		overwriteFile(t, path, fileText(player.Cluster, stateOfA))
-		g.loop.Notify(func() { g.reload(1) })
+		g.loop.Post(func() { g.reload(1) })
 	}
 	insert := func(key, host string) {
 		t.Helper()
@@ -68,7 +68,7 @@
 			"send "+id+" startup | query SELECT v FROM records WHERE k = 's' /* id="+id+",c=read,t=x,d=900,cluster=0 */",
 			"expect "+id+" R K Z T D C Z")
 	}
-	reload := func() { g.loop.Notify(func() { g.reload(maxReloadAttempts) }) }
+	reload := func() { g.loop.Post(func() { g.reload(maxReloadAttempts) }) }
 	polled := make(chan bool, 1)
 	newDiscovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		player.Cluster.ServeHTTP(w, r)
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -60,7 +60,7 @@
 	player := testkit.NewPlayer(t, func(tb testing.TB, cluster *testkit.Cluster) testkit.Gateway {
 		tb.Helper()
 		g := startExtended(tb, cluster).(*runningGateway)
-		g.loop.Notify(func() { g.clients.MaxClients = 3 })
+		g.loop.Post(func() { g.clients.MaxClients = 3 })
 		return g
 	}, "a", "b")
 	for i := range 10 {
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -21,7 +21,7 @@
 )
 
 // Stop starts a graceful shutdown; any goroutine may call it.
-func (s *Server) Stop() { s.loop.Notify(s.shutDown) }
+func (s *Server) Stop() { s.loop.Post(s.shutDown) }
 
 // shutDown starts a graceful shutdown: new clients are accepted for drainNoticeMs, then the gateway drains. Where a
 // sibling process may have taken over the listener the gateway drains at once.
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -199,7 +199,7 @@
 			} else {
 				g.start()
 				g.advance(1000)
-				g.loop.Notify(func() { g.reload(maxReloadAttempts) })
+				g.loop.Post(func() { g.reload(maxReloadAttempts) })
 				g.Stop()
 			}
 			g.advance(1000)
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -49,9 +49,9 @@
 	for {
 		select {
 		case <-signals.stop:
-			s.loop.Notify(s.shutDown)
+			s.loop.Post(s.shutDown)
 		case <-signals.reload:
-			s.loop.Notify(func() { s.reload(maxReloadAttempts) })
+			s.loop.Post(func() { s.reload(maxReloadAttempts) })
 		}
 	}
 }
