--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -36,7 +36,7 @@
 }
 
 // Adopt returns a connection on an accepted descriptor, which it closes on an error. SetHandler must follow. For
-// inputLimit see SetLimit.
+// inputLimit see SetInputLimit.
 func (l *Loop) Adopt(fd, inputLimit int) (*Conn, error) {
 	setNoDelay(fd)
 	conn := &Conn{loop: l, fd: fd, inputLimit: inputLimit, interest: unix.EPOLLIN}
@@ -48,7 +48,7 @@
 }
 
 // Dial starts to connect to an address. The handler's Connected or Ended follows in a later round. For inputLimit see
-// SetLimit.
+// SetInputLimit.
 func (l *Loop) Dial(addr string, inputLimit int, handler Handler) (*Conn, error) {
 	fd, sockaddr, err := newSocket(addr, unix.SOCK_STREAM)
 	if err != nil {
--- a/internal/eventloop/conn_read.go
+++ b/internal/eventloop/conn_read.go
@@ -23,8 +23,8 @@
 	c.updateInterest()
 }
 
-// SetLimit sets the input limit: nothing is read while In holds so many bytes.
-func (c *Conn) SetLimit(inputLimit int) {
+// SetInputLimit sets the input limit: nothing is read while In holds so many bytes.
+func (c *Conn) SetInputLimit(inputLimit int) {
 	c.inputLimit = inputLimit
 	c.updateInterest()
 }
--- a/internal/protocol/pg/row_stream.go
+++ b/internal/protocol/pg/row_stream.go
@@ -52,7 +52,7 @@
 		validator:    rowValidator{columnsLeft: columns, skip: rowHeaderSize},
 	}
 	c.response.Body = nil
-	c.conn.SetLimit(streamReadAheadBytes)
+	c.conn.SetInputLimit(streamReadAheadBytes)
 	return true, nil
 }
 
@@ -73,7 +73,7 @@
 	stream.validator.add(part[:forwarded])
 	stream.rowBytesLeft -= forwarded
 	if stream.rowBytesLeft == 0 {
-		c.conn.SetLimit(maxAnswerBytes)
+		c.conn.SetInputLimit(maxAnswerBytes)
 	}
 	c.conn.Consume(forwarded)
 	if stream.rowBytesLeft == 0 && !stream.validator.complete() {
