--- a/internal/eventloop/packet.go
+++ b/internal/eventloop/packet.go
@@ -16,8 +16,8 @@
 	receiveBufferBytes = 1 << 20
 )
 
-// Packet is a UDP socket that never blocks.
-type Packet struct {
+// PacketConn is a UDP socket that never blocks.
+type PacketConn struct {
 	loop    *Loop
 	fd      int // -1: closed
 	addr    netip.AddrPort
@@ -26,7 +26,7 @@
 
 // ListenPacket receives datagrams on an address. receive is called for each in the round in which it is read; its data
 // is valid during the call. The error names the address.
-func (l *Loop) ListenPacket(addr string, receive func(from netip.AddrPort, data []byte)) (*Packet, error) {
+func (l *Loop) ListenPacket(addr string, receive func(from netip.AddrPort, data []byte)) (*PacketConn, error) {
 	fd, sockaddr, err := newSocket(addr, unix.SOCK_DGRAM)
 	if err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 		closeFD(fd)
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	p := &Packet{loop: l, fd: fd, receive: receive}
+	p := &PacketConn{loop: l, fd: fd, receive: receive}
 	if p.addr, err = netip.ParseAddrPort(localAddr(fd)); err != nil {
 		closeFD(fd)
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
@@ -49,11 +49,11 @@
 }
 
 // Addr returns the address received on; its port is the real one where 0 was asked for.
-func (p *Packet) Addr() netip.AddrPort { return p.addr }
+func (p *PacketConn) Addr() netip.AddrPort { return p.addr }
 
 // ready handles the epoll events of the socket: it passes on the datagrams that have arrived, at most
 // maxPacketsPerRound. An error ends the round's receiving; the next event tries again.
-func (p *Packet) ready(uint32) {
+func (p *PacketConn) ready(uint32) {
 	for range maxPacketsPerRound {
 		if p.fd < 0 {
 			return
@@ -73,7 +73,7 @@
 
 // SendTo sends a datagram. It returns false where the datagram was dropped, as the system has no space for it now or no
 // route to the receiver.
-func (p *Packet) SendTo(to netip.AddrPort, data []byte) bool {
+func (p *PacketConn) SendTo(to netip.AddrPort, data []byte) bool {
 	if p.fd < 0 {
 		return false
 	}
@@ -81,7 +81,7 @@
 }
 
 // Close closes the socket; no further datagram is received.
-func (p *Packet) Close() {
+func (p *PacketConn) Close() {
 	if p.fd >= 0 {
 		p.loop.unregisterAndClose(p.fd)
 		p.fd = -1
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -34,7 +34,7 @@
 type Transport struct {
 	loop            *eventloop.Loop
 	log             *zap.Logger
-	socket          *eventloop.Packet
+	socket          *eventloop.PacketConn
 	allowedNetworks *netipx.IPSet // nil: all
 	sealer          *Sealer
 	replays         ReplayFilter
