--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -89,18 +89,18 @@
 // AcceptPending accepts the connections that wait, as many as are allowed in one round.
 func (ln *Listener) AcceptPending() { ln.acceptUpTo(maxAcceptsPerRound) }
 
-// DropNew has the system drop the packets that open connections, unless other processes have the socket too. Those whose
-// handshake has begun are still established and accepted.
-func (ln *Listener) DropNew() {
+// DropNewConnections has the system drop the packets that open connections, unless other processes have the socket too.
+// Those whose handshake has begun are still established and accepted.
+func (ln *Listener) DropNewConnections() {
 	if ln.fd >= 0 && !ln.shared {
 		dropNewConnections(ln.fd)
 	}
 }
 
 // AcceptAll accepts all connections that wait. Called before Close, it keeps those in the backlog from being reset. No
-// other handshake begins after it, as after DropNew, which is to be called so long before that those begun have ended.
+// other handshake begins after it, as after DropNewConnections, which is to be called so long before that those begun have ended.
 func (ln *Listener) AcceptAll() {
-	ln.DropNew()
+	ln.DropNewConnections()
 	ln.acceptUpTo(listenBacklog + 1)
 }
 
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -112,7 +112,7 @@
 			go func() { lost <- connectUntilRefused(listener.Addr()) }()
 		}
 		acceptFor(listener, 3*time.Millisecond)
-		listener.DropNew()
+		listener.DropNewConnections()
 		acceptFor(listener, 5*time.Millisecond)
 		listener.AcceptAll()
 		listener.Close()
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -41,7 +41,7 @@
 		s.drain()
 		return
 	}
-	s.loop.After(drainNoticeMs-handshakeMs, s.clientListener.DropNew)
+	s.loop.After(drainNoticeMs-handshakeMs, s.clientListener.DropNewConnections)
 	s.loop.After(drainNoticeMs, func() {
 		s.clientListener.AcceptAll()
 		s.drain()
