--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -52,10 +52,10 @@
 	return ln, nil
 }
 
-// ListenOn takes over a listening socket that was inherited as a descriptor and that other processes may have too. It
+// ListenFD takes over a listening socket that was inherited as a descriptor and that other processes may have too. It
 // accepts connections from StartAccepting on. accept and acceptFailed are as for Listen. It fails where the descriptor
 // is no listening socket; the descriptor stays open then.
-func (l *Loop) ListenOn(fd int, accept func(fd int), acceptFailed func(error)) (*Listener, error) {
+func (l *Loop) ListenFD(fd int, accept func(fd int), acceptFailed func(error)) (*Listener, error) {
 	if listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || listening == 0 {
 		return nil, fmt.Errorf("descriptor %d is no listening socket", fd)
 	}
@@ -72,7 +72,7 @@
 	return ln, nil
 }
 
-// StartAccepting lets a listener from ListenOn accept connections.
+// StartAccepting lets a listener from ListenFD accept connections.
 func (ln *Listener) StartAccepting() {
 	if !ln.accepting && ln.fd >= 0 {
 		ln.accepting = true
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -112,7 +112,7 @@
 		s.clientListener, err = s.loop.Listen(s.config.Listen, s.clients.Accept, s.onAcceptError)
 		return err
 	}
-	if s.clientListener, err = s.loop.ListenOn(s.config.ListenFD, s.clients.Accept, s.onAcceptError); err != nil {
+	if s.clientListener, err = s.loop.ListenFD(s.config.ListenFD, s.clients.Accept, s.onAcceptError); err != nil {
 		return &ConfigError{Key: listenFDVariable, Err: err}
 	}
 	s.awaitingTakeover = true
