--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -5,30 +5,30 @@
 	"merlinjunction/routing"
 )
 
-// minSendTimeLeftMs is the least time that an answer must have left for its command to be sent: with less, the command
-// would take up the host for an answer that comes after the client has given up.
+// minSendTimeLeftMs is the minimum time that a request must have left for its command to be sent. With less time left,
+// the command would load the host for an answer that arrives after the client has given up.
 const minSendTimeLeftMs = 1.0
 
-// hostAttempt is one sending of a command to a host: of a request, or a health check where request is nil.
+// hostAttempt is one attempt to run a command on a host, either for a request or, if request is nil, as a health check.
 type hostAttempt struct {
 	request *request
-	// number is the attempt's among the request's, from 0. The router counts them on its own side, in the same order:
-	// routing.CancelAttempt and routing.AttemptResult name an attempt by it.
+	// number is the index of the attempt among the attempts of its request, from 0. routing.CancelAttempt and
+	// routing.AttemptResult identify an attempt by it. The router counts the attempts itself, in the same order.
 	number int
 	host   *host
-	// conn is nil while the attempt waits for a connection. It stays set after the attempt has ended, when the connection
-	// may carry another one already: only the check of ended keeps abortAttempt from closing it then.
+	// conn is nil while the attempt waits for a connection. It stays set after the attempt has ended. The connection may
+	// then carry another attempt; abortAttempt doesn't close it only because it checks ended first.
 	conn         *pooledConn
-	sendBeforeMs float64 // it is not sent at or after this time; 0: there is no such time
-	// written: the last byte of the command was handed to the system, so it may run. An UpstreamConn may keep such a flag
-	// of its own for the command that is on it (pg.hostConn does); this one stays with the attempt.
+	sendBeforeMs float64 // the command is not sent at or after this time; 0: no such time
+	// written is set when the last byte of the command was handed to the system, so that the command may run. An
+	// UpstreamConn may have a similar flag for its current command (pg.hostConn does); this one belongs to the attempt.
 	written bool
 	ended   bool
-	timer   *eventloop.Timer // aborts it
+	timer   *eventloop.Timer // aborts the attempt
 }
 
-// startAttempt sends a request to the host that the router chose. The attempt ends as not sent where that would be
-// of no use any more.
+// startAttempt sends a request to the host that the router chose. The attempt ends as not sent if the host is unknown or
+// the request is finished or has expired.
 func (c *Core) startAttempt(action routing.Attempt) {
 	req := c.requests[action.Request]
 	if req == nil || req.openAttempt != nil {
@@ -38,8 +38,9 @@
 	req.attemptCount++
 	req.openAttempt = attempt
 	h := c.hosts[action.Host]
-	// The client may have left during this Step. After the expiry of the request nothing would end the attempt.
-	if h == nil || req.finished || c.Now() >= req.answerByMs {
+	// The client may have left during this Step. An attempt that starts after the expiry would not be ended by the expiry
+	// timer.
+	if h == nil || req.finished || c.Now() >= req.expiryMs {
 		c.finishAttempt(attempt, routing.OutcomeNotSent, Response{})
 		return
 	}
@@ -54,7 +55,7 @@
 	c.assignConn(attempt)
 }
 
-// cancelAttempt aborts an attempt that the router needs no more.
+// cancelAttempt aborts an attempt that the router cancels.
 func (c *Core) cancelAttempt(action routing.CancelAttempt) {
 	req := c.requests[action.Request]
 	if req != nil && req.openAttempt != nil && req.openAttempt.number == action.Attempt {
@@ -69,8 +70,9 @@
 	}
 }
 
-// abortAttempt ends an attempt from this side and closes its connection. No cancel request is sent: a host that has got
-// the command may still run it. The outcome of an attempt whose last byte was not written is NotSent: it can't run.
+// abortAttempt ends an attempt before its response and closes its connection. No cancel request is sent, so a host that
+// has received the command may still run it. A command whose last byte was not written can't run; the outcome of its
+// attempt is OutcomeNotSent.
 func (c *Core) abortAttempt(attempt *hostAttempt, outcome routing.Outcome) {
 	if attempt.ended {
 		return
@@ -84,10 +86,10 @@
 		attempt.host.removeWaiting(attempt)
 	}
 	c.finishAttempt(attempt, outcome, Response{})
-	attempt.host.dialIfNeeded() // others may have waited for its connection
+	attempt.host.dialIfNeeded() // other attempts may have waited for the connection
 }
 
-// finishAttempt ends an attempt, answers its request where the response is final, and passes the result to the router.
+// finishAttempt ends an attempt, answers its request if the response is final, and reports the result to the router.
 func (c *Core) finishAttempt(attempt *hostAttempt, outcome routing.Outcome, response Response) {
 	if attempt.ended {
 		return
@@ -126,7 +128,7 @@
 	req.Responder.Fail(response.Body)
 }
 
-// attemptResult returns the router's event of an attempt that ended.
+// attemptResult returns the event that reports the end of an attempt to the router.
 func (c *Core) attemptResult(attempt *hostAttempt, outcome routing.Outcome, response Response) routing.AttemptResult {
 	req := attempt.request
 	result := routing.AttemptResult{
@@ -144,7 +146,7 @@
 	if outcome == routing.OutcomeOK && result.Position == 0 && isWrite {
 		result.Position = c.position(c.Now()) // the position of the commit is unknown, but no later than now
 	}
-	if response.StatementError { // the fault of the statement: the host did its part, and nothing was written
+	if response.StatementError { // the error is in the statement: the host works, and nothing was written
 		result.Outcome = routing.OutcomeOK
 	}
 	return result
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -166,8 +166,8 @@
 			t.Error("sent for a client that has left")
 		}
 	}
-	if len(b.requests) != 0 || len(b.departed) != 0 {
-		t.Errorf("%d requests are kept, %d are departed", len(b.requests), len(b.departed))
+	if len(b.requests) != 0 || len(b.abandoned) != 0 {
+		t.Errorf("%d requests are kept, %d are departed", len(b.requests), len(b.abandoned))
 	}
 	const concurrencyLimit = 3 // of a host at first
 	for range concurrencyLimit {
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,27 +1,28 @@
-// Package proxy is the proxy core between the frontends, which speak to clients, and the database hosts.
+// Package proxy is the proxy core between the frontends, which serve the clients, and the database hosts.
 //
-// A frontend submits requests to the Core. The Core passes what happened as events to a routing.Router, which makes
-// every decision, and carries out the actions that come back: it starts and cancels attempts, sends health checks and
-// gives each request its final answer. The package knows no wire protocol: clients are behind Responder and Streamer,
-// hosts are behind Dialer and UpstreamConn.
+// A frontend submits requests to the Core. The Core reports events to a routing.Router, which makes every decision, and
+// executes the actions that the router returns: it starts and cancels attempts, sends health checks and gives each
+// request its final answer. The package is independent of wire protocols. Responder and Streamer represent a client,
+// Dialer and UpstreamConn represent a host.
 //
-// All calls and callbacks come from the goroutine of the event loop; nothing here is safe for concurrent use. Times
-// are in milliseconds of the clock of eventloop.Timers, except where a type says otherwise.
+// All calls and callbacks come from the goroutine of the event loop; nothing here is safe for concurrent use. Unless
+// stated otherwise, times are in milliseconds of the clock of eventloop.Timers.
 //
 // Ownership:
-//   - The Core owns each request from Submit until its final answer, and the record of it until no attempt is open.
-//   - A host holds the queue of attempts that wait for a connection, and its upstream connections (pooledConn) while no
-//     command is on them: in the list dialing until they are established, and in the list idle between two commands.
-//   - While an attempt or a health check runs on a connection, only its hostAttempt refers to it (hostAttempt.conn) and
-//     it is in no list. An attempt has at most one connection, from the time it is sent until its result.
+//   - The Core keeps a request from Submit until it has its final answer and no attempt of it is open.
+//   - A host holds the queue of attempts that wait for a connection. It also holds its upstream connections (pooledConn)
+//     that carry no command: the list dialing has those that are not yet established, and the list idle has those that
+//     are between two commands.
+//   - A connection that carries the command of an attempt or a health check is in no list. Only the hostAttempt refers
+//     to it (hostAttempt.conn). An attempt has at most one connection, from the time it is sent until its result.
 //     The exception is the known fault at assignConn: a connection that neither a list nor an attempt refers to.
-//   - The Core counts all connections (openConns). Only pooledConn.close takes one out of that count: at the connect
-//     timeout, while it is idle, at the abort of the attempt on it, when it is released to a host that is gone, or
-//     after its host has ended it.
+//   - The Core counts all connections (openConns). Only pooledConn.close decrements that count. It is called at the
+//     connect timeout, for an idle connection, when the attempt on the connection is aborted, when the connection is
+//     released to a host that is gone, and after the host has closed the connection.
 //
 // Invariants:
 //   - A request gets at most one final answer, and has at most one open attempt.
-//   - The router learns the result of each attempt exactly once.
-//   - An attempt whose last byte was not handed to the system can't have run; its outcome says so.
-//   - What happens to several hosts at one time happens in the order of their IDs, so that one seed gives one run.
+//   - The router gets the result of each attempt exactly once.
+//   - An attempt whose last byte was not handed to the system can't have run, and its outcome is one that says so.
+//   - An operation on several hosts processes them in the order of their IDs, so that runs with the same seed are equal.
 package proxy
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -2,18 +2,19 @@
 
 import "merlinjunction/routing"
 
-// drainGraceMarginMs is how long before the end of a drain grace period the last command is sent, so that it arrives
-// in time.
+// drainGraceMarginMs is the time before the end of a drain grace period from which no command is sent, so that the last
+// command arrives in time.
 const drainGraceMarginMs = 20.0
 
-// UpdateHosts takes in the complete endpoint list (full), or changes of it, as notified now.
+// UpdateHosts applies an endpoint update that counts as notified now. The list is complete if full is set, otherwise it
+// contains changes only.
 func (c *Core) UpdateHosts(full bool, list []Host) { c.UpdateHostsNotifiedAt(full, list, c.Now()) }
 
-// UpdateHostsNotifiedAt takes in the complete endpoint list (full), or changes of it, that count as notified since a
-// time in milliseconds. A host that is listed as draining or gone gets no command once the drain grace period from
-// that time is over.
+// UpdateHostsNotifiedAt applies an endpoint update that counts as notified at notifiedAtMs. The list is complete if full
+// is set, otherwise it contains changes only. The drain grace period of a host that is listed as draining or gone starts
+// at notifiedAtMs; once it is over, the host gets no command.
 func (c *Core) UpdateHostsNotifiedAt(full bool, list []Host, notifiedAtMs float64) {
-	notifiedAtMs = max(1, min(notifiedAtMs, c.Now())) // 0 stands for a host that is ready
+	notifiedAtMs = max(1, min(notifiedAtMs, c.Now())) // drainingSinceMs is 0 for a ready host
 	update := routing.EndpointUpdate{Full: full, NotifiedAt: toDuration(notifiedAtMs)}
 	listed := map[string]bool{}
 	for _, entry := range list {
@@ -33,7 +34,7 @@
 	c.events = append(c.events, update)
 }
 
-// applyEntry takes in one entry of the endpoint list.
+// applyEntry applies one entry of the endpoint list.
 func (c *Core) applyEntry(entry Host, notifiedAtMs float64) {
 	h := c.hosts[entry.ID]
 	added := h == nil
@@ -44,7 +45,7 @@
 		h = &host{core: c}
 		c.hosts[entry.ID] = h
 	}
-	if h.Address != entry.Address || h.StartedAt != entry.StartedAt { // idle connections lead to an earlier process
+	if h.Address != entry.Address || h.StartedAt != entry.StartedAt { // idle connections are to an earlier process
 		h.closeIdle()
 	}
 	if h.Address != entry.Address {
@@ -57,8 +58,8 @@
 	}
 }
 
-// applyListedState notes since when the host is draining or gone, closes connections that no request will use, and
-// dials for the attempts that waited for one of these.
+// applyListedState sets drainingSinceMs, closes the idle connections of a host that is gone, and dials for the attempts
+// that waited for a closed connection.
 func (h *host) applyListedState(notifiedAtMs float64) {
 	switch {
 	case h.State == routing.StateReady:
@@ -72,8 +73,8 @@
 	h.dialIfNeeded()
 }
 
-// drainGraceOver returns whether the drain grace period of a draining, gone or excluded host is over: no command may
-// be sent to it any more. The router checks that when it starts an attempt; this check is for a connection that is
+// drainGraceOver returns whether the drain grace period of a draining, gone or excluded host is over, so that no command
+// may be sent to it. The router checks that when it starts an attempt. This second check covers a connection that is
 // established later.
 func (h *host) drainGraceOver() bool {
 	core := h.core
--- a/internal/proxy/exclusion.go
+++ b/internal/proxy/exclusion.go
@@ -2,8 +2,9 @@
 
 import "merlinjunction/routing"
 
-// Exclude takes a host out of use by an operator's order, from a time in milliseconds on, until Include. It holds over
-// restarts of the host and whatever the endpoint list says. Exclude returns false where the host is unknown.
+// Exclude excludes a host on an operator's request, from a time in milliseconds until Include is called. The exclusion
+// stays in effect when the host restarts, and regardless of the host's state in the endpoint list. Exclude returns false
+// if the host is unknown.
 func (c *Core) Exclude(id string, sinceMs float64) bool {
 	if !c.knowsHost(id) {
 		return false
@@ -12,7 +13,8 @@
 	return true
 }
 
-// RestoreExclusion excludes a host that the endpoint list need not name yet. Of two times the earlier one counts.
+// RestoreExclusion excludes a host, whether or not the endpoint list contains it. If the host is already excluded, the
+// earlier of the two times applies.
 func (c *Core) RestoreExclusion(id string, sinceMs float64) {
 	if current, excluded := c.exclusions[id]; !excluded || sinceMs < current {
 		c.exclusions[id] = sinceMs
@@ -20,7 +22,7 @@
 	}
 }
 
-// Include ends the exclusion of a host. It returns false where the host is unknown.
+// Include ends the exclusion of a host. It returns false if the host is unknown.
 func (c *Core) Include(id string) bool {
 	known := c.knowsHost(id)
 	if _, excluded := c.exclusions[id]; excluded {
@@ -30,8 +32,8 @@
 	return known
 }
 
-// Exclusions returns the hosts that are excluded by hand, and since when in milliseconds. The caller must not change
-// the map.
+// Exclusions returns, for each host that an operator has excluded, the time of the exclusion in milliseconds. The caller
+// must not change the map.
 func (c *Core) Exclusions() map[string]float64 { return c.exclusions }
 
 // knowsHost returns whether a host is in the endpoint list or excluded.
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -3,15 +3,15 @@
 import "merlinjunction/routing"
 
 const (
-	// healthCheckTimeoutMs is how long a host has for its answer.
+	// healthCheckTimeoutMs is the time after which an unanswered health check is aborted.
 	healthCheckTimeoutMs = 250.0
-	// healthCheckGapMs is the least time between two health checks of a host, by whichever gateways.
+	// healthCheckGapMs is the minimum average time between two health checks of a host by all gateways together.
 	healthCheckGapMs = 10.0
 )
 
-// checkAllHosts asks all eligible hosts for their roles, and again after an interval that grows with the number of
-// gateways. The router looks for an unknown primary by sending writes; without these health checks a group that only
-// gets reads would have no known primary, and all reads that need it would be rejected.
+// checkAllHosts sends a health check to all eligible hosts to learn their roles. It runs again after an interval that
+// grows with the number of gateways. The router discovers an unknown primary by sending writes. Without these health
+// checks a group that gets only reads would have no known primary, and all reads that need the primary would be rejected.
 func (c *Core) checkAllHosts() {
 	if !c.healthChecksEnabled() {
 		return
@@ -22,7 +22,7 @@
 	c.timers.After(c.schedule.Interval(c.limits.HealthCheckIntervalMs, healthCheckGapMs), c.checkAllHosts)
 }
 
-// checkNewHost asks a host that was added to the endpoint list for its role.
+// checkNewHost sends a health check to a host that was added to the endpoint list.
 func (c *Core) checkNewHost(h *host) {
 	if c.healthChecksEnabled() {
 		c.checkIfEligible(h)
@@ -63,7 +63,7 @@
 		}
 	}
 	if result.Role == routing.RolePrimary && result.Position == 0 {
-		result.Position = c.position(c.Now()) // a primary has all commits
+		result.Position = c.position(c.Now()) // a primary has all commits, so its position is the current time
 	}
 	c.events = append(c.events, result)
 }
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -14,21 +14,21 @@
 	Address string
 }
 
-// host is a database host with its upstream connections and the attempts that wait for one. A connection is in idle,
-// in dialing, or carries an attempt.
+// host is a database host with its upstream connections and the attempts that wait for a connection. A connection is
+// either in the list idle, or in the list dialing, or it carries an attempt.
 type host struct {
 	Host
 	core            *Core
-	drainingSinceMs float64        // when it was listed as draining or gone; 0: it is ready
-	idle            []*pooledConn  // the most recently used last
+	drainingSinceMs float64        // time since which the host is listed as draining or gone; 0: it is ready
+	idle            []*pooledConn  // ordered by last use, the most recently used last
 	dialing         []*pooledConn  // not yet established
-	waiting         []*hostAttempt // for a connection, oldest first
-	openConns       int            // idle, dialing, or with an attempt
-	awaitsRelease   bool           // the limit was reached: attempts wait for connections that others use
-	connectFailed   bool           // the last connection to it was not established
+	waiting         []*hostAttempt // attempts that wait for a connection, oldest first
+	openConns       int            // number of connections that are idle, being dialed or carry an attempt
+	awaitsRelease   bool           // Limits.MaxConns is reached, and attempts wait for connections in use
+	connectFailed   bool           // the last connection attempt to the host failed
 }
 
-// isEligible returns whether the host is listed as ready and not excluded by hand.
+// isEligible returns whether the host is listed as ready and not excluded by an operator.
 func (h *host) isEligible() bool {
 	_, excluded := h.core.exclusions[h.ID]
 	return h.State == routing.StateReady && !excluded
@@ -37,7 +37,7 @@
 // isRemovable returns whether the host has no connection and no attempt that waits for one.
 func (h *host) isRemovable() bool { return h.openConns == 0 && len(h.waiting) == 0 }
 
-// sortedHosts returns all hosts by ID, so that what happens to several at one time happens in a fixed order.
+// sortedHosts returns all hosts ordered by ID, so that operations on several hosts process them in a fixed order.
 func (c *Core) sortedHosts() []*host {
 	return slices.SortedFunc(maps.Values(c.hosts), func(a, b *host) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// settlePeriodMs is how long a connection gets no command after a response. A host may close a connection right
-	// after its response, or send bytes beyond it: a command that crosses that would be lost, or take those bytes
-	// for its response.
+	// settlePeriodMs is the time after a response during which a connection gets no command. A host may close a
+	// connection right after its response, or send further bytes after it. A command sent at that moment would be lost,
+	// or would get those bytes as its response.
 	settlePeriodMs = 2.0
-	// idleRetireShare is the share of Limits.HostIdleTimeoutMs after which an idle connection is closed. A command
-	// that is written to a connection that the host is closing fails, and might have run.
+	// idleRetireShare is the share of Limits.HostIdleTimeoutMs after which an idle connection is closed. A command that
+	// is written to a connection while the host closes it fails, and it is unknown whether the command ran.
 	idleRetireShare = 0.5
 	// maintainIntervalMs is the time between two runs of maintainConns.
 	maintainIntervalMs = 500.0
 )
 
-// errConnectionLimit means that Limits.MaxConns is reached and no connection is idle but those that attempts wait for.
+// errConnectionLimit is returned when Limits.MaxConns is reached and attempts wait for all idle connections.
 var errConnectionLimit = errors.New("all connections to hosts are in use")
 
-// assignConn sends an attempt on an idle connection, or lets it wait for the next one that is free. Attempts that wait
-// already go first.
+// assignConn sends an attempt on an idle connection, or queues it until a connection is free. Attempts that already wait
+// are sent first.
 func (c *Core) assignConn(attempt *hostAttempt) {
 	h := attempt.host
 	h.waiting = append(h.waiting, attempt)
@@ -39,7 +39,8 @@
 	h.dialIfNeeded()
 }
 
-// takeSettled takes the most recently used idle connection whose settle period is over; nil where there is none.
+// takeSettled removes the most recently used idle connection whose settle period is over from the list idle and returns
+// it. It returns nil if there is none.
 func (h *host) takeSettled() *pooledConn {
 	now := h.core.Now()
 	for i := len(h.idle) - 1; i >= 0; i-- {
@@ -63,14 +64,15 @@
 	}
 }
 
-// takeOldestWaiting takes the attempt that has waited longest; there has to be one.
+// takeOldestWaiting removes the attempt that has waited longest from the queue and returns it. The queue must not be
+// empty.
 func (h *host) takeOldestWaiting() *hostAttempt {
 	oldest := h.waiting[0]
 	h.waiting = h.waiting[1:]
 	return oldest
 }
 
-// removeWaiting removes an attempt that has ended. A connection that was dialed for it serves the next one.
+// removeWaiting removes an attempt from the queue. A connection that was dialed for it serves the next attempt.
 func (h *host) removeWaiting(attempt *hostAttempt) {
 	h.waiting = slices.DeleteFunc(h.waiting, func(other *hostAttempt) bool { return other == attempt })
 }
@@ -78,9 +80,9 @@
 // needsConn returns whether more attempts wait than connections are idle or being dialed.
 func (h *host) needsConn() bool { return len(h.dialing)+len(h.idle) < len(h.waiting) }
 
-// dialIfNeeded dials a connection for each attempt that needs one. Where Limits.MaxConns is reached the attempts wait for
-// the connections to the host that are open; without one, or where a connection can't be dialed, those that came last
-// end. The gateway's own limit is no failure of the host.
+// dialIfNeeded dials a connection for each waiting attempt that needs one. If Limits.MaxConns is reached, the attempts
+// wait for the open connections to the host. If the host has no open connection, or if dialing fails, the most recently
+// queued attempts end. At the limit they end as not sent, as the gateway's own limit is not a failure of the host.
 func (h *host) dialIfNeeded() {
 	h.awaitsRelease = false
 	for h.needsConn() {
@@ -103,8 +105,8 @@
 	}
 }
 
-// dial starts to establish a connection. The error is errConnectionLimit or the Dialer's. The connect timeout is not
-// logged, while pooledConn.ConnectionClosed logs a failed connection at level Debug.
+// dial starts to establish a connection. It returns errConnectionLimit or an error of the Dialer. The connect timeout is
+// not logged; a connection that fails earlier is logged by pooledConn.ConnectionClosed at level Debug.
 func (h *host) dial() error {
 	core := h.core
 	if core.openConns >= core.limits.MaxConns && !core.closeOldestIdle() {
@@ -126,8 +128,9 @@
 	return nil
 }
 
-// connectionFailed notes that a connection was not established, and ends the attempt that has waited longest where no
-// other connection is on its way for it. Others may have waited for the same connection, at the limit: it dials for them.
+// connectionFailed handles a connection that was not established. It ends the attempt that has waited longest if fewer
+// connections are idle or being dialed than attempts wait. At the connection limit further attempts may have waited for
+// the same connection, so connectionFailed dials for them.
 func (h *host) connectionFailed() {
 	h.connectFailed = true
 	if h.needsConn() {
@@ -139,15 +142,17 @@
 // closeIdle closes all idle connections.
 func (h *host) closeIdle() { closeAll(h.idle) }
 
-// closeAll closes the connections of a list that each leaves when it is closed.
+// closeAll closes the connections of a list. It iterates over a copy, as each connection removes itself from the list
+// when it is closed.
 func closeAll(list []*pooledConn) {
 	for _, conn := range slices.Clone(list) {
 		conn.close()
 	}
 }
 
-// closeOldestIdle closes the connection that has been idle longest, of all hosts where no attempt waits for it; of
-// several the one of the first host by ID. It returns false where there is none.
+// closeOldestIdle closes the connection that has been idle longest among the hosts that have more connections idle or
+// being dialed than attempts waiting. If several connections have been idle equally long, it closes the one of the first
+// host by ID. It returns false if there is no such connection.
 func (c *Core) closeOldestIdle() bool {
 	var oldest *pooledConn
 	for _, h := range c.hosts {
@@ -165,8 +170,8 @@
 	return true
 }
 
-// maintainConns closes connections that have been idle for too long and, while the Core isn't ready, dials the eligible
-// hosts. It runs again after maintainIntervalMs.
+// maintainConns closes connections that have been idle for too long. While the Core isn't ready, it also dials the
+// eligible hosts. It runs again after maintainIntervalMs.
 func (c *Core) maintainConns() {
 	c.retireIdle()
 	if !c.Ready() {
@@ -185,12 +190,12 @@
 	}
 }
 
-// redialHosts dials the eligible hosts to find out whether they are back. While the Core isn't ready no request may
-// come that would do so.
+// redialHosts dials the eligible hosts to find out whether they are reachable again. While the Core isn't ready, there
+// may be no request that would dial them.
 func (c *Core) redialHosts() {
 	for _, h := range c.sortedHosts() {
 		if h.isEligible() && len(h.dialing) == 0 {
-			_ = h.dial() // tried again by the next maintainConns
+			_ = h.dial() // retried by the next maintainConns
 		}
 	}
 }
--- a/internal/proxy/pooled_conn.go
+++ b/internal/proxy/pooled_conn.go
@@ -12,19 +12,20 @@
 // pooledConn is an upstream connection in a host's pool, and the UpstreamHandler of its UpstreamConn.
 type pooledConn struct {
 	host         *host
-	address      string // that was dialed; the host may have moved since
+	address      string // address that was dialed; the address of the host may have changed since
 	upstream     UpstreamConn
 	established  bool
 	closed       bool
-	attempt      *hostAttempt     // whose command is on it; nil while it is dialed or idle
-	connectTimer *eventloop.Timer // ends an attempt to connect
+	attempt      *hostAttempt     // attempt whose command the connection carries; nil while it is dialed or idle
+	connectTimer *eventloop.Timer // closes the connection at the connect timeout
 	idleSinceMs  float64
-	settledAtMs  float64 // it gets no command before
+	settledAtMs  float64 // end of the settle period; the connection gets no command before
 }
 
-// sendIfAllowed sends an attempt on an idle connection. Since the router started the attempt it may have waited for the
-// connection, so what allows it is checked again. Where it isn't allowed any more, the connection goes back to the pool
-// and the attempt ends with OutcomeNotSent.
+// sendIfAllowed sends an attempt on a connection that was taken from the pool. The attempt may have waited for the
+// connection since the router started it, so sendIfAllowed checks again whether it may be sent: the drain grace period of
+// the host and the send time of the attempt must not be over, and enough time must be left for the answer. Otherwise the
+// connection is returned to the pool and the attempt ends with OutcomeNotSent.
 func (p *pooledConn) sendIfAllowed(attempt *hostAttempt) {
 	core := p.host.core
 	timeLeftMs := healthCheckTimeoutMs
@@ -43,9 +44,9 @@
 	p.upstream.Send(command, timeLeftMs)
 }
 
-// release makes the connection idle. Where attempts wait, serveWaiting runs after the settle period; it serves them in
-// their order, with whichever idle connection is settled then. A connection to a host that is gone is closed where no
-// attempt waits, and one to an earlier address of its host in any case.
+// release returns the connection to the pool. If attempts wait, serveWaiting runs after the settle period and serves them
+// in order, on any idle connections whose settle period is over by then. A connection to an earlier address of its host
+// is closed instead, and so is a connection to a host that is gone if no attempt waits.
 func (p *pooledConn) release(settleMs float64) {
 	h := p.host
 	p.attempt = nil
@@ -85,7 +86,7 @@
 	return slices.DeleteFunc(list, func(other *pooledConn) bool { return other == conn })
 }
 
-// idleLongerThan orders idle connections by the time since when they are idle, then by host.
+// idleLongerThan returns whether the connection became idle before another one, or at the same time with a lower host ID.
 func (p *pooledConn) idleLongerThan(other *pooledConn) bool {
 	if p.idleSinceMs != other.idleSinceMs {
 		return p.idleSinceMs < other.idleSinceMs
@@ -93,8 +94,8 @@
 	return p.host.ID < other.host.ID
 }
 
-// Established makes the connection available to attempts. It calls serveWaiting itself, so that they are sent at once:
-// release only sets a timer for that.
+// Established makes the connection available to attempts. It calls serveWaiting so that waiting attempts are sent at
+// once, as release only sets a timer for that.
 func (p *pooledConn) Established() {
 	h := p.host
 	p.established, h.connectFailed = true, false
@@ -104,7 +105,7 @@
 	h.serveWaiting()
 }
 
-// RequestWritten notes that the command may run from now on.
+// RequestWritten marks the attempt as written: its command may run from now on.
 func (p *pooledConn) RequestWritten() {
 	attempt := p.attempt
 	if attempt == nil {
@@ -116,8 +117,8 @@
 	}
 }
 
-// ResponseReceived ends the attempt with the host's response and frees the connection. It ignores one that comes after
-// the connection was closed.
+// ResponseReceived ends the attempt with the host's response and releases the connection. It ignores a response that
+// arrives after the connection was closed.
 func (p *pooledConn) ResponseReceived(response Response) {
 	attempt := p.attempt
 	if attempt == nil || p.closed {
@@ -132,7 +133,8 @@
 	p.release(settlePeriodMs)
 }
 
-// ConnectionClosed ends the attempt on the connection. One whose command was completely written may have run.
+// ConnectionClosed ends the attempt on the connection. The outcome is OutcomeConnectionLost if the command was completely
+// written and so may have run, otherwise OutcomeNoConnection.
 func (p *pooledConn) ConnectionClosed(err error) {
 	attempt := p.attempt
 	p.close()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -9,58 +9,60 @@
 
 // Responder receives the one final answer to a request.
 type Responder interface {
-	// Succeed passes on a host's answer; of a streamed one the body is the rest.
+	// Succeed passes on a host's answer. If the answer was streamed, the body is the part that was not streamed yet.
 	Succeed(body []byte)
-	// Reject says that the request was not answered and that repeating it is safe: it did not run, or is idempotent, or
-	// every group drops repeats of its key. The client may retry after retryAfterMs; 0: no hint is given.
+	// Reject reports that the request was not answered and that repeating it is safe: the request did not run, or it is
+	// idempotent, or every group drops repeats of its key. The client may retry after retryAfterMs; 0: no hint is given.
 	Reject(retryAfterMs float64)
-	// Fail promises nothing. The body is a host's own error, or nil where no host answered with one.
+	// Fail reports a failure and doesn't say whether the request ran or whether repeating it is safe. The body is the
+	// error that a host answered with, or nil if no host answered with an error.
 	Fail(body []byte)
 }
 
 // Request is a client's request as a frontend submits it.
 type Request struct {
-	Class, Tenant int     // indices in the settings; a tenant of -1: none
-	Group         int     // the group whose hosts may serve it
-	Session       string  // "" where it belongs to none
-	TimeLeftMs    float64 // until the client gives up
-	ClientRetry   bool    // the client has sent it before
-	Command       any     // for UpstreamConn.Send
+	Class, Tenant int     // indices in the settings; tenant -1: no tenant
+	Group         int     // group whose hosts may serve the request
+	Session       string  // session of the request; "" if it belongs to none
+	TimeLeftMs    float64 // time until the client gives up
+	ClientRetry   bool    // the client has sent the request before
+	Command       any     // passed to UpstreamConn.Send
 	Responder     Responder
 }
 
-// The final answer goes out a little before the client gives up, so that it arrives in time.
+// The final answer is sent a short margin before the client gives up, so that it arrives in time. The margin is the
+// lesser of the two values.
 const (
-	answerMarginMs    = 5.0 // the margin, at most
-	answerMarginShare = 0.1 // the margin as a share of the request's time, where that is less
+	answerMarginMs    = 5.0 // in milliseconds
+	answerMarginShare = 0.1 // as a share of the request's TimeLeftMs
 )
 
 const (
-	// lateExpiryMs is how late the expiry of a request may be handled before that is logged. It is as long as
-	// answerMarginMs: where the expiry is handled later, the final answer goes out after the client has given up.
+	// lateExpiryMs is the delay in handling the expiry of a request above which the delay is logged. It is equal to
+	// answerMarginMs: after a longer delay, the final answer is sent after the client has given up.
 	lateExpiryMs = 5.0
-	// missingAnswerDelayMs is how long after the expiry of a request a missing answer is logged. The delay leaves time for
+	// missingAnswerDelayMs is the time from the expiry of a request until a missing answer is logged. It leaves time for
 	// the Step that follows the expiry, in which the router decides on the final answer.
 	missingAnswerDelayMs = 20.0
 )
 
-// request is a request that was accepted, until it is finished and no attempt of it is open.
+// request is an accepted request. It is kept until it is finished and no attempt of it is open.
 type request struct {
 	Request
 	id            uint64
-	deadlineMs    float64 // the client gives up then
-	answerByMs    float64 // the open attempt is aborted then, so that the final answer is out by the deadline
+	deadlineMs    float64 // time at which the client gives up
+	expiryMs      float64 // the open attempt is aborted at this time, so that the final answer is sent by the deadline
 	expiryTimer   *eventloop.Timer
-	finished      bool // it has its final answer, or its client is gone
+	finished      bool // the request has its final answer, or its client is gone
 	attemptCount  int
 	openAttempt   *hostAttempt
-	stream        Streamer // takes the streamed answer, which has begun; no deadline and no retry from then on
-	lastPartMs    float64  // when the last part of the streamed answer moved
-	lastErrorBody []byte   // of the last host that answered with an error
+	stream        Streamer // set once a streamed answer has begun; from then on there is no deadline and no retry
+	lastPartMs    float64  // time at which the last part of the streamed answer was forwarded
+	lastErrorBody []byte   // body of the last answer that was an error
 }
 
-// Submit accepts a request and returns its ID. It returns false where the frontend has to reject the request: too
-// many are held, or no time is left.
+// Submit accepts a request and returns its ID. It returns false if Limits.MaxRequests is reached or the request has no
+// time left. The frontend must then reject the request itself.
 func (c *Core) Submit(submitted Request) (uint64, bool) {
 	if c.finalDeadlineMs > 0 {
 		submitted.TimeLeftMs = min(submitted.TimeLeftMs, c.finalDeadlineMs-c.Now())
@@ -72,8 +74,8 @@
 	c.lastID++
 	req := &request{Request: submitted, id: c.lastID, deadlineMs: c.Now() + submitted.TimeLeftMs}
 	c.requests[req.id] = req
-	req.answerByMs = req.deadlineMs - min(answerMarginMs, answerMarginShare*submitted.TimeLeftMs)
-	req.expiryTimer = c.timers.At(req.answerByMs, func() { c.expire(req) })
+	req.expiryMs = req.deadlineMs - min(answerMarginMs, answerMarginShare*submitted.TimeLeftMs)
+	req.expiryTimer = c.timers.At(req.expiryMs, func() { c.expire(req) })
 	c.events = append(c.events, routing.Request{
 		ID: req.id, Class: submitted.Class, Tenant: submitted.Tenant, Group: submitted.Group, Session: submitted.Session,
 		TimeLeft: toDuration(submitted.TimeLeftMs), ClientRetry: submitted.ClientRetry,
@@ -81,14 +83,14 @@
 	return req.id, true
 }
 
-// SetFinalDeadline bounds the time of all requests that are submitted from now on: the program exits at that time,
-// and a request that is unanswered then never gets an answer. During a graceful shutdown requests still arrive on
-// connections that stay open because another request is in flight on them.
+// SetFinalDeadline sets the time at which the program exits, as the latest deadline of all requests that are submitted
+// from now on. A request that is unanswered at that time never gets an answer. During a graceful shutdown requests still
+// arrive on connections that stay open because another request is in flight on them.
 func (c *Core) SetFinalDeadline(atMs float64) { c.finalDeadlineMs = atMs }
 
-// ClientGone notes that a request's client has left. An attempt that was written stays open: it may run, and its
-// result is of use to the router. One that was not, because it waits for a connection or is partly written, ends as
-// not sent. An attempt whose answer is being streamed ends as cancelled, as nobody takes the rest.
+// ClientGone ends a request whose client has left. An attempt that was completely written stays open: it may run, and
+// the router uses its result. An attempt that waits for a connection or is partly written ends as not sent. An attempt
+// whose answer is being streamed ends as cancelled, as there is no receiver for the rest.
 func (c *Core) ClientGone(id uint64) {
 	req := c.requests[id]
 	if req == nil || req.finished {
@@ -99,14 +101,14 @@
 	if open := req.openAttempt; open != nil && (!open.written || req.stream != nil) {
 		c.abortAttempt(open, routing.OutcomeCancelled)
 	}
-	if c.stepping { // an attempt of it may be among the actions still to come, and needs its result
-		c.departed = append(c.departed, req)
+	if c.stepping { // the remaining actions may start an attempt of the request, which then needs its result
+		c.abandoned = append(c.abandoned, req)
 		return
 	}
 	c.removeIfDone(req)
 }
 
-// CancelRequest ends a request at its client's wish, without a call of its Responder: the frontend answers the client
+// CancelRequest ends a request that its client cancelled, without calling its Responder: the frontend answers the client
 // itself. An open attempt is aborted, written or not.
 func (c *Core) CancelRequest(id uint64) {
 	req := c.requests[id]
@@ -116,7 +118,7 @@
 	}
 }
 
-// rejectRequest gives the final answer that the request was not answered and that repeating it is safe.
+// rejectRequest calls Responder.Reject as the final answer, unless the request is finished.
 func (c *Core) rejectRequest(action routing.Reject) {
 	req := c.finishRequest(action.Request)
 	if req == nil {
@@ -126,7 +128,7 @@
 	req.Responder.Reject(toMs(action.RetryAfter))
 }
 
-// failRequest gives the final answer that promises nothing.
+// failRequest calls Responder.Fail as the final answer, unless the request is finished.
 func (c *Core) failRequest(action routing.Fail) {
 	req := c.finishRequest(action.Request)
 	if req == nil {
@@ -136,8 +138,8 @@
 	req.Responder.Fail(req.lastErrorBody)
 }
 
-// finishRequest marks a request as finished and returns it; nil where it was finished before. The caller passes the
-// final answer to the client.
+// finishRequest marks a request as finished and returns it, for the caller to give the final answer. It returns nil if
+// the request is unknown or was finished before.
 func (c *Core) finishRequest(id uint64) *request {
 	req := c.requests[id]
 	if req == nil || req.finished {
@@ -156,12 +158,12 @@
 	}
 }
 
-// removeDeparted removes the requests whose clients left during the Step.
-func (c *Core) removeDeparted() {
-	for _, req := range c.departed {
+// removeAbandoned removes the requests whose clients left during the Step and that have no open attempt.
+func (c *Core) removeAbandoned() {
+	for _, req := range c.abandoned {
 		c.removeIfDone(req)
 	}
-	c.departed = c.departed[:0]
+	c.abandoned = c.abandoned[:0]
 }
 
 // expire aborts the open attempt when the final answer is due; the router then decides on that answer.
@@ -169,7 +171,7 @@
 	if req.openAttempt != nil {
 		c.abortAttempt(req.openAttempt, routing.OutcomeTimeout)
 	}
-	if lateMs := c.Now() - req.answerByMs; lateMs > lateExpiryMs {
+	if lateMs := c.Now() - req.expiryMs; lateMs > lateExpiryMs {
 		c.log.Warn("request expiry was handled late", zap.Float64("late_ms", lateMs))
 	}
 	if !req.finished {
@@ -177,7 +179,7 @@
 	}
 }
 
-// logMissingAnswer logs a request that expired and still has no final answer, which is a fault of this program.
+// logMissingAnswer logs a request that expired and still has no final answer, which is a bug of this program.
 func (c *Core) logMissingAnswer(req *request) {
 	if req.finished {
 		return
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -6,23 +6,24 @@
 	"merlinjunction/routing"
 )
 
-// Streamer is a Responder that can take a large answer in parts, as they arrive. Succeed with the rest of the answer,
-// or AbortStream, ends a stream.
+// Streamer is a Responder that can forward a large answer in parts, as they arrive. A stream ends with a call of Succeed,
+// which gets the rest of the answer, or of AbortStream.
 type Streamer interface {
-	// BeginStream returns whether the answer is taken in parts; false: Succeed gets it complete. After StreamPart has
-	// taken less than all it got, resume is to be called when more can be taken.
+	// BeginStream returns whether the answer is to be passed in parts. If it returns false, Succeed gets the complete
+	// answer. After a call of StreamPart that accepted fewer bytes than it got, the Streamer calls resume when it can
+	// accept more.
 	BeginStream(resume func()) bool
-	// StreamPart passes on a part and returns how many of its bytes were taken.
+	// StreamPart forwards a part and returns how many of its bytes were accepted.
 	StreamPart(part []byte) int
-	// AbortStream ends an answer that stays incomplete, in a way that the client can't take for its regular end.
+	// AbortStream ends an incomplete answer in a way that the client can't mistake for its regular end.
 	AbortStream()
 }
 
-// streamStallTimeoutMs is how long a streamed answer may go without any part moving before it is aborted, whether the
-// host or the client holds it up.
+// streamStallTimeoutMs is the time after which a streamed answer is aborted if no part of it is forwarded, whether the
+// host or the client causes the stall.
 const streamStallTimeoutMs = 6000.0
 
-// BeginStream starts to pass a large response to the client in parts, if the frontend can take it so.
+// BeginStream starts to pass a large response to the client in parts, if the Responder is a Streamer and accepts that.
 func (p *pooledConn) BeginStream(resume func()) bool {
 	attempt := p.attempt
 	if attempt == nil || attempt.request == nil || attempt.request.finished {
@@ -55,8 +56,8 @@
 	return taken
 }
 
-// watchStream aborts a streamed answer that stalls. Nothing else bounds the time of an answer that has begun, so a
-// host that stops midway or a client that stops reading would hold its buffers and its request for good.
+// watchStream aborts a streamed answer that stalls. No other timeout applies to an answer that has begun, so without it
+// a host that stops sending or a client that stops reading would hold the buffers and the request indefinitely.
 func (c *Core) watchStream(attempt *hostAttempt) {
 	attempt.timer = c.timers.At(attempt.request.lastPartMs+streamStallTimeoutMs, func() {
 		if c.Now() >= attempt.request.lastPartMs+streamStallTimeoutMs {
--- a/internal/proxy/time.go
+++ b/internal/proxy/time.go
@@ -15,10 +15,11 @@
 // toMs converts the router's time to milliseconds.
 func toMs(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// maxUnixMs is the first time, in milliseconds since 1970, that a time.Duration can't hold.
+// maxUnixMs is the first time, in milliseconds since 1970, that a time.Duration can't represent.
 const maxUnixMs = math.MaxInt64 / 1e6
 
-// position converts a time since 1970 to a position of the router's; it is 0 (unknown) where the time is out of range.
+// position converts a time in milliseconds since 1970 to a routing.Position. It returns 0 (unknown) if the time is out of
+// range.
 func (c *Core) position(unixMs float64) routing.Position {
 	inRange := unixMs > 0 && unixMs < maxUnixMs // false for NaN
 	if !inRange {
