--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -10,14 +10,14 @@
 	"merlinjunction/routing"
 )
 
-// coreModel plays random events against a Core. The bench checks the accounting after each Step.
+// coreModel applies random events to a Core. The fixture calls CheckAccounting after each Step.
 type coreModel struct {
-	*bench
+	*fixture
 	t        *rapid.T
-	waiting  map[uint64]bool // accepted requests that have no answer yet and whose client is there
+	waiting  map[uint64]bool // IDs of accepted requests that have no answer yet and whose client has not left
 	answered int
 	hosts    []string
-	address  map[string]int // by host: how often it has moved
+	moves    map[string]int // by host: number of address changes
 }
 
 // modelResponder receives the answer to one request.
@@ -32,42 +32,42 @@
 
 func (r modelResponder) record() {
 	if !r.model.waiting[*r.id] {
-		r.model.t.Fatalf("request %d gets an answer that is due to nobody", *r.id)
+		r.model.t.Fatalf("request %d got an answer although it is already answered, not accepted or its client has left", *r.id)
 	}
 	delete(r.model.waiting, *r.id)
 	r.model.answered++
 }
 
-// event plays one random event.
-func (m *coreModel) event() {
+// applyRandomEvent applies one random event and runs a Step.
+func (m *coreModel) applyRandomEvent() {
 	switch rapid.IntRange(0, 15).Draw(m.t, "event") {
 	case 0, 1, 2:
 		m.submitRandom()
 	case 3, 4, 5:
-		m.eachOpen("respond", func(conn *fakeConn) { m.respond(conn) })
+		m.withRandomOpenConn("respond", func(conn *fakeConn) { m.respond(conn) })
 	case 6:
-		m.eachOpen("close", func(conn *fakeConn) {
+		m.withRandomOpenConn("close", func(conn *fakeConn) {
 			conn.closed = true
 			conn.handler.ConnectionClosed(errors.New("closed"))
 		})
 	case 7:
-		m.leave()
+		m.endRandomRequest()
 	case 8:
-		m.list()
+		m.updateRandomHosts()
 	case 9:
-		m.exclude()
+		m.excludeOrIncludeRandomHost()
 	case 10:
 		limit := rapid.IntRange(1, 4).Draw(m.t, "limit")
 		m.SetSiblingProcess(limit < 4, limit)
 	case 11:
-		m.sendHealthCheck(m.host())
+		m.sendHealthCheck(m.randomHost())
 	default:
 		m.advance(float64(rapid.SampledFrom([]int{1, 2, 3, 20, 200}).Draw(m.t, "ms")))
 	}
 	m.Step()
 }
 
-func (m *coreModel) host() string { return rapid.SampledFrom(m.hosts).Draw(m.t, "host") }
+func (m *coreModel) randomHost() string { return rapid.SampledFrom(m.hosts).Draw(m.t, "host") }
 
 func (m *coreModel) submitRandom() {
 	id := new(uint64)
@@ -84,8 +84,8 @@
 	}
 }
 
-// eachOpen calls a function for one of the open connections, if there are any.
-func (m *coreModel) eachOpen(label string, call func(*fakeConn)) {
+// withRandomOpenConn calls a function with a random open connection, if there is one.
+func (m *coreModel) withRandomOpenConn(label string, call func(*fakeConn)) {
 	var open []*fakeConn
 	for _, conn := range m.conns {
 		if !conn.closed {
@@ -113,8 +113,8 @@
 	}
 }
 
-// leave ends one waiting request: its client leaves, or cancels it.
-func (m *coreModel) leave() {
+// endRandomRequest ends at most one waiting request: its client leaves or cancels the request.
+func (m *coreModel) endRandomRequest() {
 	for id := uint64(1); id <= m.lastID; id++ {
 		if !m.waiting[id] || !rapid.Bool().Draw(m.t, "leaves") {
 			continue
@@ -129,47 +129,48 @@
 	}
 }
 
-// list updates the endpoint list: each host in a random state, or not in it, and perhaps at another address.
-func (m *coreModel) list() {
+// updateRandomHosts updates the endpoint list. Each host is either listed in a random state or not listed, and its
+// address may change.
+func (m *coreModel) updateRandomHosts() {
 	var list []Host
 	for _, id := range m.hosts {
 		if rapid.IntRange(0, 5).Draw(m.t, "moves") == 0 {
-			m.address[id]++
+			m.moves[id]++
 		}
 		endpoint := routing.Endpoint{ID: id, State: rapid.SampledFrom([]routing.EndpointState{
 			routing.StateReady, routing.StateReady, routing.StateDraining, routing.StateGone,
 		}).Draw(m.t, "state")}
 		if rapid.IntRange(0, 3).Draw(m.t, "listed") > 0 {
-			list = append(list, Host{Address: fmt.Sprint(id, m.address[id]), Endpoint: endpoint})
+			list = append(list, Host{Address: fmt.Sprint(id, m.moves[id]), Endpoint: endpoint})
 		}
 	}
 	m.UpdateHosts(rapid.Bool().Draw(m.t, "full"), list)
 }
 
-func (m *coreModel) exclude() {
-	if id := m.host(); rapid.Bool().Draw(m.t, "exclude") {
+func (m *coreModel) excludeOrIncludeRandomHost() {
+	if id := m.randomHost(); rapid.Bool().Draw(m.t, "exclude") {
 		m.Exclude(id, m.nowMs)
 	} else {
 		m.Include(id)
 	}
 }
 
-// Whatever happens, in whatever order: each open connection and each request is in one state after each Step, and each
-// request gets one answer, or none where its client has left, and is forgotten.
+// For random sequences of events, each open connection and each request is in exactly one state after each Step. Each
+// request gets exactly one answer, or none if its client has left, and is then removed.
 func TestAccountingHoldsAfterEachStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &coreModel{
-			bench: newBench(t, "a", "b"), t: t,
-			waiting: map[uint64]bool{}, hosts: []string{"a", "b", "c"}, address: map[string]int{},
+			fixture: newFixture(t, "a", "b"), t: t,
+			waiting: map[uint64]bool{}, hosts: []string{"a", "b", "c"}, moves: map[string]int{},
 		}
 		m.limits.MaxRequests = 12
 		m.parseLoadReport = func([]byte) (routing.Role, float64, bool) { return routing.RoleReplica, 0, true }
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
-			m.event()
+			m.applyRandomEvent()
 		}
-		m.advance(1500) // longer than any request has
+		m.advance(1500) // longer than the time of any request
 		if len(m.waiting) > 0 || len(m.requests) > 0 {
-			t.Fatalf("%d requests have no answer, %d are kept", len(m.waiting), len(m.requests))
+			t.Fatalf("%d requests have no answer, %d were not removed", len(m.waiting), len(m.requests))
 		}
 	})
 }
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -8,179 +8,182 @@
 	"merlinjunction/routing"
 )
 
-// A client leaves while its request waits for a connection: the request is not sent when the connection is
-// established, and the connection serves the next request.
-func TestWhatWaitsForAConnectionIsNotSentOnceItsClientHasLeft(t *testing.T) {
+// A client leaves while its request waits for a connection. The request must not be sent when the connection is
+// established, and the connection must serve the next request.
+func TestWaitingAttemptIsNotSentAfterClientLeft(t *testing.T) {
 	for _, class := range []int{readClass, writeClass} {
 		t.Run(fmt.Sprintf("class %d", class), func(t *testing.T) {
-			b := newBench(t, "a")
-			b.submit(class, 900)
-			b.ClientGone(1)
-			b.advance(1)
-			conn := b.conns[0]
+			f := newFixture(t, "a")
+			f.submit(class, 900)
+			f.ClientGone(1)
+			f.advance(1)
+			conn := f.conns[0]
 			conn.handler.Established()
-			b.advance(400)
+			f.advance(400)
 			if len(conn.sent) != 0 || conn.closed {
-				t.Errorf("%d sent for a client that had left, closed %v", len(conn.sent), conn.closed)
+				t.Errorf("%d commands sent for a client that had left, connection closed %v", len(conn.sent), conn.closed)
 			}
-			b.submit(class, 900)
+			f.submit(class, 900)
 			conn.handler.ResponseReceived(primarySuccess("x"))
-			b.advance(1)
-			if len(b.answers) != 1 || len(b.conns) != 1 || len(b.requests) != 0 {
-				t.Errorf("answers %q on %d connections, %d requests are kept", b.answers, len(b.conns), len(b.requests))
+			f.advance(1)
+			if len(f.answers) != 1 || len(f.conns) != 1 || len(f.requests) != 0 {
+				t.Errorf("answers %q, %d connections, %d requests not removed", f.answers, len(f.conns), len(f.requests))
 			}
 		})
 	}
 }
 
-// A client leaves when its request is written: the attempt stays open, and its response goes nowhere.
-func TestWhatIsWrittenStaysOpenOnceItsClientHasLeft(t *testing.T) {
+// A client leaves after its request was written. The attempt must stay open, and its response must be discarded.
+func TestWrittenAttemptStaysOpenAfterClientLeft(t *testing.T) {
 	for _, class := range []int{readClass, writeClass} {
 		t.Run(fmt.Sprintf("class %d", class), func(t *testing.T) {
-			b := newBench(t, "a")
-			b.submit(class, 900)
-			conn := b.conns[0]
+			f := newFixture(t, "a")
+			f.submit(class, 900)
+			conn := f.conns[0]
 			conn.handler.Established()
-			b.ClientGone(1)
-			b.advance(1)
+			f.ClientGone(1)
+			f.advance(1)
 			if len(conn.sent) != 1 || conn.closed {
-				t.Errorf("the attempt does not stay open: %d sent, closed %v", len(conn.sent), conn.closed)
+				t.Errorf("the attempt did not stay open: %d commands sent, connection closed %v", len(conn.sent), conn.closed)
 			}
 			conn.handler.ResponseReceived(primarySuccess("x"))
-			b.advance(1)
-			if len(b.answers) != 0 || len(b.requests) != 0 {
-				t.Errorf("answers %q, %d requests are kept", b.answers, len(b.requests))
+			f.advance(1)
+			if len(f.answers) != 0 || len(f.requests) != 0 {
+				t.Errorf("answers %q, %d requests were not removed", f.answers, len(f.requests))
 			}
 		})
 	}
 }
 
-// A command that is only partly written can't run any more once its connection is closed; a completely written one may.
-func TestWhatIsPartlyWrittenEndsWithItsClient(t *testing.T) {
-	b := newBench(t, "a")
-	b.submit(writeClass, 900)
-	b.conns[0].writeBlocked = true
-	b.conns[0].handler.Established()
-	b.ClientGone(1)
-	b.advance(1)
-	if !b.conns[0].closed || b.writtenAttempts != 0 || len(b.requests) != 0 {
-		t.Errorf("closed %v, %d dispatches, %d requests are kept", b.conns[0].closed, b.writtenAttempts, len(b.requests))
+// A client leaves while its command is only partly written. The attempt must end at once: with its connection closed, the
+// command can't run.
+func TestPartlyWrittenAttemptEndsWhenClientLeaves(t *testing.T) {
+	f := newFixture(t, "a")
+	f.submit(writeClass, 900)
+	f.conns[0].writeBlocked = true
+	f.conns[0].handler.Established()
+	f.ClientGone(1)
+	f.advance(1)
+	if !f.conns[0].closed || f.writtenAttempts != 0 || len(f.requests) != 0 {
+		t.Errorf("closed %v, %d dispatches, %d requests not removed", f.conns[0].closed, f.writtenAttempts, len(f.requests))
 	}
-	b.conns[0].handler.RequestWritten() // the system took the last byte after all: no effect
-	b.conns[0].handler.ConnectionClosed(errors.New("closed"))
-	b.advance(500)
-	if len(b.answers) != 0 || len(b.conns) != 1 {
-		t.Errorf("answers %q, %d connections", b.answers, len(b.conns))
+	f.conns[0].handler.RequestWritten() // a late callback, which must have no effect
+	f.conns[0].handler.ConnectionClosed(errors.New("closed"))
+	f.advance(500)
+	if len(f.answers) != 0 || len(f.conns) != 1 {
+		t.Errorf("answers %q, %d connections", f.answers, len(f.conns))
 	}
 }
 
-// Several requests wait for one connection, and the client of the first leaves: the next request gets it.
-func TestTheNextInLineGetsTheConnection(t *testing.T) {
-	b := newBench(t, "a")
-	b.submit(readClass, 900)
-	b.submit(readClass, 900)
-	first := b.conns[0]
-	b.ClientGone(1)
-	b.advance(1)
+// Several requests wait for one connection, and the client of the first one leaves. The next request must get the
+// connection.
+func TestConnectionServesNextAttemptAfterClientLeft(t *testing.T) {
+	f := newFixture(t, "a")
+	f.submit(readClass, 900)
+	f.submit(readClass, 900)
+	first := f.conns[0]
+	f.ClientGone(1)
+	f.advance(1)
 	first.handler.Established()
 	if len(first.sent) != 1 {
-		t.Fatalf("%d sent", len(first.sent))
+		t.Fatalf("%d commands sent, want 1", len(first.sent))
 	}
 	first.handler.ResponseReceived(success("x"))
-	b.advance(1)
-	if len(b.answers) != 1 || b.OpenRequests() != 0 {
-		t.Errorf("answers %q, %d open", b.answers, b.OpenRequests())
+	f.advance(1)
+	if len(f.answers) != 1 || f.OpenRequests() != 0 {
+		t.Errorf("answers %q, %d open requests", f.answers, f.OpenRequests())
 	}
 }
 
-// The connection of a written request breaks. If its client has left before, there is no retry; if the client leaves
-// after it, the retry is not sent.
-func TestNothingIsSentAnewForAClientThatHasLeft(t *testing.T) {
+// The connection of a written request is lost. If the client has left before, there must be no retry. If the client
+// leaves while the retry waits for its connection, the retry must not be sent.
+func TestNoRetryIsSentAfterClientLeft(t *testing.T) {
 	for _, gone := range []bool{true, false} {
 		t.Run(fmt.Sprintf("client gone before the retry %v", gone), func(t *testing.T) {
-			b := newBench(t, "a", "b")
-			b.submit(readClass, 900)
-			b.conns[0].handler.Established()
+			f := newFixture(t, "a", "b")
+			f.submit(readClass, 900)
+			f.conns[0].handler.Established()
 			if gone {
-				b.ClientGone(1)
+				f.ClientGone(1)
 			}
-			b.conns[0].handler.ConnectionClosed(errors.New("reset"))
-			b.advance(50)
-			if retried := len(b.conns) > 1; retried == gone {
+			f.conns[0].handler.ConnectionClosed(errors.New("reset"))
+			f.advance(50)
+			if retried := len(f.conns) > 1; retried == gone {
 				t.Errorf("retried %v", retried)
 			}
 			if !gone {
-				b.ClientGone(1)
-				b.advance(1)
-				b.conns[1].handler.Established()
-				if len(b.conns[1].sent) != 0 {
+				f.ClientGone(1)
+				f.advance(1)
+				f.conns[1].handler.Established()
+				if len(f.conns[1].sent) != 0 {
 					t.Error("the retry was sent after the client had left")
 				}
 			}
-			b.advance(500)
-			if len(b.answers) != 0 || len(b.requests) != 0 {
-				t.Errorf("answers %q, %d requests are kept", b.answers, len(b.requests))
+			f.advance(500)
+			if len(f.answers) != 0 || len(f.requests) != 0 {
+				t.Errorf("answers %q, %d requests are kept", f.answers, len(f.requests))
 			}
 		})
 	}
 }
 
-// departingClient leaves with another request of its own in flight while one is rejected: as when its connection ends
-// because of a malformed message behind the two.
-type departingClient struct {
-	*bench
+// disconnectingClient has two requests in flight and leaves when one of them is rejected. This happens when its
+// connection is closed because of a malformed message after the two requests.
+type disconnectingClient struct {
+	*fixture
 	otherRequest uint64
 }
 
-func (d *departingClient) Reject(retryAfterMs float64) {
-	d.bench.Reject(retryAfterMs)
+func (d *disconnectingClient) Reject(retryAfterMs float64) {
+	d.fixture.Reject(retryAfterMs)
 	d.ClientGone(d.otherRequest)
 }
 
-// submitToGroup submits a read that has 600 ms.
-func (b *bench) submitToGroup(t *testing.T, group int, responder Responder) {
+// submitToGroup submits a read with 600 ms left to a group.
+func (f *fixture) submitToGroup(t *testing.T, group int, responder Responder) {
 	t.Helper()
 	request := Request{Tenant: -1, Group: group, TimeLeftMs: 600, Command: "command", Responder: responder}
-	if _, ok := b.Submit(request); !ok {
+	if _, ok := f.Submit(request); !ok {
 		t.Fatal("not accepted")
 	}
 }
 
-// An attempt is decided in the Step in which its client leaves: it is not sent, and the router gets its result, as it
-// would count the attempt against the host's concurrency limit for good.
-func TestAClientThatLeavesWhileItsAttemptIsDecided(t *testing.T) {
-	b := newBench(t)
+// The router starts an attempt in the Step in which the client of its request leaves. The attempt must not be sent, but
+// the router must get its result. Otherwise the router would count the attempt against the concurrency limit of the host
+// forever.
+func TestAttemptIsNotSentWhenClientLeavesInSameStep(t *testing.T) {
+	f := newFixture(t)
 	host := Host{Address: "a", Endpoint: routing.Endpoint{ID: "a", Group: 1, State: routing.StateReady}}
-	b.UpdateHosts(true, []Host{host})
-	b.Step()
-	b.submitToGroup(t, 0, &departingClient{b, 2}) // a group without hosts
-	b.Step()
-	b.nowMs += 320 // more than half of the request's time: it is rejected in the next Step
-	b.submitToGroup(t, 1, b)
-	b.Step()
-	b.wantAnswers(t, "1320 rejected 0")
-	b.advance(1)
-	for _, conn := range b.conns {
+	f.UpdateHosts(true, []Host{host})
+	f.Step()
+	f.submitToGroup(t, 0, &disconnectingClient{f, 2}) // group 0 has no hosts
+	f.Step()
+	f.nowMs += 320 // more than half of the request's time: it is rejected in the next Step
+	f.submitToGroup(t, 1, f)
+	f.Step()
+	f.wantAnswers(t, "1320 rejected 0")
+	f.advance(1)
+	for _, conn := range f.conns {
 		conn.handler.Established()
 		if len(conn.sent) != 0 {
-			t.Error("sent for a client that has left")
+			t.Error("a command was sent for a client that had left")
 		}
 	}
-	if len(b.requests) != 0 || len(b.abandoned) != 0 {
-		t.Errorf("%d requests are kept, %d are departed", len(b.requests), len(b.abandoned))
+	if len(f.requests) != 0 || len(f.abandoned) != 0 {
+		t.Errorf("%d requests and %d abandoned requests were not removed", len(f.requests), len(f.abandoned))
 	}
-	const concurrencyLimit = 3 // of a host at first
+	const concurrencyLimit = 3 // initial limit of a host
 	for range concurrencyLimit {
-		b.submitToGroup(t, 1, b)
+		f.submitToGroup(t, 1, f)
 	}
-	b.Step()
+	f.Step()
 	open := 0
-	for _, req := range b.requests {
+	for _, req := range f.requests {
 		if req.openAttempt != nil {
 			open++
 		}
 	}
 	if open != concurrencyLimit {
-		t.Errorf("%d of %d requests have an open attempt", open, concurrencyLimit)
+		t.Errorf("%d requests have an open attempt, want %d", open, concurrencyLimit)
 	}
 }
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -7,79 +7,81 @@
 	"merlinjunction/routing"
 )
 
-// A connection that is established when the drain grace period is over must not be used: the command would be late.
-func TestSlowConnectIsCheckedAgainstTheDrain(t *testing.T) {
-	b := newBench(t, "a")
-	b.submit(readClass, 900)
-	b.updateHosts(routing.StateDraining, "a")
-	b.nowMs += 290
-	b.conns[0].handler.Established()
-	if len(b.conns[0].sent) != 0 {
-		t.Error("sent to a host whose drain grace period is over")
+// A connection to a draining host is established when the drain grace period is over. The waiting command must not be
+// sent on it.
+func TestNoCommandIsSentAfterDrainGraceOnSlowConnect(t *testing.T) {
+	f := newFixture(t, "a")
+	f.submit(readClass, 900)
+	f.updateHosts(routing.StateDraining, "a")
+	f.nowMs += 290
+	f.conns[0].handler.Established()
+	if len(f.conns[0].sent) != 0 {
+		t.Error("a command was sent to a host whose drain grace period is over")
 	}
-	b.advance(700)
-	if len(b.answers) != 1 {
-		t.Errorf("answers %q", b.answers)
+	f.advance(700)
+	if len(f.answers) != 1 {
+		t.Errorf("answers %q, want 1", f.answers)
 	}
 }
 
-// The drain grace period of a list that counts as notified earlier ends that much earlier, also for requests that wait
-// for a connection meanwhile.
+// The drain grace period starts when an endpoint update counts as notified, which may be before the update arrives. This
+// also applies to requests that wait for a connection at that time.
 func TestDrainGraceCountsFromTheNotification(t *testing.T) {
 	for _, test := range []struct {
-		notifiedBeforeMs float64 // before the list came
+		notifiedBeforeMs float64 // time between the notification and the arrival of the update
 		sent             int
 	}{{0, 1}, {150, 1}, {290, 0}, {1e6, 0}} {
 		t.Run(fmt.Sprintf("notified %v ms before", test.notifiedBeforeMs), func(t *testing.T) {
-			b := newBench(t, "a")
-			b.submit(readClass, 900)
+			f := newFixture(t, "a")
+			f.submit(readClass, 900)
 			draining := Host{Address: "a", Endpoint: routing.Endpoint{ID: "a", State: routing.StateDraining}}
-			b.UpdateHostsNotifiedAt(true, []Host{draining}, b.nowMs-test.notifiedBeforeMs)
-			b.advance(100)
-			b.conns[0].handler.Established()
-			if sent := len(b.conns[0].sent); sent != test.sent {
-				t.Errorf("%d sent 100 ms after the list came, want %d (grace period 300 ms)", sent, test.sent)
+			f.UpdateHostsNotifiedAt(true, []Host{draining}, f.nowMs-test.notifiedBeforeMs)
+			f.advance(100)
+			f.conns[0].handler.Established()
+			if sent := len(f.conns[0].sent); sent != test.sent {
+				t.Errorf("%d commands sent 100 ms after the update arrived, want %d (drain grace period 300 ms)", sent, test.sent)
 			}
 		})
 	}
 }
 
-// A complete list that does not name a host means that the host is gone; health checks of it end like requests.
-func TestWhatIsNotListedAnyMoreGetsNothing(t *testing.T) {
-	b := newBench(t, "a")
-	b.submit(readClass, 900)
-	b.sendHealthCheck("a")
-	b.updateHosts(routing.StateReady)
-	b.advance(285)
-	for _, conn := range b.conns {
+// A complete endpoint list without a host means that the host is gone. After its drain grace period the host must get
+// neither requests nor health checks.
+func TestRemovedHostGetsNoCommand(t *testing.T) {
+	f := newFixture(t, "a")
+	f.submit(readClass, 900)
+	f.sendHealthCheck("a")
+	f.updateHosts(routing.StateReady)
+	f.advance(285)
+	for _, conn := range f.conns {
 		if !conn.closed {
 			conn.handler.Established()
 		}
 		if len(conn.sent) != 0 {
-			t.Errorf("%d sent to a host that the list does not name", len(conn.sent))
+			t.Errorf("%d commands sent to a host that is not in the endpoint list", len(conn.sent))
 		}
 	}
-	b.advance(700)
-	if len(b.answers) != 1 || len(b.hosts) != 1 { // the next list removes it
-		t.Errorf("answers %q, %d hosts", b.answers, len(b.hosts))
+	f.advance(700)
+	if len(f.answers) != 1 || len(f.hosts) != 1 { // the next endpoint update removes the host
+		t.Errorf("answers %q, %d hosts", f.answers, len(f.hosts))
 	}
-	if b.updateHosts(routing.StateReady); len(b.hosts) != 0 {
-		t.Errorf("%d hosts are kept", len(b.hosts))
+	if f.updateHosts(routing.StateReady); len(f.hosts) != 0 {
+		t.Errorf("%d hosts were not removed", len(f.hosts))
 	}
 }
 
-// A host that is gone is kept while a health check is in flight on a connection to it: else its connection would belong
-// to no host that is known.
+// A host that is gone must be kept while a health check is in flight on a connection to it. Otherwise the connection
+// would belong to a host that the Core no longer knows.
 func TestHostIsKeptWhileItsHealthCheckIsInFlight(t *testing.T) {
-	b := newBench(t, "a")
-	b.sendHealthCheck("a")
-	b.conns[0].handler.Established()
-	b.updateHosts(routing.StateReady)
-	if len(b.hosts) != 1 {
-		t.Errorf("%d hosts with a health check in flight", len(b.hosts))
+	f := newFixture(t, "a")
+	f.sendHealthCheck("a")
+	f.conns[0].handler.Established()
+	f.updateHosts(routing.StateReady)
+	if len(f.hosts) != 1 {
+		t.Errorf("%d hosts are kept with a health check in flight, want 1", len(f.hosts))
 	}
-	b.advance(healthCheckTimeoutMs + 1)
-	if b.updateHosts(routing.StateReady); len(b.hosts) != 0 || !b.conns[0].closed {
-		t.Errorf("%d hosts are kept, connection closed %v", len(b.hosts), b.conns[0].closed)
+	f.advance(healthCheckTimeoutMs + 1)
+	if f.updateHosts(routing.StateReady); len(f.hosts) != 0 || !f.conns[0].closed {
+		t.Errorf("%d hosts were not removed, connection closed %v", len(f.hosts), f.conns[0].closed)
 	}
 }
--- a/internal/proxy/pool_limit_test.go
+++ b/internal/proxy/pool_limit_test.go
@@ -7,64 +7,66 @@
 	"merlinjunction/routing"
 )
 
-// At the limit of connections a settling one that an attempt waits for isn't closed in favor of another host's: that
-// attempt would wait for nothing until its time is over.
+// At the connection limit a connection in its settle period must not be closed to free capacity for another host while an
+// attempt waits for it. Otherwise that attempt would wait until it times out.
 func TestConnectionThatAnAttemptWaitsForIsKeptAtTheLimit(t *testing.T) {
-	b := newBench(t, "a")
-	b.limits.MaxConns = 1
-	b.submit(readClass, 900)
-	b.conns[0].handler.Established()
-	b.conns[0].handler.ResponseReceived(success("x"))
-	b.submit(readClass, 900) // waits until the connection has settled
-	b.UpdateHosts(false, []Host{{Address: "b", Endpoint: routing.Endpoint{ID: "b", State: routing.StateReady}}})
-	b.sendHealthCheck("b") // has no connection
-	b.advance(settlePeriodMs + 1)
-	if b.conns[0].closed || len(b.conns[0].sent) != 2 {
-		t.Errorf("closed %v, %d commands on the connection", b.conns[0].closed, len(b.conns[0].sent))
+	f := newFixture(t, "a")
+	f.limits.MaxConns = 1
+	f.submit(readClass, 900)
+	f.conns[0].handler.Established()
+	f.conns[0].handler.ResponseReceived(success("x"))
+	f.submit(readClass, 900) // waits for the end of the settle period
+	f.UpdateHosts(false, []Host{{Address: "b", Endpoint: routing.Endpoint{ID: "b", State: routing.StateReady}}})
+	f.sendHealthCheck("b") // needs a connection to another host
+	f.advance(settlePeriodMs + 1)
+	if f.conns[0].closed || len(f.conns[0].sent) != 2 {
+		t.Errorf("connection closed %v, %d commands on it, want 2", f.conns[0].closed, len(f.conns[0].sent))
 	}
 }
 
-// At the limit an attempt waits for a connection to its host that is in use, and is sent on it.
+// At the connection limit an attempt must wait for the connection to its host that is in use, and be sent on it.
 func TestAttemptWaitsForAConnectionInUseAtTheLimit(t *testing.T) {
-	b := newBench(t, "a")
-	b.limits.MaxConns = 1
-	b.submit(readClass, 900)
-	first := b.conns[0]
+	f := newFixture(t, "a")
+	f.limits.MaxConns = 1
+	f.submit(readClass, 900)
+	first := f.conns[0]
 	first.handler.Established()
-	b.submit(readClass, 900)
+	f.submit(readClass, 900)
 	first.handler.ResponseReceived(success("x"))
-	b.advance(settlePeriodMs + 1)
+	f.advance(settlePeriodMs + 1)
 	first.handler.ResponseReceived(success("y"))
-	b.advance(1)
-	b.wantAnswers(t, "1000 succeeded x", "1003 succeeded y")
+	f.advance(1)
+	f.wantAnswers(t, "1000 succeeded x", "1003 succeeded y")
 }
 
-// The connection in use that an attempt waits for is lost: another one is dialed in its place.
-func TestAttemptAtTheLimitOutlivesTheConnectionInUse(t *testing.T) {
-	b := newBench(t, "a")
-	b.limits.MaxConns = 1
-	b.submit(writeClass, 900)
-	b.conns[0].handler.Established()
-	b.submit(readClass, 900)
-	b.conns[0].handler.ConnectionClosed(errors.New("reset"))
-	b.advance(1)
-	if len(b.conns) != 2 {
-		t.Fatalf("%d connections", len(b.conns))
+// At the connection limit an attempt waits for a connection in use, and that connection is lost. Another connection must
+// be dialed in its place.
+func TestLostConnectionIsReplacedAtTheLimit(t *testing.T) {
+	f := newFixture(t, "a")
+	f.limits.MaxConns = 1
+	f.submit(writeClass, 900)
+	f.conns[0].handler.Established()
+	f.submit(readClass, 900)
+	f.conns[0].handler.ConnectionClosed(errors.New("reset"))
+	f.advance(1)
+	if len(f.conns) != 2 {
+		t.Fatalf("%d connections, want 2", len(f.conns))
 	}
-	b.conns[1].handler.Established()
-	if len(b.conns[1].sent) != 1 {
-		t.Errorf("%d commands on the new connection", len(b.conns[1].sent))
+	f.conns[1].handler.Established()
+	if len(f.conns[1].sent) != 1 {
+		t.Errorf("%d commands on the new connection, want 1", len(f.conns[1].sent))
 	}
 }
 
-// The gateway's own limit is no failure of a host: the next request goes to it as before.
-func TestOwnLimitIsNoFailureOfTheHost(t *testing.T) {
-	b := newBench(t, "a")
-	b.limits.MaxConns = 0
-	b.submit(readClass, 900)
-	b.limits.MaxConns = 1
-	b.submit(readClass, 900)
-	if len(b.conns) != 1 {
-		t.Error("the host is passed over after a shortage of the gateway's own connections")
+// An attempt that ends because of the gateway's own connection limit must not count as a failure of the host. The next
+// request must go to the host as before.
+func TestConnectionLimitDoesNotMarkHostAsFailed(t *testing.T) {
+	f := newFixture(t, "a")
+	f.limits.MaxConns = 0
+	f.submit(readClass, 900)
+	f.limits.MaxConns = 1
+	f.submit(readClass, 900)
+	if len(f.conns) != 1 {
+		t.Error("the host gets no request after the gateway reached its own connection limit")
 	}
 }
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -6,28 +6,28 @@
 )
 
 func TestIdleConnectionsAreReusedAndRetired(t *testing.T) {
-	b := newBench(t, "a")
+	f := newFixture(t, "a")
 	for i := range 2 {
-		b.submit(readClass, 500)
+		f.submit(readClass, 500)
 		if i == 0 {
-			b.conns[0].handler.Established()
+			f.conns[0].handler.Established()
 		}
-		b.conns[0].handler.ResponseReceived(success("x"))
-		b.advance(settlePeriodMs)
+		f.conns[0].handler.ResponseReceived(success("x"))
+		f.advance(settlePeriodMs)
 	}
-	b.wantAnswers(t, "1000 succeeded x", "1002 succeeded x")
-	if len(b.conns) != 1 || len(b.conns[0].sent) != 2 {
-		t.Errorf("%d connections", len(b.conns))
+	f.wantAnswers(t, "1000 succeeded x", "1002 succeeded x")
+	if len(f.conns) != 1 || len(f.conns[0].sent) != 2 {
+		t.Errorf("%d connections, want 1 with 2 commands", len(f.conns))
 	}
-	b.advance(2100)
-	if !b.conns[0].closed {
-		t.Error("an idle connection is kept until the host closes it")
+	f.advance(2100)
+	if !f.conns[0].closed {
+		t.Error("the idle connection was not closed before the host closes it")
 	}
 }
 
-// A host may close a connection right after its response, or send the response twice: a request that is sent in that
-// moment would be lost, or get the second copy as its response.
-func TestAConnectionSettlesAfterAResponse(t *testing.T) {
+// A host may close a connection right after its response, or send the response twice. A request that is sent at that
+// moment would be lost, or would get the second copy as its response.
+func TestConnectionGetsNoCommandDuringSettlePeriod(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		hostCloses bool
@@ -38,61 +38,63 @@
 		{"host closes it", true, 2, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, "a")
-			b.submit(readClass, 500)
-			b.conns[0].handler.Established()
-			b.conns[0].handler.ResponseReceived(success("x"))
-			b.submit(readClass, 500)
-			if len(b.conns[0].sent) != 1 {
-				t.Error("sent in the round of the response before")
+			f := newFixture(t, "a")
+			f.submit(readClass, 500)
+			f.conns[0].handler.Established()
+			f.conns[0].handler.ResponseReceived(success("x"))
+			f.submit(readClass, 500)
+			if len(f.conns[0].sent) != 1 {
+				t.Error("the second command was sent in the round of the first response")
 			}
 			if test.hostCloses {
-				b.conns[0].handler.ConnectionClosed(errors.New("closed"))
-				b.advance(1)
-				b.conns[1].handler.Established()
+				f.conns[0].handler.ConnectionClosed(errors.New("closed"))
+				f.advance(1)
+				f.conns[1].handler.Established()
 			}
-			b.advance(settlePeriodMs + 1)
-			last := b.conns[len(b.conns)-1]
-			if len(b.conns) != test.conns || len(last.sent) != test.sentOnLast {
-				t.Errorf("%d connections, %d sent on the last", len(b.conns), len(last.sent))
+			f.advance(settlePeriodMs + 1)
+			last := f.conns[len(f.conns)-1]
+			if len(f.conns) != test.conns || len(last.sent) != test.sentOnLast {
+				t.Errorf("%d connections, %d commands sent on the last", len(f.conns), len(last.sent))
 			}
 		})
 	}
 }
 
-// Bytes beyond a response belong to no request.
-func TestTheLastAnswerOfAConnection(t *testing.T) {
-	b := newBench(t, "a")
-	b.submit(readClass, 500)
-	b.conns[0].handler.Established()
+// A connection that accepts no further command after a response must be closed, and the next request must get another
+// connection.
+func TestConnectionIsClosedAfterItsLastResponse(t *testing.T) {
+	f := newFixture(t, "a")
+	f.submit(readClass, 500)
+	f.conns[0].handler.Established()
 	last := success("x")
 	last.ConnectionEnds = true
-	b.conns[0].handler.ResponseReceived(last)
-	b.submit(readClass, 500)
-	if !b.conns[0].closed || len(b.conns) != 2 {
-		t.Errorf("closed %v, %d connections", b.conns[0].closed, len(b.conns))
+	f.conns[0].handler.ResponseReceived(last)
+	f.submit(readClass, 500)
+	if !f.conns[0].closed || len(f.conns) != 2 {
+		t.Errorf("first connection closed %v, %d connections, want 2", f.conns[0].closed, len(f.conns))
 	}
 }
 
-// No client sends requests while the gateway isn't ready: the core must find out by itself that a host is back.
-func TestHostsThatAreBackAreNoticed(t *testing.T) {
-	b := newBench(t, "a")
-	b.submit(readClass, 300)
-	b.conns[0].handler.ConnectionClosed(errors.New("refused"))
-	b.advance(400)
-	if b.Ready() {
-		t.Fatal("ready without a host")
+// No client sends requests while the gateway isn't ready, so the Core itself must detect that a host is reachable again.
+func TestRecoveredHostIsDetected(t *testing.T) {
+	f := newFixture(t, "a")
+	f.submit(readClass, 300)
+	f.conns[0].handler.ConnectionClosed(errors.New("refused"))
+	f.advance(400)
+	if f.Ready() {
+		t.Fatal("ready without a reachable host")
 	}
-	b.advance(600)
-	last := b.conns[len(b.conns)-1]
+	f.advance(600)
+	last := f.conns[len(f.conns)-1]
 	last.handler.Established()
-	if !b.Ready() {
-		t.Error("not ready with a host that is back")
+	if !f.Ready() {
+		t.Error("not ready although a host is reachable again")
 	}
 }
 
-// A connection that takes too long is closed, and the attempt that waited for it is not sent on it any more.
-func TestAConnectionThatComesUpTooLate(t *testing.T) {
+// A connection that is not established within the connect timeout must be closed, and the attempt that waits for it must
+// not be sent on it.
+func TestConnectTimeout(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		afterMs float64
@@ -102,19 +104,19 @@
 		{"in time", 240, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, "a")
-			b.submit(writeClass, 300) // longer than the connect timeout, too short for a second connection
-			b.advance(test.afterMs)
-			first := b.conns[0]
+			f := newFixture(t, "a")
+			f.submit(writeClass, 300) // longer than the connect timeout, but too short for a second connection
+			f.advance(test.afterMs)
+			first := f.conns[0]
 			if !first.closed {
 				first.handler.Established()
 			}
 			if first.closed != test.late || (len(first.sent) == 1) == test.late {
-				t.Errorf("closed %v, %d sent", first.closed, len(first.sent))
+				t.Errorf("connection closed %v, %d commands sent", first.closed, len(first.sent))
 			}
-			b.advance(400)
-			if len(b.answers) != 1 {
-				t.Errorf("answers %q", b.answers)
+			f.advance(400)
+			if len(f.answers) != 1 {
+				t.Errorf("answers %q, want 1", f.answers)
 			}
 		})
 	}
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -7,60 +7,60 @@
 	"merlinjunction/routing"
 )
 
-// With so little time left a request expires in the round that accepts it, before its attempt is started; nothing
-// would end that attempt.
-func TestARequestWithHardlyAnyTimeIsAnswered(t *testing.T) {
+// A request with little time left expires in the round that accepts it, before its attempt is started. That attempt would
+// not be ended by the expiry, so it must not be started.
+func TestRequestWithLittleTimeLeftIsAnswered(t *testing.T) {
 	for _, timeLeftMs := range []float64{1, 5, 6} {
 		t.Run(fmt.Sprintf("%v ms left", timeLeftMs), func(t *testing.T) {
-			b := newBench(t, "a")
-			b.submit(readClass, timeLeftMs)
-			if len(b.conns) > 0 {
-				b.conns[0].handler.Established()
+			f := newFixture(t, "a")
+			f.submit(readClass, timeLeftMs)
+			if len(f.conns) > 0 {
+				f.conns[0].handler.Established()
 			}
-			b.advance(timeLeftMs + 1)
-			if len(b.answers) != 1 || b.OpenRequests() != 0 {
-				t.Errorf("answers %q at %v", b.answers, b.nowMs)
+			f.advance(timeLeftMs + 1)
+			if len(f.answers) != 1 || f.OpenRequests() != 0 {
+				t.Errorf("answers %q at %v ms, want 1", f.answers, f.nowMs)
 			}
 		})
 	}
 }
 
-func TestOneAnswerByTheDeadline(t *testing.T) {
-	b := newBench(t, "a")
-	b.submit(writeClass, 500)
-	b.conns[0].handler.Established()
-	b.advance(600)
-	b.wantAnswers(t, "1495 failed ")
-	if !b.conns[0].closed {
+func TestRequestGetsOneAnswerByItsDeadline(t *testing.T) {
+	f := newFixture(t, "a")
+	f.submit(writeClass, 500)
+	f.conns[0].handler.Established()
+	f.advance(600)
+	f.wantAnswers(t, "1495 failed ")
+	if !f.conns[0].closed {
 		t.Error("aborting the attempt did not close the connection")
 	}
-	b.conns[0].handler.ResponseReceived(Response{Outcome: routing.OutcomeOK}) // too late
-	b.advance(10)
-	b.wantAnswers(t, "1495 failed ")
+	f.conns[0].handler.ResponseReceived(Response{Outcome: routing.OutcomeOK}) // too late
+	f.advance(10)
+	f.wantAnswers(t, "1495 failed ")
 }
 
-func TestRequestsAreBounded(t *testing.T) {
-	b := newBench(t, "a")
+func TestRequestCountIsBounded(t *testing.T) {
+	f := newFixture(t, "a")
 	for range 4 {
-		b.submit(readClass, 500)
+		f.submit(readClass, 500)
 	}
-	b.wantAnswers(t, "1000 not accepted")
+	f.wantAnswers(t, "1000 not accepted")
 }
 
-// A request that comes during a graceful shutdown is answered before the program exits, whatever time its client has;
-// one that comes at the exit is not accepted.
-func TestWhatComesWhileTheProgramEndsIsAnsweredBeforeTheEnd(t *testing.T) {
-	b := newBench(t, "a")
-	b.SetFinalDeadline(b.nowMs + 300)
-	b.submit(writeClass, 900)
-	b.conns[0].handler.Established()
-	b.advance(290)
-	if len(b.answers) != 0 {
-		t.Fatalf("answers %q", b.answers)
+// A request that arrives during a graceful shutdown must be answered before the program exits, even if its client waits
+// longer. A request that arrives at the exit must not be accepted.
+func TestRequestDuringShutdownIsAnsweredBeforeExit(t *testing.T) {
+	f := newFixture(t, "a")
+	f.SetFinalDeadline(f.nowMs + 300)
+	f.submit(writeClass, 900)
+	f.conns[0].handler.Established()
+	f.advance(290)
+	if len(f.answers) != 0 {
+		t.Fatalf("answers %q, want none yet", f.answers)
 	}
-	b.advance(10)
-	b.wantAnswers(t, "1295 failed ")
-	b.advance(1)
-	b.submit(writeClass, 900)
-	b.wantAnswers(t, "1295 failed ", "1301 not accepted")
+	f.advance(10)
+	f.wantAnswers(t, "1295 failed ")
+	f.advance(1)
+	f.submit(writeClass, 900)
+	f.wantAnswers(t, "1295 failed ", "1301 not accepted")
 }
