--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Clock returns the time in milliseconds since 1970, which never goes back. It is the program's only source of time.
+// Clock returns the time in milliseconds since 1970, which never decreases. It is the program's only source of time.
 type Clock struct{ read func() float64 }
 
-// SystemClock returns a Clock that reads the wall clock once, at the start, and counts on from there by the monotonic
-// clock, in whole microseconds.
+// SystemClock returns a Clock that reads the wall clock once, when it is created, and adds the time that has elapsed since
+// then by the monotonic clock, in whole microseconds.
 func SystemClock() *Clock {
 	start := time.Now()
 	startMs := float64(start.UnixMicro()) / 1000
 	return &Clock{func() float64 { return startMs + float64(time.Since(start).Microseconds())/1000 }}
 }
 
-// ManualClock returns a Clock that stands at *nowMs, which a test advances.
+// ManualClock returns a Clock whose time is *nowMs, which a test advances.
 func ManualClock(nowMs *float64) *Clock { return &Clock{func() float64 { return *nowMs }} }
 
 // VirtualClock returns a Clock that reads the time from a simulation, in milliseconds since 1970.
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -11,32 +11,32 @@
 type Handler interface {
 	// Connected is called when an outgoing connection is established.
 	Connected()
-	// Data is called when Conn.In has grown.
+	// Data is called when bytes were added to Conn.In.
 	Data()
-	// Flushed is called when the system has taken all that was buffered for writing.
+	// Flushed is called when the system has accepted all data that was buffered for writing.
 	Flushed()
-	// Ended is called with io.EOF when the other side sends no more; with any other error, ErrBuffersFull among them,
-	// the connection has failed.
+	// Ended is called with io.EOF when the peer has ended its sending direction. It is called with any other error, such
+	// as ErrBuffersFull, when the connection has failed.
 	Ended(err error)
 }
 
-// Conn is a stream connection with buffers for both directions; no call on it blocks.
+// Conn is a stream connection with a buffer for each direction. None of its methods blocks.
 type Conn struct {
 	loop       *Loop
 	fd         int
 	handler    Handler
-	input      []byte // read and not consumed
-	output     []byte // written and not yet taken by the system
-	inputLimit int    // nothing is read while input holds so much
+	input      []byte // bytes that were read and not yet consumed
+	output     []byte // bytes passed to Write that the system has not accepted yet
+	inputLimit int    // nothing is read while input has at least this many bytes
 	connecting bool
-	inputEnded bool   // the other side sends no more
+	inputEnded bool   // the peer has ended its sending direction
 	failed     bool   // Ended was called with an error, or will be in the next round
-	closed     bool   // by Close
-	interest   uint32 // the epoll events that it is watched for
+	closed     bool   // Close was called
+	interest   uint32 // epoll events that the descriptor is watched for
 }
 
-// Adopt returns a connection on an accepted descriptor, which it closes on an error. SetHandler must follow. For
-// inputLimit see SetInputLimit.
+// Adopt returns a connection on an accepted descriptor. It closes the descriptor if it fails. The caller must set the
+// handler with SetHandler. For inputLimit see SetInputLimit.
 func (l *Loop) Adopt(fd, inputLimit int) (*Conn, error) {
 	setNoDelay(fd)
 	conn := &Conn{loop: l, fd: fd, inputLimit: inputLimit, interest: unix.EPOLLIN}
@@ -47,7 +47,7 @@
 	return conn, nil
 }
 
-// Dial starts to connect to an address. The handler's Connected or Ended follows in a later round. For inputLimit see
+// Dial starts to connect to an address. The handler's Connected or Ended is called in a later round. For inputLimit see
 // SetInputLimit.
 func (l *Loop) Dial(addr string, inputLimit int, handler Handler) (*Conn, error) {
 	fd, sockaddr, err := newSocket(addr, unix.SOCK_STREAM)
@@ -69,13 +69,13 @@
 	return conn, nil
 }
 
-// SetHandler sets who receives the callbacks.
+// SetHandler sets the handler that receives the callbacks.
 func (c *Conn) SetHandler(handler Handler) { c.handler = handler }
 
 // IsOpen returns whether the connection can still be written to.
 func (c *Conn) IsOpen() bool { return !c.closed && !c.failed }
 
-// Close closes the connection at once; no callback follows.
+// Close closes the connection at once. No callback follows.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -86,16 +86,16 @@
 	c.input, c.output = nil, nil
 }
 
-// CloseWrite ends the sending direction; the other side may still send. What is buffered is not sent any more.
+// CloseWrite ends the sending direction; the peer may still send. Data that is still buffered is not sent.
 func (c *Conn) CloseWrite() {
 	if c.IsOpen() {
-		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only where the connection has ended
+		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only if the connection has ended
 	}
 }
 
 // ready handles the epoll events of the descriptor.
 func (c *Conn) ready(events uint32) {
-	if c.failed { // only Close is awaited
+	if c.failed { // the connection only waits for Close
 		c.interest = 0
 		c.loop.setInterest(c.fd, 0)
 		return
@@ -126,8 +126,9 @@
 	c.handler.Connected()
 }
 
-// updateInterest watches for the events that matter now: not for input while the limit is reached or the other side
-// sends no more, not for output while nothing is buffered.
+// updateInterest sets the epoll events for the current state. It doesn't watch for input while the input limit is reached,
+// while the connection is being established, or after the peer has ended its sending direction. It doesn't watch for
+// output while nothing is buffered, unless the connection is being established.
 func (c *Conn) updateInterest() {
 	if c.closed {
 		return
--- a/internal/eventloop/conn_read.go
+++ b/internal/eventloop/conn_read.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxReadsPerRound bounds the reads of one connection in a round, so that none starves the others.
+// maxReadsPerRound limits the reads of one connection in a round, so that it doesn't starve the others.
 const maxReadsPerRound = 4
 
-// In returns what was read and not consumed. It is valid until the next round.
+// In returns the bytes that were read and not yet consumed. They are valid until the next round.
 func (c *Conn) In() []byte { return c.input }
 
 // Consume drops the first bytes of In.
@@ -23,20 +23,20 @@
 	c.updateInterest()
 }
 
-// SetInputLimit sets the input limit: nothing is read while In holds so many bytes.
+// SetInputLimit sets the input limit. Nothing is read while In has at least this many bytes.
 func (c *Conn) SetInputLimit(inputLimit int) {
 	c.inputLimit = inputLimit
 	c.updateInterest()
 }
 
-// ReadNow reads what has arrived by now, without waiting for the next round.
+// ReadNow reads the data that has arrived, without waiting for the next round.
 func (c *Conn) ReadNow() {
 	if c.IsOpen() && !c.connecting {
 		c.read(false)
 	}
 }
 
-// read reads what has arrived and calls the handler. hungUp says that epoll reported an error or the end of both
+// read reads the data that has arrived and calls the handler. hungUp is set if epoll reported an error or the end of both
 // directions.
 func (c *Conn) read(hungUp bool) {
 	received, end := c.fillInput()
@@ -44,7 +44,7 @@
 	if received {
 		c.handler.Data()
 	}
-	if end == nil && hungUp && !received && !c.closed { // reset while reading pauses, or both directions have ended
+	if end == nil && hungUp && !received && !c.closed { // reset while the input limit is reached, or both directions have ended
 		end = unix.ECONNRESET
 	}
 	if end != nil && !c.closed {
@@ -52,8 +52,8 @@
 	}
 }
 
-// fillInput reads into the input buffer. It returns whether anything was received, and why no more will be: io.EOF, a
-// system error or ErrBuffersFull; nil where more may come.
+// fillInput reads into the input buffer. received is set if any bytes were read. end is the reason why no more bytes will
+// be read: io.EOF, a system error or ErrBuffersFull. It is nil if more bytes may follow.
 func (c *Conn) fillInput() (received bool, end error) {
 	for range maxReadsPerRound {
 		if len(c.input) >= c.inputLimit || c.inputEnded {
--- a/internal/eventloop/conn_write.go
+++ b/internal/eventloop/conn_write.go
@@ -2,7 +2,7 @@
 
 import "golang.org/x/sys/unix"
 
-// Write sends as much of the data as the system takes at once, and buffers the rest. An error reaches the handler's
+// Write sends as much of the data as the system accepts now and buffers the rest. An error is passed to the handler's
 // Ended in the next round.
 func (c *Conn) Write(data []byte) {
 	if !c.IsOpen() || len(data) == 0 {
@@ -22,10 +22,11 @@
 	}
 }
 
-// Pending returns how many bytes the system has not taken yet.
+// Pending returns how many written bytes the system has not accepted yet.
 func (c *Conn) Pending() int { return len(c.output) }
 
-// Unacknowledged returns how many bytes the other side's system has not taken yet, as far as this system knows.
+// Unacknowledged returns how many written bytes the peer's system has not acknowledged, including the bytes that are still
+// buffered here. If the system can't report the size of its send queue, only the buffered bytes are counted.
 func (c *Conn) Unacknowledged() int {
 	queued, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
 	if err != nil {
@@ -34,12 +35,12 @@
 	return len(c.output) + queued
 }
 
-// SetSendBuffer bounds what the system buffers for writing, in bytes, so that Pending soon shows a slow receiver.
+// SetSendBuffer limits the size of the system's send buffer, in bytes, so that Pending soon grows if the peer reads slowly.
 func (c *Conn) SetSendBuffer(size int) {
 	_ = unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, size)
 }
 
-// enqueue buffers data that the system does not take yet.
+// enqueue buffers data that the system does not accept yet.
 func (c *Conn) enqueue(data []byte) {
 	if !c.loop.hasBufferSpace(len(data)) {
 		c.failNextRound(ErrBuffersFull)
@@ -50,7 +51,7 @@
 	c.updateInterest()
 }
 
-// trySend sends what the system takes now, and returns how many bytes that were.
+// trySend sends as much data as the system accepts now and returns the number of bytes sent.
 func (c *Conn) trySend(data []byte) (int, error) {
 	sent := 0
 	for sent < len(data) {
@@ -68,7 +69,8 @@
 	return sent, nil
 }
 
-// flush sends what is buffered, as far as the system takes it, and returns whether the connection is still open.
+// flush sends as much of the buffered data as the system accepts now. It returns false if sending failed or the handler
+// closed the connection.
 func (c *Conn) flush() bool {
 	sent, err := c.trySend(c.output)
 	if err != nil {
@@ -86,7 +88,8 @@
 	return !c.closed
 }
 
-// failNextRound passes an error to the handler in the next round, as it may not expect a callback inside its own call.
+// failNextRound passes an error to the handler in the next round, as the handler may not expect a callback during its own
+// call of Write.
 func (c *Conn) failNextRound(err error) {
 	c.failed = true
 	c.loop.NextRound(func() {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -10,16 +10,16 @@
 
 const (
 	maxEventsPerRound = 256
-	scratchBytes      = 64 << 10 // read from a descriptor at once, at most
-	maxWaitMs         = 1000.0   // of a round for an event
-	delayThresholdMs  = 25.0     // of a round without the wait, above which OnDelay is called
+	scratchBytes      = 64 << 10 // maximum size of one read from a descriptor
+	maxWaitMs         = 1000.0   // maximum time that a round waits for an event
+	delayThresholdMs  = 25.0     // duration of a round, without its wait, above which OnDelay is called
 )
 
-// watcher handles the epoll events of its descriptor.
+// watcher handles the epoll events of a descriptor.
 type watcher interface{ ready(events uint32) }
 
-// registration is a descriptor's watcher. The generation tells it from an earlier descriptor of the same number, whose
-// events may still be among those of the round.
+// registration holds the watcher of a descriptor. The generation distinguishes the descriptor from an earlier one with the
+// same number, whose events may still be among the events of the round.
 type registration struct {
 	watcher    watcher
 	generation int32
@@ -28,25 +28,25 @@
 // Loop waits for events and handles them round by round.
 type Loop struct {
 	*Timers
-	// MaxBufferedBytes bounds the buffers of all connections together; 0: no bound.
+	// MaxBufferedBytes limits the size of the buffers of all connections together; 0: no limit.
 	MaxBufferedBytes int
-	// OnDelay, where set, is called after a round that took long, with its time without the wait.
+	// OnDelay, if set, is called after a round that took longer than delayThresholdMs, with its duration without the wait.
 	OnDelay func(ms float64)
 
 	epollFD       int
 	wakeFD        int // an eventfd that Post writes to
 	registrations map[int32]registration
-	generation    int32    // of the last registration
-	nextRound     []func() // to be called in the next round
-	scratch       []byte   // for reading, within one call
+	generation    int32    // generation of the last registration
+	nextRound     []func() // functions to be called in the next round
+	scratch       []byte   // read buffer; its contents are valid within one call
 	stopped       bool
-	bufferedBytes int // in the buffers of all connections
+	bufferedBytes int // size of the data in the buffers of all connections
 
 	postedMutex sync.Mutex
-	posted      []func() // by other goroutines
+	posted      []func() // functions passed to Post that have not run yet
 }
 
-// New returns a Loop on a clock. It fails where the system has no descriptors for it.
+// New returns a Loop that uses a clock. It fails if the system has no free descriptors.
 func New(clock *Clock) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -73,10 +73,10 @@
 	l.posted = append(l.posted, fn)
 	l.postedMutex.Unlock()
 	one := []byte{1, 0, 0, 0, 0, 0, 0, 0}
-	_, _ = unix.Write(l.wakeFD, one) // fails only where a wake-up is pending already
+	_, _ = unix.Write(l.wakeFD, one) // fails only if a wake-up is already pending
 }
 
-// ready runs the functions that other goroutines have posted.
+// ready handles the wake-up events: it runs the functions that were posted.
 func (l *Loop) ready(uint32) {
 	var count [8]byte
 	_, _ = unix.Read(l.wakeFD, count[:]) // resets the eventfd
@@ -92,13 +92,13 @@
 // NextRound runs a function in the next round, which starts without waiting.
 func (l *Loop) NextRound(fn func()) { l.nextRound = append(l.nextRound, fn) }
 
-// Wake makes the next round start without waiting, so that its step function sees what was changed in this one.
+// Wake makes the next round start without waiting, so that its step function processes changes made in this round.
 func (l *Loop) Wake() { l.NextRound(func() {}) }
 
-// Stop ends Run after the present round.
+// Stop ends Run after the current round.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run handles events until Stop, and calls step at the end of each round. It fails where epoll does.
+// Run handles events until Stop is called. It calls step at the end of each round. It returns an error if epoll fails.
 func (l *Loop) Run(step func()) error {
 	events := make([]unix.EpollEvent, maxEventsPerRound)
 	for !l.stopped {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// runNextRound runs the functions that were meant for this round.
+// runNextRound runs the functions that NextRound queued for this round.
 func (l *Loop) runNextRound() {
 	functions := l.nextRound
 	l.nextRound = nil
@@ -127,7 +127,8 @@
 	}
 }
 
-// handleEvents passes events to the watchers of their descriptors, except where a descriptor was closed meanwhile.
+// handleEvents passes events to the watchers of their descriptors. It ignores events of descriptors that were closed
+// during the round.
 func (l *Loop) handleEvents(events []unix.EpollEvent) {
 	for _, event := range events {
 		r, ok := l.registrations[event.Fd]
@@ -137,7 +138,7 @@
 	}
 }
 
-// waitMs is how long the next round may wait for an event, in whole milliseconds.
+// waitMs returns how long the next round may wait for an event, in whole milliseconds.
 func (l *Loop) waitMs() int {
 	if len(l.nextRound) > 0 {
 		return 0
@@ -155,7 +156,7 @@
 	closeFD(l.epollFD)
 }
 
-// register starts to watch a descriptor for events. On an error the caller still owns the descriptor.
+// register starts to watch a descriptor for events. If it fails, the caller still owns the descriptor.
 func (l *Loop) register(fd int, w watcher, events uint32) error {
 	l.generation++
 	l.registrations[int32(fd)] = registration{w, l.generation}
@@ -170,10 +171,10 @@
 // setInterest changes the events that a descriptor is watched for.
 func (l *Loop) setInterest(fd int, events uint32) {
 	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrations[int32(fd)].generation}
-	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, &event) // fails only for a descriptor that is not registered
+	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, &event) // fails only if the descriptor is not registered
 }
 
-// unregisterAndClose closes a descriptor; events of it that are still to come are ignored.
+// unregisterAndClose closes a descriptor. Its remaining events of the round are ignored.
 func (l *Loop) unregisterAndClose(fd int) {
 	delete(l.registrations, int32(fd))
 	closeFD(fd)
--- a/internal/eventloop/packet.go
+++ b/internal/eventloop/packet.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// maxPacketsPerRound bounds the datagrams that one socket receives in a round, so that none starves the others.
+	// maxPacketsPerRound limits the datagrams that one socket receives in a round, so that it doesn't starve the other
+	// descriptors.
 	maxPacketsPerRound = 64
-	// maxPacketBytes is the size that a longer datagram is cut to.
+	// maxPacketBytes is the maximum size of a received datagram. A longer datagram is truncated.
 	maxPacketBytes = 2048
-	// receiveBufferBytes is the size asked of the system's receive buffer.
+	// receiveBufferBytes is the size that is requested for the system's receive buffer.
 	receiveBufferBytes = 1 << 20
 )
 
@@ -24,8 +25,8 @@
 	receive func(from netip.AddrPort, data []byte)
 }
 
-// ListenPacket receives datagrams on an address. receive is called for each in the round in which it is read; its data
-// is valid during the call. The error names the address.
+// ListenPacket receives datagrams on an address. receive is called for each datagram in the round in which it is read. data
+// is valid only during the call. A returned error contains the address.
 func (l *Loop) ListenPacket(addr string, receive func(from netip.AddrPort, data []byte)) (*PacketConn, error) {
 	fd, sockaddr, err := newSocket(addr, unix.SOCK_DGRAM)
 	if err != nil {
@@ -48,11 +49,11 @@
 	return p, nil
 }
 
-// Addr returns the address received on; its port is the real one where 0 was asked for.
+// Addr returns the address that the socket is bound to. If port 0 was requested, it contains the port that the system chose.
 func (p *PacketConn) Addr() netip.AddrPort { return p.addr }
 
-// ready handles the epoll events of the socket: it passes on the datagrams that have arrived, at most
-// maxPacketsPerRound. An error ends the round's receiving; the next event tries again.
+// ready handles the epoll events of the socket. It passes the datagrams that have arrived to receive, at most
+// maxPacketsPerRound. After an error it stops receiving until the next event.
 func (p *PacketConn) ready(uint32) {
 	for range maxPacketsPerRound {
 		if p.fd < 0 {
@@ -71,8 +72,8 @@
 	}
 }
 
-// SendTo sends a datagram. It returns false where the datagram was dropped, as the system has no space for it now or no
-// route to the receiver.
+// SendTo sends a datagram. It returns false if the datagram was dropped, for example because the system's send buffer is
+// full or there is no route to the receiver.
 func (p *PacketConn) SendTo(to netip.AddrPort, data []byte) bool {
 	if p.fd < 0 {
 		return false
@@ -80,7 +81,7 @@
 	return unix.Sendto(p.fd, data, unix.MSG_DONTWAIT, toSockaddr(to)) == nil
 }
 
-// Close closes the socket; no further datagram is received.
+// Close closes the socket. No further datagram is passed to receive.
 func (p *PacketConn) Close() {
 	if p.fd >= 0 {
 		p.loop.unregisterAndClose(p.fd)
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// newSocket creates a non-blocking socket of a kind (unix.SOCK_STREAM, unix.SOCK_DGRAM), of the address's family, and
-// returns it with the address. The address is an IP address and a port.
+// newSocket creates a non-blocking socket of a kind (unix.SOCK_STREAM or unix.SOCK_DGRAM) for the family of an address. addr
+// is an IP address and a port; newSocket returns it in the system's form as well.
 func newSocket(addr string, kind int) (fd int, sockaddr unix.Sockaddr, err error) {
 	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -25,14 +25,14 @@
 	return fd, toSockaddr(addrPort), nil
 }
 
-// closeFD closes a descriptor. The error is dropped: Linux closes the descriptor in any case, and nothing was written
-// that a failed close could lose.
+// closeFD closes a descriptor. The error is ignored, as Linux closes the descriptor in any case and there is no written
+// data that a failed close could lose.
 func closeFD(fd int) { _ = unix.Close(fd) }
 
-// setNoDelay makes the system send at once what is written. A failure costs time only.
+// setNoDelay makes the system send written data at once. A failure is ignored, as it only delays the data.
 func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
 
-// localAddr returns the address that a socket is bound to; "" where that is unknown.
+// localAddr returns the address that a socket is bound to, or "" if the system can't report it.
 func localAddr(fd int) string {
 	sockaddr, err := unix.Getsockname(fd)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return addr.String()
 }
 
-// fromSockaddr returns the IP address and port of a socket address; false where it is of another family.
+// fromSockaddr returns the IP address and port of a socket address. It returns false if the address is of another family.
 func fromSockaddr(sockaddr unix.Sockaddr) (netip.AddrPort, bool) {
 	switch sockaddr := sockaddr.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/eventloop/syn_filter.go
+++ b/internal/eventloop/syn_filter.go
@@ -2,8 +2,8 @@
 
 import "golang.org/x/sys/unix"
 
-// Instructions of the system's classic packet filter, and what they look at. A filter of a TCP socket sees a packet from
-// its TCP header on.
+// Instructions of a classic BPF program and their operands. The filter of a TCP socket gets each packet starting with its
+// TCP header.
 const (
 	filterLoadByte     = unix.BPF_LD | unix.BPF_B | unix.BPF_ABS
 	filterJumpIfSet    = unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K
@@ -15,10 +15,10 @@
 	skipOneInstruction = 1
 )
 
-// dropNewConnections has the system drop the packets that open connections to a listening socket. Their clients send them
-// again a second later, and are refused then if the socket is closed. Connections that are being established go on. Where
-// the system allows no filter nothing changes.
-func dropNewConnections(fd int) {
+// attachSYNFilter makes the system drop the SYN packets that open connections to a listening socket. A client sends its SYN
+// packet again after a second, and its connection is refused if the socket is closed by then. Handshakes that have begun
+// are not affected. If the system doesn't allow the filter, no packets are dropped.
+func attachSYNFilter(fd int) {
 	program := []unix.SockFilter{
 		{Code: filterLoadByte, K: tcpFlagsOffset},
 		{Code: filterJumpIfSet, K: tcpFlagSYN, Jf: skipOneInstruction},
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -5,11 +5,11 @@
 // notQueued is the index of a timer that has fired or was stopped.
 const notQueued = -1
 
-// Timer calls a function once.
+// Timer calls a function once, at or after its due time.
 type Timer struct {
 	dueMs    float64
-	order    uint64 // among the timers of one time
-	index    int    // in the queue
+	sequence uint64 // order of creation, for timers that are due at the same time
+	index    int    // position in the queue, or notQueued
 	callback func()
 	timers   *Timers
 }
@@ -21,7 +21,7 @@
 	}
 }
 
-// Timers holds the timers of one clock. Timers that are due at one time fire in the order of their creation.
+// Timers holds the timers of one clock. Timers that are due at the same time fire in the order of their creation.
 type Timers struct {
 	Clock   *Clock
 	queue   timerQueue
@@ -31,7 +31,7 @@
 // At calls a function in the first round at or after a time.
 func (t *Timers) At(ms float64, callback func()) *Timer {
 	t.created++
-	timer := &Timer{dueMs: ms, order: t.created, callback: callback, timers: t}
+	timer := &Timer{dueMs: ms, sequence: t.created, callback: callback, timers: t}
 	heap.Push(&t.queue, timer)
 	return timer
 }
@@ -39,11 +39,11 @@
 // After calls a function in the first round after some milliseconds.
 func (t *Timers) After(ms float64, callback func()) *Timer { return t.At(t.Clock.Now()+ms, callback) }
 
-// WakeAt ensures a round at or after a time. Stopping the Timer takes that back.
+// WakeAt ensures that a round runs at or after a time, unless the returned Timer is stopped before.
 func (t *Timers) WakeAt(ms float64) *Timer { return t.At(ms, func() {}) }
 
-// Fire calls the functions of the timers that are due, also of those that are created meanwhile, and returns how many
-// they were.
+// Fire calls the functions of the timers that are due, including timers that are created by these functions, and returns
+// the number of timers that fired.
 func (t *Timers) Fire() int {
 	now, fired := t.Clock.Now(), 0
 	for len(t.queue) > 0 && t.queue[0].dueMs <= now {
@@ -54,7 +54,7 @@
 	return fired
 }
 
-// Next returns the time of the next timer, and whether there is one.
+// Next returns the due time of the next timer. It returns false if there is no timer.
 func (t *Timers) Next() (ms float64, ok bool) {
 	if len(t.queue) == 0 {
 		return 0, false
@@ -62,13 +62,13 @@
 	return t.queue[0].dueMs, true
 }
 
-// timerQueue is a heap.Interface with the next timer first.
+// timerQueue implements heap.Interface, with the next timer first.
 type timerQueue []*Timer
 
 func (q timerQueue) Len() int { return len(q) }
 
 func (q timerQueue) Less(i, j int) bool {
-	return q[i].dueMs < q[j].dueMs || q[i].dueMs == q[j].dueMs && q[i].order < q[j].order
+	return q[i].dueMs < q[j].dueMs || q[i].dueMs == q[j].dueMs && q[i].sequence < q[j].sequence
 }
 
 func (q timerQueue) Swap(i, j int) {
