--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// echoHandler sends back what arrives; it stops the loop when the other side has ended.
+// echoHandler sends back the data that arrives. It stops the loop when the connection has ended.
 type echoHandler struct {
 	conn *Conn
 	ends []error
@@ -45,7 +45,7 @@
 	return loop
 }
 
-// dialTCP connects to an address for the time of the test.
+// dialTCP connects to an address. The connection is closed at the end of the test.
 func dialTCP(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", addr)
@@ -56,11 +56,12 @@
 	return conn.(*net.TCPConn)
 }
 
-// closeConn closes a test's own side. The error is dropped: the test may have closed it already.
+// closeConn closes the test's side of a connection. The error is ignored, as the test may have closed it already.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
-// newEcho runs a loop with an echo server and returns it with a connection to it and the result of Run.
-func newEcho(t *testing.T) (*Loop, *echoHandler, *net.TCPConn, chan error) {
+// startEchoServer runs a loop with an echo server. It returns the loop, the handler of the server, a connection to the
+// server, and a channel that gets the result of Run.
+func startEchoServer(t *testing.T) (*Loop, *echoHandler, *net.TCPConn, chan error) {
 	t.Helper()
 	loop := newLoop(t)
 	echo := &echoHandler{}
@@ -85,46 +86,48 @@
 	return loop, echo, conn, done
 }
 
+// The peer does not read for some time, so that the loop's writes are partial. All data must be sent in the end, and the
+// buffers must be empty.
 func TestEchoThroughPartialWrites(t *testing.T) {
-	loop, echo, conn, done := newEcho(t)
-	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<17) // 2 MiB: more than the system's buffers take
+	loop, echo, conn, done := startEchoServer(t)
+	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<17) // 2 MiB, more than the system's buffers hold
 	go func() {
-		_, _ = conn.Write(sent) // an error shows in what comes back
+		_, _ = conn.Write(sent) // an error is detected by the data that is read back
 		_ = conn.CloseWrite()
 	}()
-	time.Sleep(50 * time.Millisecond) // nothing is read meanwhile: the loop's writes are partial
+	time.Sleep(50 * time.Millisecond) // without reading, so that the loop's writes are partial
 	got := make([]byte, len(sent))
 	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, sent) {
-		t.Fatalf("%v, equal %v", err, bytes.Equal(got, sent))
+		t.Fatalf("error %v, data equal %v", err, bytes.Equal(got, sent))
 	}
 	closeConn(conn)
 	if err := <-done; err != nil || loop.bufferedBytes != 0 {
-		t.Errorf("%v, %d bytes are buffered", err, loop.bufferedBytes)
+		t.Errorf("error %v, %d bytes are still buffered", err, loop.bufferedBytes)
 	}
 	if len(echo.ends) == 0 || !slices.Equal(echo.ends[:1], []error{io.EOF}) {
-		t.Errorf("ends %v", echo.ends)
+		t.Errorf("Ended called with %v, want io.EOF first", echo.ends)
 	}
 }
 
 func TestResetAndFullBuffersEndAConnection(t *testing.T) {
 	t.Run("reset", func(t *testing.T) {
-		_, echo, conn, done := newEcho(t)
+		_, echo, conn, done := startEchoServer(t)
 		if err := conn.SetLinger(0); err != nil {
 			t.Fatal(err)
 		}
 		closeConn(conn)
 		if err := <-done; err != nil || !slices.Equal(echo.ends, []error{unix.ECONNRESET}) {
-			t.Errorf("%v, ends %v", err, echo.ends)
+			t.Errorf("error %v, Ended called with %v", err, echo.ends)
 		}
 	})
 	t.Run("full buffers", func(t *testing.T) {
-		loop, echo, conn, done := newEcho(t)
+		loop, echo, conn, done := startEchoServer(t)
 		loop.Post(func() { loop.MaxBufferedBytes = 100 })
 		if _, err := conn.Write(make([]byte, 101)); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-done; err != nil || !slices.Equal(echo.ends, []error{ErrBuffersFull}) || loop.bufferedBytes != 0 {
-			t.Errorf("%v, ends %v, %d bytes are buffered", err, echo.ends, loop.bufferedBytes)
+			t.Errorf("error %v, Ended called with %v, %d bytes are still buffered", err, echo.ends, loop.bufferedBytes)
 		}
 	})
 }
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// setMaxDescriptors sets how many descriptors this process may have, and returns the limits before.
+// setMaxDescriptors sets the maximum number of open descriptors of this process and returns the previous limits.
 func setMaxDescriptors(t *testing.T, count uint64) unix.Rlimit {
 	t.Helper()
 	var before unix.Rlimit
@@ -23,8 +23,8 @@
 	return before
 }
 
-// A connection can't be accepted for want of descriptors: the listener pauses, then accepts it.
-func TestAcceptGoesOnAfterEMFILE(t *testing.T) {
+// A connection can't be accepted because no descriptor is free. The listener must pause, and accept the connection later.
+func TestAcceptResumesAfterEMFILE(t *testing.T) {
 	loop := newLoop(t)
 	accepted, failed := 0, 0
 	listener, err := loop.Listen("127.0.0.1:0", func(fd int) {
@@ -43,17 +43,17 @@
 		t.Fatal(err)
 	}
 	if failed != 1 || accepted != 0 {
-		t.Fatalf("%d failures, %d accepted", failed, accepted)
+		t.Fatalf("%d failures, %d connections accepted; want 1 and 0", failed, accepted)
 	}
 	loop.After(20_000, loop.Stop)
 	if err := loop.Run(func() {}); err != nil || accepted != 1 {
-		t.Errorf("%v, %d accepted", err, accepted)
+		t.Errorf("error %v, %d connections accepted, want 1", err, accepted)
 	}
 }
 
-// More clients wait in the backlog than are accepted in a round when the listener is to close. Those that are not
-// accepted before would be reset, with whatever they have sent.
-func TestAcceptAllLeavesNobodyInTheBacklog(t *testing.T) {
+// Before the listener closes, more clients wait in the backlog than are accepted in one round. All must be accepted:
+// connections that are left in the backlog are reset by Close, and the data that the clients have sent is lost.
+func TestAcceptAllEmptiesTheBacklog(t *testing.T) {
 	loop := newLoop(t)
 	accepted := 0
 	listener, err := loop.Listen("127.0.0.1:0", func(fd int) {
@@ -68,18 +68,18 @@
 		dialTCP(t, listener.Addr())
 	}
 	if listener.AcceptPending(); accepted != maxAcceptsPerRound {
-		t.Errorf("%d accepted in one round", accepted)
+		t.Errorf("%d connections accepted in one round", accepted)
 	}
 	if listener.AcceptAll(); accepted != clients {
-		t.Errorf("%d of %d accepted before the end", accepted, clients)
+		t.Errorf("%d of %d connections accepted before the close", accepted, clients)
 	}
 	listener.Close()
-	listener.AcceptAll() // of a listener that is closed: nothing
+	listener.AcceptAll() // must have no effect on a closed listener
 }
 
-// Between the last accept and the close no connection is established any more: it would be reset, with a request that its
-// client may have sent by then.
-func TestNothingIsEstablishedAfterAcceptAll(t *testing.T) {
+// Between AcceptAll and Close no connection may be established. It would be reset by Close, and a request that its client
+// has sent by then would be lost.
+func TestNoConnectionIsEstablishedAfterAcceptAll(t *testing.T) {
 	loop := newLoop(t)
 	listener, err := loop.Listen("127.0.0.1:0", closeFD, func(err error) { t.Error(err) })
 	if err != nil {
@@ -90,13 +90,14 @@
 	conn, err := net.DialTimeout("tcp4", listener.Addr(), 100*time.Millisecond)
 	if err == nil {
 		_ = conn.Close()
-		t.Error("a connection was established that the listener does not accept")
+		t.Error("a connection was established after AcceptAll")
 	}
 	listener.Close()
 }
 
-// Clients connect without a pause while the listener closes: whoever is connected is accepted.
-func TestNoConnectionIsResetByTheClose(t *testing.T) {
+// Clients connect continuously while the listener closes. Each connection that is established must be accepted, and none
+// may be reset.
+func TestCloseResetsNoConnection(t *testing.T) {
 	for range 40 {
 		loop := newLoop(t)
 		listener, err := loop.Listen("127.0.0.1:0", func(fd int) {
@@ -124,14 +125,15 @@
 	}
 }
 
-// acceptFor accepts connections for some time.
+// acceptFor accepts connections for a duration.
 func acceptFor(listener *Listener, duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		listener.AcceptPending()
 	}
 }
 
-// connectUntilRefused connects again and again, and counts the connections on which nothing came from the listener.
+// connectUntilRefused connects repeatedly until a connection is refused. It returns the number of connections on which the
+// listener sent nothing.
 func connectUntilRefused(address string) (lost int) {
 	for {
 		conn, err := net.DialTimeout("tcp4", address, 20*time.Millisecond)
--- a/internal/eventloop/timers_test.go
+++ b/internal/eventloop/timers_test.go
@@ -21,10 +21,10 @@
 	nowMs = 104
 	timers.Fire()
 	if atMs, ok := timers.Next(); string(fired) != "a" || atMs != 105 || !ok {
-		t.Fatalf("fired %s, next at %v", fired, atMs)
+		t.Fatalf("fired %q, next timer at %v ms; want \"a\" and 105", fired, atMs)
 	}
 	nowMs = 105
 	if count := timers.Fire(); count != 2 || string(fired) != "abc" {
-		t.Errorf("%d at last, fired %s", count, fired)
+		t.Errorf("last call fired %d timers, all fired %q; want 2 and \"abc\"", count, fired)
 	}
 }
