--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -16,8 +16,8 @@
 	// routing.AttemptResult identify an attempt by it. The router counts the attempts itself, in the same order.
 	number int
 	host   *host
-	// conn is nil while the attempt waits for a connection. It stays set after the attempt has ended. The connection may
-	// then carry another attempt; abortAttempt doesn't close it only because it checks ended first.
+	// conn is nil while the attempt waits for a connection. It stays set after the attempt has ended, when the connection
+	// may already carry another attempt. abortAttempt must check ended first, or it would close that connection.
 	conn         *pooledConn
 	sendBeforeMs float64 // the command is not sent at or after this time; 0: no such time
 	// written is set when the last byte of the command was handed to the system, so that the command may run. An
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -21,7 +21,8 @@
 	maintainIntervalMs = 500.0
 )
 
-// errConnectionLimit is returned when Limits.MaxConns is reached and attempts wait for all idle connections.
+// errConnectionLimit is returned when Limits.MaxConns is reached and no idle connection can be closed, because there is
+// none or attempts wait for all of them.
 var errConnectionLimit = errors.New("all connections to hosts are in use")
 
 // assignConn sends an attempt on an idle connection, or queues it until a connection is free. Attempts that already wait
--- a/internal/proxy/pooled_conn.go
+++ b/internal/proxy/pooled_conn.go
@@ -9,7 +9,7 @@
 	"merlinjunction/routing"
 )
 
-// pooledConn is an upstream connection in a host's pool, and the UpstreamHandler of its UpstreamConn.
+// pooledConn is an upstream connection of a host's pool. It is the UpstreamHandler of its UpstreamConn.
 type pooledConn struct {
 	host         *host
 	address      string // address that was dialed; the address of the host may have changed since
