--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -21,7 +21,7 @@
 )
 
 // Stop starts a graceful shutdown; any goroutine may call it.
-func (s *Server) Stop() { s.loop.Notify(s.shutDown) }
+func (s *Server) Stop() { s.loop.Post(s.shutDown) }
 
 // shutDown starts a graceful shutdown: new clients are accepted for drainNoticeMs, then the gateway drains. Where a
 // sibling process may have taken over the listener the gateway drains at once.
@@ -41,7 +41,7 @@
 		s.drain()
 		return
 	}
-	s.loop.After(drainNoticeMs-handshakeMs, s.clientListener.DropNew)
+	s.loop.After(drainNoticeMs-handshakeMs, s.clientListener.DropNewConnections)
 	s.loop.After(drainNoticeMs, func() {
 		s.clientListener.AcceptAll()
 		s.drain()
