--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -131,8 +131,8 @@
 			return err
 		}
 	}
-	if operator.HTTP != "" {
-		s.httpCheckListener, err = health.ServeHTTP(s.loop, operator.HTTP, s.health, s.onAcceptError)
+	if operator.HTTPCheck != "" {
+		s.httpCheckListener, err = health.ServeHTTP(s.loop, operator.HTTPCheck, s.health, s.onAcceptError)
 	}
 	return err
 }
--- a/internal/server/operator_config.go
+++ b/internal/server/operator_config.go
@@ -30,7 +30,7 @@
 // OperatorConfig is the part of a configuration that sets up the extended frontend.
 type OperatorConfig struct {
 	AgentCheck            string // address of load balancers' agent checks; "": none
-	HTTP                  string // address of load balancers' HTTP checks; "": none
+	HTTPCheck             string // address of load balancers' HTTP checks; "": none
 	Rules                 extended.Rules
 	Login                 hostLogin
 	HealthCheck           pg.Command // nil: none
@@ -60,7 +60,7 @@
 
 // config checks and converts the file.
 func (f *operatorFile) config() (*Config, error) {
-	operator := &OperatorConfig{AgentCheck: f.Health.AgentCheck, HTTP: f.Health.HTTP, Login: f.HostLogin}
+	operator := &OperatorConfig{AgentCheck: f.Health.AgentCheck, HTTPCheck: f.Health.HTTP, Login: f.HostLogin}
 	config := &Config{
 		Name:              f.Name,
 		Listen:            f.Listen,
