--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -12,30 +12,30 @@
 type Config struct {
 	Name       string
 	Listen     string // address of the clients' listener
-	Management string // address of the management calls; "": none
-	Discovery  string // address of discovery; "": none
-	// FileDiscovery is the address of discovery in the file. Discovery is another one where the environment overrides
-	// it. A reload applies a new address only where FileDiscovery has changed.
+	Management string // address of the management listener; "": none
+	Discovery  string // address of the discovery service; "": none
+	// FileDiscovery is the discovery address in the file. Discovery differs from it if the environment overrides it. A
+	// reload applies a new address only if FileDiscovery has changed.
 	FileDiscovery string
-	ConfigPath    string // of the file, which is read again at SIGHUP
+	ConfigPath    string // path of the configuration file, which is read again at SIGHUP
 
 	ListenFD int    // descriptor of the inherited listener; 0: none
-	StateDir string // directory of the state that sibling processes share
+	StateDir string // directory of the state that sibling processes share; used only with an inherited listener
 
-	Seed              uint64 // of all random choices
-	MemoryMB          int
-	Sockets           int // descriptors that the process may use
+	Seed              uint64 // seed of all random choices
+	MemoryMB          int    // memory limit
+	Sockets           int    // descriptors that the process may use
 	Settings          routing.Settings
 	ConnectTimeoutMs  float64
-	HostIdleTimeoutMs float64 // after which an unused connection to a host is closed
+	HostIdleTimeoutMs float64 // time after which an unused connection to a host is closed
 
-	KnownHosts    []proxy.Host // known before discovery responds
-	KnownRevision int64        // of the endpoint list that they are from; discovery.NoRevision: none
+	KnownHosts    []proxy.Host // hosts that are known before discovery responds
+	KnownRevision int64        // revision of the endpoint list with KnownHosts; discovery.NoRevision: unknown
 
-	Operator *OperatorConfig // of the extended frontend; nil: the platform's frontend
+	Operator *OperatorConfig // configuration of the extended frontend; nil: the platform's frontend is used
 }
 
-// Defaults of settings that a configuration may leave out, and bounds.
+// Defaults of optional settings, and lower bounds.
 const (
 	defaultMemoryMB         = 192
 	defaultSockets          = 1024
@@ -44,9 +44,9 @@
 	minSockets              = 64
 )
 
-// Reload reads the file of the configuration again. For discovery's address it ignores the environment, which is still
-// that of the start. So where only the environment names discovery, on the platform, Reload finds an empty address and
-// fails with a *ConfigError each time.
+// Reload reads the configuration file again. It ignores the discovery address in the environment, because the
+// environment is still that of the process's start. If the platform's file has no discovery address and only the
+// environment has one, each Reload therefore fails with a *ConfigError.
 func (c *Config) Reload() (*Config, error) {
 	if c.Operator != nil {
 		return LoadOperator(c.ConfigPath)
@@ -59,10 +59,10 @@
 	})
 }
 
-// memoryBytes is the memory limit of the gateway.
+// memoryBytes returns the memory limit of the gateway.
 func (c *Config) memoryBytes() int { return c.MemoryMB << 20 }
 
-// applyDefaults fills in what a configuration has left out.
+// applyDefaults sets the default of each optional setting that the configuration leaves out.
 func (c *Config) applyDefaults() {
 	if c.MemoryMB <= 0 {
 		c.MemoryMB = defaultMemoryMB
@@ -78,10 +78,10 @@
 	}
 }
 
-// validate checks what the configurations of both frontends share. The error is a *ConfigError.
+// validate checks the settings that both frontends use. The error is a *ConfigError.
 func (c *Config) validate() error {
 	if c.Sockets < minSockets {
-		return invalidKey("limits.sockets", "%d is too few, %d are needed", c.Sockets, minSockets)
+		return invalidKey("limits.sockets", "%d is too few, expected at least %d", c.Sockets, minSockets)
 	}
 	if _, err := routing.New(c.Settings, 1); err != nil {
 		return &ConfigError{Key: "settings", Err: err}
@@ -94,17 +94,17 @@
 	return checkAddress("listen", c.Listen)
 }
 
-// checkAddress checks the address and port of a key. The error is a *ConfigError.
+// checkAddress checks that the value of a key is an IP address and port. The error is a *ConfigError.
 func checkAddress(key, address string) error {
 	_, err := parseAddress(key, address)
 	return err
 }
 
-// parseAddress reads the address and port of a key. The error is a *ConfigError.
+// parseAddress parses the value of a key, which must be an IP address and port. The error is a *ConfigError.
 func parseAddress(key, address string) (netip.AddrPort, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return parsed, invalidKey(key, "%q is no address and port", address)
+		return parsed, invalidKey(key, "%q is not an IP address and port", address)
 	}
 	return parsed, nil
 }
--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// A wrong configuration is reported in one line that names the key.
-func TestBadConfigurationIsNamed(t *testing.T) {
-	t.Run("operator", testBadOperatorFile)
-	t.Run("platform", testBadPlatformFile)
+// An invalid configuration must be reported in one line that names the key.
+func TestInvalidConfigurationNamesKey(t *testing.T) {
+	t.Run("operator", testInvalidOperatorFile)
+	t.Run("platform", testInvalidPlatformFile)
 }
 
-func testBadOperatorFile(t *testing.T) {
-	good := operatorText(t, "127.0.0.1:1")
-	if _, err := loadOperatorText(t, good); err != nil {
+func testInvalidOperatorFile(t *testing.T) {
+	valid := operatorText(t, "127.0.0.1:1")
+	if _, err := loadOperatorText(t, valid); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
 		old, new, want string
-		key            string // of the ConfigError; "": the frontend's rules report it without one
+		key            string // key of the ConfigError; "": the error of the frontend's rules is no ConfigError
 	}{
 		{`need = "session"`, `need = "sesion"`, "class 2", `class 2 ("own-settings")`},
 		{`class = "own-settings"`, `class = "own"`, "statement 2: class", "statement 2: class"},
@@ -36,23 +36,23 @@
 		{`(?is)^select`, `(?is)^(select`, "pattern", "statement 2: pattern"},
 	} {
 		t.Run(c.new, func(t *testing.T) {
-			text := strings.Replace(good, c.old, c.new, 1)
-			if text == good {
-				t.Fatalf("%q is not there", c.old)
+			text := strings.Replace(valid, c.old, c.new, 1)
+			if text == valid {
+				t.Fatalf("the valid file does not contain %q", c.old)
 			}
 			_, err := loadOperatorText(t, text)
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want one line that contains %q", err, c.want)
 			}
 			var configError *ConfigError
 			if found := errors.As(err, &configError); found != (c.key != "") || found && configError.Key != c.key {
-				t.Errorf("key of %v is not %q", err, c.key)
+				t.Errorf("error %v does not have the key %q", err, c.key)
 			}
 		})
 	}
 }
 
-func testBadPlatformFile(t *testing.T) {
+func testInvalidPlatformFile(t *testing.T) {
 	for key, value := range map[string]any{"listen": "here", "discovery": "x", "settings": map[string]any{}} {
 		t.Run(key, func(t *testing.T) {
 			var file map[string]any
@@ -66,40 +66,46 @@
 			}
 			_, err = loadPlatformText(t, string(text))
 			if err == nil || !strings.Contains(err.Error(), key) {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want one that contains %q", err, key)
 			}
 			var configError *ConfigError
 			if !errors.As(err, &configError) || configError.Key != key {
-				t.Errorf("key of %v is not %q", err, key)
+				t.Errorf("error %v does not have the key %q", err, key)
 			}
 		})
 	}
 }
 
-// The messages are what an operator sees.
+// Operators see these messages, so their text is fixed here.
 func TestConfigErrorMessage(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want string
 	}{
 		{invalidKey("fleet.name", "is missing"), "fleet.name: is missing"},
-		{&ConfigError{Key: "rules.cold_ms", Err: errOutOfRange}, "rules.cold_ms is out of range"},
-		{&ConfigError{Key: `class 2 ("x"): aim_ms`, Err: errOutOfRange}, `class 2 ("x"): aim_ms is out of range`},
+		{
+			checkNumbers("rules.", []numericSetting{{"cold_ms", -1}}),
+			"rules.cold_ms: -1 is out of range, expected 0 to 3600000",
+		},
+		{
+			checkNumbers(`class 2 ("x"): `, []numericSetting{{"aim_ms", 4e6}}),
+			`class 2 ("x"): aim_ms: 4e+06 is out of range, expected 0 to 3600000`,
+		},
 		{&ConfigError{Key: "rules.gatewys", Err: errUnknownKey}, "unknown key rules.gatewys"},
-		{checkAddress("listen", "here"), `listen: "here" is no address and port`},
+		{checkAddress("listen", "here"), `listen: "here" is not an IP address and port`},
 	} {
 		if c.err.Error() != c.want {
-			t.Errorf("%q instead of %q", c.err, c.want)
+			t.Errorf("got %q, want %q", c.err, c.want)
 		}
 	}
 }
 
-// What clients prepare is bounded by the memory limit: a small gateway holds less.
+// The memory limit bounds the memory that prepared statements hold: a gateway with a lower limit holds less.
 func TestPreparedStatementsAreBoundedByTheMemoryLimit(t *testing.T) {
 	for memoryMB, want := range map[int]int{32: 8 << 20, 192: 48 << 20} {
 		s := &Server{config: &Config{MemoryMB: memoryMB}}
 		if got := s.newExtendedFrontend(&OperatorConfig{}).MaxReservedBytes; got != want {
-			t.Errorf("%d bytes of %d MB, want %d", got, memoryMB, want)
+			t.Errorf("got %d bytes with a limit of %d MB, want %d", got, memoryMB, want)
 		}
 	}
 }
--- a/internal/server/fleet_config.go
+++ b/internal/server/fleet_config.go
@@ -10,8 +10,8 @@
 	"merlinjunction/membership"
 )
 
-// fleetTable is [fleet] of an operator's file; docs/fleet-operators.md explains each key. Without it the gateway has no
-// fleet.
+// fleetTable is the table [fleet] of an operator's file; docs/fleet-operators.md explains each key. Without this table
+// the gateway joins no fleet.
 type fleetTable struct {
 	Name           string   `toml:"name"`
 	Listen         string   `toml:"listen"`
@@ -23,7 +23,7 @@
 	MessageVersion int      `toml:"message_version"`
 }
 
-// config converts the table for a gateway of some name. The error is a *ConfigError.
+// config validates and converts the table for the gateway with the given name. The error is a *ConfigError.
 func (f *fleetTable) config(gateway string, seed uint64) (*transport.Config, error) {
 	if err := f.validate(gateway); err != nil {
 		return nil, err
@@ -61,22 +61,24 @@
 	return config, nil
 }
 
-// validate checks the keys that are single values.
+// validate checks the gateway's name and the table's keys name, listen, zone and message_version.
 func (f *fleetTable) validate(gateway string) error {
 	switch {
 	case gateway == "" || len(gateway) > membership.MaxNameBytes:
-		return invalidKey("name", "a gateway of a fleet needs one of 1 to %d bytes", membership.MaxNameBytes)
+		return invalidKey("name", "%q has %d bytes, expected 1 to %d for a gateway with [fleet]",
+			gateway, len(gateway), membership.MaxNameBytes)
 	case f.Name == "":
 		return &ConfigError{Key: "fleet.name", Err: errors.New("is missing")}
 	case len(f.Zone) > membership.MaxZoneBytes:
-		return invalidKey("fleet.zone", "%q is longer than %d bytes", f.Zone, membership.MaxZoneBytes)
+		return invalidKey("fleet.zone", "%q has %d bytes, expected at most %d", f.Zone, len(f.Zone), membership.MaxZoneBytes)
 	case f.MessageVersion < 0 || f.MessageVersion > membership.Version:
-		return invalidKey("fleet.message_version", "%d is not spoken, 1 to %d are", f.MessageVersion, membership.Version)
+		return invalidKey("fleet.message_version", "%d is not supported, expected 1 to %d", f.MessageVersion, membership.Version)
 	}
 	return checkAddress("fleet.listen", f.Listen)
 }
 
-// parseNetworks reads the networks that datagrams may come from; nil, which allows all, for an empty list.
+// parseNetworks parses the networks from which datagrams are accepted. For an empty list it returns nil, which allows
+// all networks.
 func parseNetworks(networks []string) (*netipx.IPSet, error) {
 	if len(networks) == 0 {
 		return nil, nil
@@ -85,7 +87,7 @@
 	for _, network := range networks {
 		prefix, err := netip.ParsePrefix(network)
 		if err != nil {
-			return nil, invalidKey("fleet.networks", "%q is no network such as 10.0.0.0/8", network)
+			return nil, invalidKey("fleet.networks", "%q is not a network in CIDR notation such as 10.0.0.0/8", network)
 		}
 		builder.AddPrefix(prefix)
 	}
--- a/internal/server/fleet_test.go
+++ b/internal/server/fleet_test.go
@@ -11,14 +11,14 @@
 	"merlinjunction/internal/testkit"
 )
 
-// operatorHead begins an operator's file; FLEET stands for its [fleet].
-const operatorHead = `name = "a"
+// operatorFileTemplate is an operator's file in which FLEET stands for the table [fleet].
+const operatorFileTemplate = `name = "a"
 listen = "127.0.0.1:0"
 describe_class = "read"
 FLEET
 ` + testkit.UnreachableHostConfig
 
-const goodFleet = `[fleet]
+const validFleet = `[fleet]
 name = "f"
 listen = "127.0.0.1:0"
 seeds = ["127.0.0.1:7946"]
@@ -26,17 +26,17 @@
 networks = ["127.0.0.0/8"]
 `
 
-func loadFleet(t *testing.T, fleet string) (*Config, error) {
+func loadFleetTable(t *testing.T, fleet string) (*Config, error) {
 	t.Helper()
-	return loadOperatorText(t, strings.Replace(operatorHead, "FLEET\n", fleet, 1))
+	return loadOperatorText(t, strings.Replace(operatorFileTemplate, "FLEET\n", fleet, 1))
 }
 
-// A wrong [fleet] is reported in one line that names the key.
-func TestFleetKeys(t *testing.T) {
-	if c, err := loadFleet(t, goodFleet); err != nil || c.Operator.Fleet == nil || len(c.Operator.Fleet.Seeds) != 1 {
+// An invalid [fleet] must be reported in one line that names the key.
+func TestInvalidFleetTableNamesKey(t *testing.T) {
+	if c, err := loadFleetTable(t, validFleet); err != nil || c.Operator.Fleet == nil || len(c.Operator.Fleet.Seeds) != 1 {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	if c, err := loadFleet(t, ""); err != nil || c.Operator.Fleet != nil {
+	if c, err := loadFleetTable(t, ""); err != nil || c.Operator.Fleet != nil {
 		t.Fatalf("without [fleet]: %+v, %v", c, err)
 	}
 	for _, c := range []struct{ old, new, want, key string }{
@@ -52,36 +52,36 @@
 		{`keys =`, "colour = \"x\"\nkeys =", "unknown key fleet.colour", "fleet.colour"},
 	} {
 		t.Run(c.want, func(t *testing.T) {
-			_, err := loadFleet(t, strings.Replace(goodFleet, c.old, c.new, 1))
+			_, err := loadFleetTable(t, strings.Replace(validFleet, c.old, c.new, 1))
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want one line that contains %q", err, c.want)
 			}
 			var configError *ConfigError
 			if !errors.As(err, &configError) || configError.Key != c.key {
-				t.Errorf("key of %v is not %q", err, c.key)
+				t.Errorf("error %v does not have the key %q", err, c.key)
 			}
 		})
 	}
 }
 
-// An address in use ends the start with one line; without [fleet] there is no socket and no fleet.
+// A start must fail if the address of [fleet] is in use. Without [fleet] the gateway must have no socket and no fleet.
 func TestFleetAddress(t *testing.T) {
 	open := func(fleet string) (*Server, error) {
 		t.Helper()
-		c, err := loadFleet(t, fleet)
+		c, err := loadFleetTable(t, fleet)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return New(c, zap.NewNop(), eventloop.SystemClock())
 	}
-	inFleet, err := open(goodFleet)
+	inFleet, err := open(validFleet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(inFleet.Close)
-	_, err = open(strings.Replace(goodFleet, "127.0.0.1:0", inFleet.fleetAddress(), 1))
+	_, err = open(strings.Replace(validFleet, "127.0.0.1:0", inFleet.fleetAddress(), 1))
 	if err == nil || !strings.HasPrefix(err.Error(), "fleet.listen: ") || !strings.Contains(err.Error(), "in use") {
-		t.Errorf("an address in use: %v", err)
+		t.Errorf("start with an address in use: got error %v, want one of fleet.listen", err)
 	}
 	alone, err := open("")
 	if err != nil {
@@ -89,9 +89,9 @@
 	}
 	t.Cleanup(alone.Close)
 	if alone.Fleet() != nil || alone.FleetMetrics() != "" || alone.fleetAddress() != "" || alone.Telemetry().Fleet != nil {
-		t.Error("without [fleet] there is something of a fleet")
+		t.Error("a gateway without [fleet] reports a fleet")
 	}
 	if f := inFleet.Telemetry().Fleet; f == nil || f.Alive != 1 || f.Members != nil {
-		t.Errorf("the telemetry says %+v", f)
+		t.Errorf("got fleet telemetry %+v, want 1 member alive and no list of members", f)
 	}
 }
--- a/internal/server/operator_config.go
+++ b/internal/server/operator_config.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// roleCheckIntervalMs is the interval of health checks of hosts that make no load reports.
+	// roleCheckIntervalMs is the interval of health checks of hosts that send no load reports.
 	roleCheckIntervalMs = 1000.0
-	// maxFileNumber is the one bound of all numbers of an operator's file: an hour for times in milliseconds. For shares,
-	// weights and multiples it is far above any useful value, and only keeps out infinity and NaN.
+	// maxFileNumber is the upper bound of all numbers in an operator's file. For times in milliseconds it is one hour. For
+	// shares, weights and multiples it is far above any useful value, and only excludes infinity and NaN.
 	maxFileNumber = 3.6e6
-	// noClass is the index of a class that the file does not name.
+	// noClass is the index that classIndex returns if no class has the name.
 	noClass = -1
 )
 
@@ -34,13 +34,13 @@
 	Rules                 extended.Rules
 	Login                 hostLogin
 	HealthCheck           pg.Command // nil: none
-	HealthCheckIntervalMs float64    // 0: only the health checks that the router asks for
+	HealthCheckIntervalMs float64    // 0: only the health checks that the router requests
 	Fleet                 *transport.Config
 }
 
-// LoadOperator reads an operator's file. The error is one line that names the file and, where the TOML can be decoded,
-// the key. It wraps a *ConfigError where a key is unknown or this package rejects its value, but not for what
-// extended.Rules.Validate rejects.
+// LoadOperator loads an operator's file. The error is one line that names the file and, if the TOML can be decoded, the
+// key. It wraps a *ConfigError if a key is unknown or this package rejects its value, but not if extended.Rules.Validate
+// rejects the value.
 func LoadOperator(path string) (*Config, error) {
 	file := newOperatorFile()
 	metadata, err := toml.DecodeFile(path, file)
@@ -58,7 +58,7 @@
 	return config, nil
 }
 
-// config checks and converts the file.
+// config validates and converts the file.
 func (f *operatorFile) config() (*Config, error) {
 	operator := &OperatorConfig{AgentCheck: f.Health.AgentCheck, HTTPCheck: f.Health.HTTP, Login: f.HostLogin}
 	config := &Config{
@@ -100,14 +100,14 @@
 	rules := &f.Rules
 	stalenessCheck, ok := stalenessChecks[rules.StalenessCheck]
 	if !ok {
-		return invalidKey("rules.checks", "unknown word %q", rules.StalenessCheck)
+		return invalidKey("rules.checks", "%q is unknown, expected none, refuse or wait", rules.StalenessCheck)
 	}
 	if err := rules.checkRanges(f.Fleet != nil); err != nil {
 		return err
 	}
 	healthCheck, ok := healthChecks[rules.HealthCheck]
 	if !ok {
-		return invalidKey("rules.probes", "unknown word %q", rules.HealthCheck)
+		return invalidKey("rules.probes", "%q is unknown, expected greeting, load or none", rules.HealthCheck)
 	}
 	config.Operator.HealthCheck = healthCheck
 	if rules.HealthCheck == "" || rules.HealthCheck == "greeting" {
@@ -136,9 +136,9 @@
 	return nil
 }
 
-// checkRanges checks the numbers of [rules].
+// checkRanges checks the ranges of the numbers in [rules].
 func (r *rulesTable) checkRanges(hasFleet bool) error {
-	err := checkNumbers("rules.", []number{
+	err := checkNumbers("rules.", []numericSetting{
 		{"retry_hint_ms", r.MaxRetryAfterMs},
 		{"drain_grace_ms", r.DrainGraceMs},
 		{"cold_share", r.SlowStartMinShare},
@@ -152,33 +152,34 @@
 	case err != nil:
 		return err
 	case r.GatewayNumber < 0 || r.GatewayNumber > max(1, r.Gateways):
-		return invalidKey("rules.index", "1 to rules.gateways (%d) are there", r.Gateways)
+		return invalidKey("rules.index", "%d is out of range, expected 1 to rules.gateways (%d), or 0 if unknown",
+			r.GatewayNumber, r.Gateways)
 	case r.SubsetSize < 0:
-		return invalidKey("rules.subset", "is below 0")
+		return invalidKey("rules.subset", "%d is out of range, expected 0 or more", r.SubsetSize)
 	case r.SubsetSize > 0 && r.GatewayNumber == 0 && !hasFleet:
-		return invalidKey("rules.subset", "needs rules.index, or a [fleet]")
+		return invalidKey("rules.subset", "%d needs rules.index or a [fleet], and neither is set", r.SubsetSize)
 	}
 	return nil
 }
 
-// number is the value of a key.
-type number struct {
+// numericSetting is a key with its numeric value.
+type numericSetting struct {
 	key   string
 	value float64
 }
 
-// checkNumbers checks that all numbers are from 0 to maxFileNumber, and so not NaN. The error names the prefix and the
-// key.
-func checkNumbers(prefix string, numbers []number) error {
-	for _, n := range numbers {
-		if !(n.value >= 0 && n.value <= maxFileNumber) {
-			return &ConfigError{Key: prefix + n.key, Err: errOutOfRange}
+// checkNumbers checks that all values are from 0 to maxFileNumber; NaN is rejected too. The error names the prefix and
+// the key.
+func checkNumbers(prefix string, settings []numericSetting) error {
+	for _, setting := range settings {
+		if !(setting.value >= 0 && setting.value <= maxFileNumber) {
+			return invalidKey(prefix+setting.key, "%v is out of range, expected 0 to %.0f", setting.value, maxFileNumber)
 		}
 	}
 	return nil
 }
 
-// milliseconds converts a time of the file.
+// milliseconds converts a time of the file, which is in milliseconds.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // applyClasses converts the [[class]] tables.
@@ -194,9 +195,9 @@
 	return nil
 }
 
-// class converts the table; the error names it by its key.
+// class validates and converts the table. Errors name the table by the given key.
 func (t *classTable) class(key string) (routing.Class, error) {
-	err := checkNumbers(key+": ", []number{
+	err := checkNumbers(key+": ", []numericSetting{
 		{"max_age_ms", t.MaxStalenessMs},
 		{"repeat_window_ms", t.DedupWindowMs},
 		{"aim_ms", t.LatencyObjectiveMs},
@@ -210,7 +211,10 @@
 	consistency, consistencyKnown := consistencies[t.Consistency]
 	idempotency, idempotencyKnown := idempotencies[t.Idempotency]
 	if t.Name == "" || !consistencyKnown || !idempotencyKnown || t.LatencyObjectiveMs <= 0 || t.DeadlineMs <= 0 {
-		return routing.Class{}, invalidKey(key, "name, need, effect, aim_ms or deadline_ms is missing or wrong")
+		return routing.Class{}, invalidKey(key, "expected a name, a need of any, bounded, session, fresh or write, "+
+			"an effect of safe, keyed or unsafe, and aim_ms and deadline_ms above 0; "+
+			"got need %q, effect %q, aim_ms %v, deadline_ms %v",
+			t.Consistency, t.Idempotency, t.LatencyObjectiveMs, t.DeadlineMs)
 	}
 	weight := t.PriorityWeight
 	if weight == 0 {
@@ -237,11 +241,11 @@
 		key := fmt.Sprintf("statement %d", i+1)
 		pattern, err := regexp.Compile(table.Pattern)
 		if err != nil || table.Pattern == "" {
-			return invalidKey(key+": pattern", "%q is no regular expression", table.Pattern)
+			return invalidKey(key+": pattern", "%q is not a regular expression", table.Pattern)
 		}
 		class := classIndex(rules.Classes, table.Class)
 		if class == noClass {
-			return invalidKey(key+": class", "no class %q", table.Class)
+			return invalidKey(key+": class", "no class has the name %q", table.Class)
 		}
 		rules.Rules = append(rules.Rules, extended.Rule{
 			Pattern: pattern, Class: class, SessionParam: table.SessionParam, KeyParam: table.KeyParam,
@@ -250,7 +254,7 @@
 	return nil
 }
 
-// classIndex finds a class by its name; noClass where there is none.
+// classIndex returns the index of the class with a name, or noClass if there is none.
 func classIndex(classes []routing.Class, name string) int {
 	return slices.IndexFunc(classes, func(class routing.Class) bool { return class.Name == name })
 }
@@ -271,7 +275,7 @@
 		state, known := hostStates[table.State]
 		if table.ID == "" || seen[table.ID] || !known {
 			key := fmt.Sprintf("host %d (%q)", i+1, table.ID)
-			return invalidKey(key, "id is missing or not the only one, or state is unknown")
+			return invalidKey(key, "expected a unique id, and state ready or draining, got state %q", table.State)
 		}
 		seen[table.ID] = true
 		if err := checkAddress(fmt.Sprintf("host %d: address", i+1), table.Address); err != nil {
@@ -281,22 +285,22 @@
 		config.KnownHosts = append(config.KnownHosts, proxy.Host{Address: table.Address, Endpoint: endpoint})
 	}
 	if len(config.KnownHosts) == 0 && config.Discovery == "" {
-		return &ConfigError{Key: "host", Err: errors.New("none is listed, and discovery is not set")}
+		return &ConfigError{Key: "host", Err: errors.New("expected a [[host]] or a discovery address, got neither")}
 	}
 	return nil
 }
 
-// applyDescribeClass finds the class of statements that are only described, and checks all rules of the frontend.
+// applyDescribeClass sets the class of statements that are only described, and validates all rules of the frontend.
 func (f *operatorFile) applyDescribeClass(config *Config) error {
 	rules := &config.Operator.Rules
 	rules.DescribeClass = classIndex(rules.Classes, f.DescribeClass)
 	if rules.DescribeClass == noClass {
-		return invalidKey("describe_class", "no class %q", f.DescribeClass)
+		return invalidKey("describe_class", "no class has the name %q", f.DescribeClass)
 	}
 	return rules.Validate()
 }
 
-// checkAddresses checks addresses that may be left out.
+// checkAddresses checks the optional addresses.
 func (f *operatorFile) checkAddresses(*Config) error {
 	for _, entry := range []struct{ key, address string }{
 		{"health.agent_check", f.Health.AgentCheck},
--- a/internal/server/operator_file.go
+++ b/internal/server/operator_file.go
@@ -32,7 +32,7 @@
 	HTTP       string `toml:"http"`
 }
 
-// hostLogin is [hosts]: how the gateway logs in to hosts, and which parameters they report their state in.
+// hostLogin is [hosts]: how the gateway logs in to hosts, and in which parameters they report their role and position.
 type hostLogin struct {
 	User         string `toml:"user"`
 	Database     string `toml:"database"`
@@ -59,7 +59,7 @@
 // rulesTable is [rules]: limits and behavior that are the same for all classes.
 type rulesTable struct {
 	Gateways          int     `toml:"gateways"`
-	GatewayNumber     int     `toml:"index"` // from 1; 0: unknown
+	GatewayNumber     int     `toml:"index"` // counted from 1; 0: unknown
 	SubsetSize        int     `toml:"subset"`
 	StalenessCheck    string  `toml:"checks"`
 	HealthCheck       string  `toml:"probes"`
@@ -83,13 +83,13 @@
 	State   string `toml:"state"`
 }
 
-// databaseTable is a [[database]]: which group serves it.
+// databaseTable is a [[database]]: its name and the group that serves it.
 type databaseTable struct {
 	Name  string `toml:"name"`
 	Group int    `toml:"group"`
 }
 
-// tenantTable is a [[tenant]].
+// tenantTable is a [[tenant]], identified by its user.
 type tenantTable struct {
 	User string `toml:"user"`
 }
@@ -108,7 +108,7 @@
 	LateWeightShare    float64 `toml:"late_worth"`
 }
 
-// statementTable is a [[statement]]: which statements belong to a class.
+// statementTable is a [[statement]]: a pattern, and the class of the statements that match it.
 type statementTable struct {
 	Pattern      string `toml:"pattern"`
 	Class        string `toml:"class"`
@@ -116,7 +116,7 @@
 	KeyParam     int    `toml:"key_param"`
 }
 
-// newOperatorFile returns a file with the defaults of keys that it may leave out.
+// newOperatorFile returns a file that has the defaults of the optional keys.
 func newOperatorFile() *operatorFile {
 	return &operatorFile{
 		HostLogin: hostLogin{
@@ -138,7 +138,7 @@
 	}
 }
 
-// Words of the file, and what they stand for in the code.
+// Words of the file, and the values that they stand for.
 var (
 	consistencies = map[string]routing.Consistency{
 		"any":     routing.ConsistencyAny,
@@ -158,7 +158,8 @@
 		"refuse": routing.StalenessCheckReject,
 		"wait":   routing.StalenessCheckWait,
 	}
-	// healthChecks are the queries of health checks: for a load report, or empty, as the login tells the role.
+	// healthChecks are the queries that health checks send: a load report query, or an empty query, which is enough if
+	// the login already reports the role.
 	healthChecks = map[string]pg.Command{
 		"":         pg.EmptyQuery{},
 		"greeting": pg.EmptyQuery{},
--- a/internal/server/platform_config.go
+++ b/internal/server/platform_config.go
@@ -36,8 +36,7 @@
 	Settings  json.RawMessage     `json:"settings"`
 }
 
-// connectionSettings are those of the platform's settings that concern connections to hosts; package simulator reads
-// the others.
+// connectionSettings are the platform's settings for connections to hosts. Package simulator decodes the other settings.
 type connectionSettings struct {
 	Permissions struct {
 		HostIdleTimeoutMs float64 `json:"ConnIdleMs"`
@@ -45,8 +44,8 @@
 	} `json:"Permissions"`
 }
 
-// LoadPlatform reads the platform's configuration; variables of the environment override keys of the file. The error is
-// a *ConfigError.
+// LoadPlatform loads the platform's configuration. Environment variables override keys of the file. The error is a
+// *ConfigError.
 func LoadPlatform(path string, env func(string) string) (*Config, error) {
 	file, err := readPlatformFile(path)
 	if err != nil {
@@ -73,7 +72,7 @@
 		return nil, &ConfigError{Key: "known", Err: err}
 	}
 	for _, address := range []string{config.Discovery, config.FileDiscovery} {
-		if address == "" && config.Discovery != "" { // the environment alone names a discovery
+		if address == "" && config.Discovery != "" { // only the environment has a discovery address
 			continue
 		}
 		if err := checkAddress("discovery", address); err != nil {
@@ -84,7 +83,7 @@
 	return config, config.validate()
 }
 
-// readPlatformFile reads and decodes the file. The error is the system's or the JSON decoder's.
+// readPlatformFile reads and decodes the file. The error is that of the file system or the JSON decoder.
 func readPlatformFile(path string) (*platformFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -94,7 +93,7 @@
 	return file, json.Unmarshal(text, file)
 }
 
-// applyEnvironment replaces keys of the file that the environment has a value for.
+// applyEnvironment overrides the keys of the file for which the environment has a value.
 func (f *platformFile) applyEnvironment(env func(string) string) {
 	for _, override := range []struct {
 		variable string
@@ -111,7 +110,7 @@
 	}
 }
 
-// applySettings reads the platform's settings.
+// applySettings decodes the platform's settings.
 func (f *platformFile) applySettings(config *Config) (err error) {
 	if config.Settings, err = simulator.DecodeSettings(string(f.Settings)); err != nil {
 		return err
@@ -125,7 +124,7 @@
 	return nil
 }
 
-// applyKnownList reads the endpoint list that the platform knew when it wrote the file.
+// applyKnownList applies the endpoint list in the file, which the platform knew when it wrote the file.
 func (f *platformFile) applyKnownList(config *Config) (err error) {
 	if f.KnownList == nil {
 		return nil
@@ -139,8 +138,8 @@
 	return nil
 }
 
-// parseSeed reads a seed of hexadecimal digits, and hashes any other text. An empty text hashes to one constant, so all
-// gateways whose file names no seed draw the same jitter.
+// parseSeed parses a seed of hexadecimal digits, and hashes any other text. An empty text hashes to one constant, so all
+// gateways whose file has no seed use the same jitter.
 func parseSeed(text string) uint64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return seed
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -9,18 +9,20 @@
 	"go.uber.org/zap"
 )
 
-// During an upgrade the new and the old process of one gateway serve side by side: they hold the same listening socket,
-// and share exclusions and their liveness through files. The limits of the gateway hold for both together.
+// During an upgrade the new and the old process of one gateway, which are siblings, serve at the same time. They hold the
+// same listening socket, and share exclusions and their liveness through files. The limits of the gateway apply to both
+// processes together.
 
 const (
 	// siblingPollMs is the interval at which the shared state is read.
 	siblingPollMs = 100.0
-	// takeoverPollMs is the interval at which a process beside a sibling checks whether it can serve clients.
+	// takeoverPollMs is the interval at which a process with a sibling checks whether it can serve clients.
 	takeoverPollMs = 5.0
-	// takeoverDelayMs is the time from the start until clients are accepted beside a sibling, which has noticed this
-	// process by then.
+	// takeoverDelayMs is the minimum time from the start until a process with a sibling accepts clients. The sibling has
+	// noticed this process by then.
 	takeoverDelayMs = 200.0
-	// maxTakeoverWaitMs is when clients are accepted although no host can be reached: a rejection is better than none.
+	// maxTakeoverWaitMs is the time from the start after which clients are accepted even if no host can be reached, because
+	// a rejection is better than no response.
 	maxTakeoverWaitMs = 3000.0
 
 	// listenFDVariable is the environment variable with the descriptor of the inherited listener.
@@ -29,8 +31,8 @@
 	firstInheritedFD = 3
 )
 
-// ApplyInheritedListener reads from the environment which listener the process has inherited, and where the state that
-// it shares with sibling processes lies. The error is a *ConfigError.
+// ApplyInheritedListener reads from the environment the descriptor of the listener that the process has inherited, and
+// the directory of the state that it shares with sibling processes. The error is a *ConfigError.
 func (c *Config) ApplyInheritedListener(env func(string) string) error {
 	text := env(listenFDVariable)
 	if text == "" {
@@ -38,7 +40,10 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < firstInheritedFD {
-		return &ConfigError{Key: listenFDVariable, Err: fmt.Errorf("%q is no descriptor of a listener", text)}
+		return &ConfigError{
+			Key: listenFDVariable,
+			Err: fmt.Errorf("%q is not a descriptor, expected a number of at least %d", text, firstInheritedFD),
+		}
 	}
 	c.ListenFD = fd
 	if c.StateDir = env("TMPDIR"); c.StateDir == "" {
@@ -47,8 +52,8 @@
 	return nil
 }
 
-// acceptWhenReady starts to accept clients on the inherited listener: at once without a sibling, else as soon as they
-// can be served.
+// acceptWhenReady starts to accept clients on the inherited listener. Without a sibling it does so at once, otherwise as
+// soon as clients can be served, but not before takeoverDelayMs and not after maxTakeoverWaitMs.
 func (s *Server) acceptWhenReady() {
 	startMs := s.loop.Clock.Now()
 	var check func()
@@ -65,7 +70,7 @@
 	check()
 }
 
-// pollSiblings reads the shared state, now and every siblingPollMs.
+// pollSiblings reads the shared state at once and then every siblingPollMs.
 func (s *Server) pollSiblings() {
 	s.applySiblingExclusions()
 	if alive := s.shared.siblingAlive(); alive != s.hasSibling {
@@ -76,7 +81,7 @@
 	s.loop.After(siblingPollMs, s.pollSiblings)
 }
 
-// applySiblingExclusions applies what sibling processes have excluded or included since the last call.
+// applySiblingExclusions applies the exclusions and inclusions by sibling processes since the last call.
 func (s *Server) applySiblingExclusions() {
 	if s.shared == nil {
 		return
@@ -92,14 +97,14 @@
 	}
 }
 
-// publishExclusion passes an exclusion or inclusion on to sibling processes.
+// publishExclusion passes an exclusion or inclusion to sibling processes.
 func (s *Server) publishExclusion(id string, excluded bool) {
 	if s.shared != nil {
 		s.shared.exclusions.record(id, exclusion{Excluded: excluded, AtMs: s.loop.Clock.Now()})
 	}
 }
 
-// divideLimits gives this process the gateway's limits, or half of them while it has a sibling.
+// divideLimits sets the limits of this process to those of the gateway, or to half of them while it has a sibling.
 func (s *Server) divideLimits() {
 	processes := 1
 	if s.hasSibling {
