--- a/internal/server/endpoint_list.go
+++ b/internal/server/endpoint_list.go
@@ -5,7 +5,7 @@
 	"merlinjunction/internal/proxy"
 )
 
-// startDiscovery starts to follow the endpoint list where the configuration names a discovery.
+// startDiscovery starts to follow the endpoint list if the configuration has a discovery address.
 func (s *Server) startDiscovery() {
 	s.endpointListReceived = s.config.Discovery == ""
 	s.discoveryWaitEndMs = s.loop.Clock.Now() + firstListTimeoutMs
@@ -14,32 +14,33 @@
 	}
 	s.followEndpointList()
 	if s.watcher.FirstPollLaterThan(firstListTimeoutMs) {
-		s.discoveryWaitEndMs = 0 // don't wait: no response can come in time
+		s.discoveryWaitEndMs = 0 // no response can arrive in time, so readiness doesn't wait for one
 	}
 }
 
-// followEndpointList follows the endpoint list at the address that the configuration names now.
+// followEndpointList follows the endpoint list at the discovery address of the current configuration. The first call
+// creates the watcher.
 func (s *Server) followEndpointList() {
 	if s.watcher != nil {
 		s.watcher.SetAddress(s.config.Discovery)
 		return
 	}
 	settings := &s.config.Settings
-	watch := discovery.Config{
+	watcherConfig := discovery.Config{
 		GatewayCount: settings.GatewayCount,
 		DrainGraceMs: settings.DrainGrace.Seconds() * 1000,
 		Seed:         s.config.Seed,
 		Revision:     s.config.KnownRevision,
 	}
-	if s.config.Operator != nil { // an operator's gateways share one discovery
-		watch.GatewayNumber = settings.GatewayNumber
-	} else { // the platform's rules limit how long a watch may wait, whatever the gateway's number
-		watch.Pushed = !settings.SubscribeToEndpoints
+	if s.config.Operator != nil { // an operator's gateways share one discovery service
+		watcherConfig.GatewayNumber = settings.GatewayNumber
+	} else { // the platform's rules limit how long a watch may wait, regardless of the gateway's number
+		watcherConfig.Pushed = !settings.SubscribeToEndpoints
 	}
-	s.watcher = discovery.Watch(s.loop, s.log, s.config.Discovery, watch, s.updateHosts)
+	s.watcher = discovery.Watch(s.loop, s.log, s.config.Discovery, watcherConfig, s.updateHosts)
 }
 
-// updateHosts passes an update of the endpoint list on to the proxy core.
+// updateHosts passes an update of the endpoint list to the proxy core.
 func (s *Server) updateHosts(complete bool, hosts []proxy.Host, notifiedAtMs float64) {
 	s.endpointListReceived = true
 	s.core.UpdateHostsNotifiedAt(complete, hosts, notifiedAtMs)
--- a/internal/server/evacuation.go
+++ b/internal/server/evacuation.go
@@ -1,11 +1,11 @@
 package server
 
-// evacuationNoticeMs is how long clients are still accepted after an evacuation has started: a load balancer notices it
-// at its next health check, and sends new clients until then.
+// evacuationNoticeMs is the time for which clients are still accepted after an evacuation has started. A load balancer
+// notices the evacuation at its next health check, and sends new clients until then.
 const evacuationNoticeMs = 500.0
 
-// Evacuate makes the gateway not ready and, after evacuationNoticeMs, disconnects clients as they become idle, new ones
-// too. The process goes on until Rejoin or SIGTERM.
+// Evacuate makes the gateway not ready. After evacuationNoticeMs the gateway disconnects clients, including new ones, as
+// they become idle. The evacuation lasts until Rejoin or SIGTERM; the process keeps running.
 func (s *Server) Evacuate() {
 	if s.evacuated || s.shuttingDown {
 		return
--- a/internal/server/exclusion_file.go
+++ b/internal/server/exclusion_file.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// exclusionFileVersion is the format that this program reads and writes. A file of another one is ignored, and
-	// replaced at the next exclusion.
+	// exclusionFileVersion is the version of the format that this program reads and writes. A file of another version is
+	// ignored, and replaced at the next exclusion.
 	exclusionFileVersion = 1
 	exclusionFileMode    = 0o600
 )
 
-// exclusion is an operator's last exclusion of a host, or its last inclusion where Excluded is false.
+// exclusion is an operator's last exclusion of a host, or the last inclusion if Excluded is false.
 type exclusion struct {
 	Excluded bool    `json:"out"`
 	AtMs     float64 `json:"at"` // Unix time in milliseconds
 }
 
-// exclusionDocument is the content of the file.
+// exclusionDocument is the JSON content of the exclusion file.
 type exclusionDocument struct {
 	Version int                  `json:"version"`
 	Hosts   map[string]exclusion `json:"hosts"`
 }
 
-// exclusionFile is the file through which sibling processes share exclusions. Each process reads it at an interval, and
-// replaces it as a whole. The newest entry of a host counts.
+// exclusionFile is the file through which sibling processes share exclusions. Each process reads the file periodically,
+// and replaces it as a whole. The newest entry of a host takes precedence.
 type exclusionFile struct {
 	log      *zap.Logger
 	path     string
-	newest   map[string]exclusion // by host
-	lastSeen fs.FileInfo          // of the file as it was read or written last; nil before
-	// lastError is the error logged last. It is never cleared: the same error is logged once, and stays silent where it
-	// comes back after a repair.
+	newest   map[string]exclusion // newest known entry of each host, by host ID
+	lastSeen fs.FileInfo          // file information at the last read or write; nil before the first
+	// lastError is the error logged last. It is never cleared, so an error that returns after the file was repaired is
+	// not logged again.
 	lastError string
 }
 
@@ -46,9 +46,9 @@
 	return &exclusionFile{log: log, path: path, newest: map[string]exclusion{}}
 }
 
-// readNewer reads the file if it has changed, and returns the entries that are newer than the ones that this process
-// knows, by host. Where the file then lacks an entry that this process knows, because a sibling replaced the file at
-// the same time, it is written again.
+// readNewer reads the file if it has changed. It returns, by host ID, the entries that are newer than those that this
+// process knows. If the file lacks an entry that this process knows, because a sibling replaced the file at the same
+// time, readNewer writes the file again.
 func (f *exclusionFile) readNewer() map[string]exclusion {
 	info, err := os.Stat(f.path)
 	if err != nil {
@@ -57,7 +57,7 @@
 		}
 		return nil
 	}
-	if f.isLastSeen(info) {
+	if f.isUnchanged(info) {
 		return nil
 	}
 	f.lastSeen = info
@@ -78,13 +78,13 @@
 	return newer
 }
 
-// isLastSeen reports whether the file is the one that was read or written last.
-func (f *exclusionFile) isLastSeen(info fs.FileInfo) bool {
+// isUnchanged reports whether the file is still the one that this process read or wrote last.
+func (f *exclusionFile) isUnchanged(info fs.FileInfo) bool {
 	return f.lastSeen != nil && os.SameFile(info, f.lastSeen) && info.ModTime().Equal(f.lastSeen.ModTime())
 }
 
-// read returns the entries of the file, by host. The error is the system's, the JSON decoder's, or names an unknown
-// version.
+// read returns the entries of the file, by host ID. The error is that of the file system or the JSON decoder, or names a
+// format version that this program does not support.
 func (f *exclusionFile) read() (map[string]exclusion, error) {
 	text, err := os.ReadFile(f.path)
 	if err != nil {
@@ -95,12 +95,12 @@
 		return nil, err
 	}
 	if document.Version != exclusionFileVersion {
-		return nil, fmt.Errorf("version %d is not known here", document.Version)
+		return nil, fmt.Errorf("format version %d is not supported, expected %d", document.Version, exclusionFileVersion)
 	}
 	return document.Hosts, nil
 }
 
-// logReadError logs an error once; the file is read again and again.
+// logReadError logs an error unless it is the one logged last, because the file is read periodically.
 func (f *exclusionFile) logReadError(err error) {
 	if f.lastError == err.Error() {
 		return
@@ -109,7 +109,7 @@
 	f.log.Error("ignoring unreadable exclusion file", zap.String("path", f.path), zap.Error(err))
 }
 
-// record writes an exclusion or inclusion by this process to the file, if it changes anything.
+// record writes an exclusion or inclusion by this process to the file, unless the host is already in that state.
 func (f *exclusionFile) record(id string, entry exclusion) {
 	if previous, ok := f.newest[id]; ok && previous.Excluded == entry.Excluded {
 		return
@@ -118,7 +118,7 @@
 	f.write()
 }
 
-// write replaces the file as a whole, so that no sibling reads a part of it.
+// write replaces the file as a whole, so that no sibling reads an incomplete file.
 func (f *exclusionFile) write() {
 	if err := f.replace(); err != nil {
 		f.log.Error("writing the exclusion file failed", zap.String("path", f.path), zap.Error(err))
@@ -129,7 +129,7 @@
 	}
 }
 
-// replace writes the entries to a temporary file of this process and renames it, which replaces the file in one step.
+// replace writes the entries to a temporary file of this process and renames it, which replaces the file atomically.
 func (f *exclusionFile) replace() error {
 	text, err := json.Marshal(exclusionDocument{Version: exclusionFileVersion, Hosts: f.newest})
 	if err != nil {
--- a/internal/server/exclusion_file_test.go
+++ b/internal/server/exclusion_file_test.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 )
 
-// exclusionFileOfVersion1 is the file as version 1 of the format has it, byte for byte. During an upgrade the processes
-// of two releases read each other's files.
+// exclusionFileOfVersion1 is a file in version 1 of the format, byte for byte. The format must not change, because during
+// an upgrade the processes of two releases read each other's files.
 const exclusionFileOfVersion1 = `{"version":1,"hosts":{` +
 	`"a":{"out":true,"at":1700000000000.5},"b":{"out":false,"at":1700000000001}}}`
 
@@ -29,7 +29,7 @@
 			t.Fatal(err)
 		}
 		if string(text) != exclusionFileOfVersion1 {
-			t.Errorf("wrote %s", text)
+			t.Errorf("wrote %s, want %s", text, exclusionFileOfVersion1)
 		}
 	})
 	t.Run("read", func(t *testing.T) {
@@ -37,12 +37,12 @@
 			t.Fatal(err)
 		}
 		if newer := openTestState(t, dir, "n").exclusions.readNewer(); !maps.Equal(newer, want) {
-			t.Errorf("read %v", newer)
+			t.Errorf("read %v, want %v", newer, want)
 		}
 	})
 }
 
-// A file that can't be read changes nothing, and is replaced as a whole at the next exclusion.
+// An unreadable file must change no exclusion, and must be replaced as a whole at the next exclusion.
 func TestUnreadableExclusionFileIsReplaced(t *testing.T) {
 	for _, text := range []string{
 		"",
@@ -72,30 +72,30 @@
 	_, err := openSharedState(zap.NewNop(), filepath.Join(t.TempDir(), "nowhere"), "n")
 	var configError *ConfigError
 	if !errors.As(err, &configError) || configError.Key != "TMPDIR" {
-		t.Errorf("no directory: error %v", err)
+		t.Errorf("without the directory: got error %v, want a ConfigError with the key TMPDIR", err)
 	}
 }
 
-// Two processes write at a time: the newest entry of each host counts, and an entry that the other has written over is
-// written again.
-func TestNewestExclusionOfHostCounts(t *testing.T) {
+// When two processes write at the same time, the newest entry of each host must take precedence, and an entry that the
+// other process has overwritten must be written again.
+func TestNewestExclusionTakesPrecedence(t *testing.T) {
 	first := openTestState(t, t.TempDir(), "n").exclusions
 	second := newExclusionFile(zap.NewNop(), first.path)
 	first.record("x", exclusion{Excluded: true, AtMs: 10})
-	second.newest["y"] = exclusion{Excluded: true, AtMs: 11} // second has not read first's entry and writes over it
+	second.newest["y"] = exclusion{Excluded: true, AtMs: 11} // second has not read first's entry and overwrites it
 	second.write()
 	future := time.Now().Add(time.Second)
 	if err := os.Chtimes(first.path, future, future); err != nil {
 		t.Fatal(err)
 	}
 	if newer := first.readNewer(); len(newer) != 1 || !newer["y"].Excluded {
-		t.Errorf("first reads %v", newer)
+		t.Errorf("first reads %v, want the exclusion of y", newer)
 	}
 	if newer := second.readNewer(); len(newer) != 1 || newer["x"].AtMs != 10 {
-		t.Errorf("second reads %v", newer)
+		t.Errorf("second reads %v, want the exclusion of x", newer)
 	}
 	second.record("x", exclusion{Excluded: false, AtMs: 12})
 	if newer := first.readNewer(); newer["x"].Excluded || newer["x"].AtMs != 12 {
-		t.Errorf("first reads %v of a host that is in use again", newer)
+		t.Errorf("first reads %v, want the inclusion of x", newer)
 	}
 }
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -13,23 +13,23 @@
 const (
 	// loadSampleMs is the interval at which the load of this gateway is sampled and announced.
 	loadSampleMs = 1000.0
-	// rosterUpdateDelayMs is the time after a load sample in which changes of members don't update the roster: many come
-	// at a time, and the first round of the event loop after it takes them in together. From then until the next sample,
-	// which updates the roster too, each change does so in its own round.
+	// rosterUpdateDelayMs is the time after a load sample during which changes of members don't update the roster. Changes
+	// arrive in bursts, and the first round of the event loop after this time applies all of them together. From then
+	// until the next sample, which updates the roster too, each change updates the roster in its own round.
 	rosterUpdateDelayMs = 200.0
 )
 
-// fleetSync is what the gateway has last announced to its fleet, and taken in from it.
+// fleetSync is the state that the gateway last announced to its fleet or received from it.
 type fleetSync struct {
-	roster           *fleet.Roster // that the proxy core uses; nil before the first one
-	changeCount      int           // of the membership view that the roster is from
-	sampledAtMs      float64       // when the load was sampled
-	acceptedRequests int           // until then
+	roster           *fleet.Roster // roster that the proxy core uses; nil before the first one
+	changeCount      int           // change count of the membership view that the roster was built from
+	sampledAtMs      float64       // time of the last load sample
+	acceptedRequests int           // requests accepted before the last load sample
 	announcer        fleet.LoadAnnouncer
-	load             float64 // that was announced, in requests a second
+	load             float64 // load announced last, in requests per second
 }
 
-// joinFleet opens the membership's socket where an operator has set up a fleet.
+// joinFleet opens the membership's socket if the operator's file configures a fleet.
 func (s *Server) joinFleet() (err error) {
 	if s.config.Operator == nil || s.config.Operator.Fleet == nil {
 		return nil
@@ -37,11 +37,11 @@
 	if s.transport, err = transport.New(s.loop, s.log, *s.config.Operator.Fleet); err != nil {
 		return err
 	}
-	s.loop.Wake() // the membership's first step needs a round
+	s.loop.Wake() // the membership's first step needs a round of the event loop
 	return nil
 }
 
-// fleetAddress is the address of the membership's socket; "" without a fleet.
+// fleetAddress returns the address of the membership's socket, or "" without a fleet.
 func (s *Server) fleetAddress() string {
 	if s.transport == nil {
 		return ""
@@ -49,9 +49,10 @@
 	return s.transport.Addr().String()
 }
 
-// syncFleet announces this gateway's load to the fleet, and passes a changed roster on to the proxy core and the
-// watcher. It runs in each round. It samples and updates once per loadSampleMs; in between it updates the roster in
-// each round in which members have changed and the last sample is rosterUpdateDelayMs old.
+// syncFleet announces this gateway's load to the fleet, and passes a changed roster to the proxy core and the watcher.
+// It runs in each round of the event loop. Every loadSampleMs it samples the load and updates the roster. Between two
+// samples it updates the roster in each round in which members have changed, but only once rosterUpdateDelayMs have
+// passed since the last sample.
 func (s *Server) syncFleet() {
 	state, now := &s.fleetSync, s.loop.Clock.Now()
 	if state.roster == nil {
@@ -69,7 +70,7 @@
 	s.updateRoster()
 }
 
-// announceLoad samples how many requests have come since the last sample, and announces the load that follows.
+// announceLoad counts the requests accepted since the last sample, and announces the resulting load.
 func (s *Server) announceLoad(now, elapsedMs float64) {
 	state := &s.fleetSync
 	accepted := s.core.AcceptedRequests()
@@ -79,7 +80,7 @@
 	s.transport.Announce(transport.Payload{Load: state.load})
 }
 
-// updateRoster takes in the members of the fleet, where they differ from those that the proxy core knows.
+// updateRoster builds a roster from the fleet's members, and applies it if it differs from the one in use.
 func (s *Server) updateRoster() {
 	state := &s.fleetSync
 	state.changeCount = s.transport.ChangeCount()
@@ -94,17 +95,17 @@
 	if s.watcher != nil {
 		s.watcher.SetSchedule(roster.Schedule())
 	}
-	s.loop.Wake() // the core's Step comes before syncFleet in a round
+	s.loop.Wake() // in a round the core's Step runs before syncFleet, so it sees the new roster only in the next round
 }
 
-// wakeForFleetSync ensures a round of the event loop per loadSampleMs.
+// wakeForFleetSync sets its timer again, so that the event loop runs a round at least every loadSampleMs.
 func (s *Server) wakeForFleetSync() {
 	if !s.shuttingDown {
 		s.loop.After(loadSampleMs, s.wakeForFleetSync)
 	}
 }
 
-// reloadFleetKeys applies the fleet's keys of a configuration that was read again.
+// reloadFleetKeys applies the fleet keys of a reloaded configuration if they have changed.
 func (s *Server) reloadFleetKeys(config *Config) {
 	if s.transport == nil || config.Operator == nil || config.Operator.Fleet == nil {
 		return
--- a/internal/server/fuzz_test.go
+++ b/internal/server/fuzz_test.go
@@ -15,29 +15,30 @@
 	"merlinjunction/internal/testkit"
 )
 
-// fuzzReadTimeout is how long a target waits for the gateway's answers to malformed input, which may be none.
+// fuzzReadTimeout is how long a fuzz target waits for responses to malformed input. The gateway may send none.
 const fuzzReadTimeout = 20 * time.Millisecond
 
-// sendFuzzed connects, sends bytes, ends its sending and reads until the connection ends or nothing comes for a while.
+// sendFuzzed connects, sends the input, closes its sending side, and reads until the connection ends or fuzzReadTimeout
+// has passed.
 func sendFuzzed(t *testing.T, address string, input []byte) {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
 	if err != nil {
-		t.Fatalf("the gateway is gone: %v", err)
+		t.Fatalf("cannot connect to the gateway: %v", err)
 	}
 	defer closeConn(conn)
-	_, _ = conn.Write(input) // the gateway may close before it has read all
+	_, _ = conn.Write(input) // the gateway may close the connection before it has read all input
 	_ = conn.(*net.TCPConn).CloseWrite()
 	_ = conn.SetReadDeadline(time.Now().Add(fuzzReadTimeout))
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// wantStartup checks that a new client is still greeted.
+// wantStartup checks that the gateway still answers the startup message of a new client.
 func wantStartup(t *testing.T, address string) {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
 	if err != nil {
-		t.Fatalf("the gateway is gone: %v", err)
+		t.Fatalf("cannot connect to the gateway: %v", err)
 	}
 	defer closeConn(conn)
 	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
@@ -45,11 +46,12 @@
 		t.Fatal(err)
 	}
 	if answer, err := testkit.ReadAnswer(conn); err != nil || answer != "R" {
-		t.Fatalf("got %q, %v", answer, err)
+		t.Fatalf("startup: got message %q, error %v, want R", answer, err)
 	}
 }
 
-// framed makes each chunk of the input a well-formed message: its first byte is the type, its second the length.
+// framed converts the input to messages with valid framing. The first byte of each chunk of the input is the message
+// type, and the second is the length of the body that follows.
 func framed(input []byte) []byte {
 	var out []byte
 	for len(input) > 2 {
@@ -60,7 +62,7 @@
 	return out
 }
 
-// unframed is the input of framed that gives these messages.
+// unframed returns the input from which framed produces the given messages.
 func unframed(messages []byte) []byte {
 	var out []byte
 	for len(messages) > 0 {
@@ -75,8 +77,8 @@
 	return out
 }
 
-// fuzzSession fuzzes a client's side of a frontend: whatever a client sends, the gateway stays up. Each seed is a
-// scenario's messages.
+// fuzzSession fuzzes the client's side of a frontend. The gateway must keep serving whatever a client sends. Each seed
+// is a list of messages in the notation of scenarios.
 func fuzzSession(f *testing.F, start testkit.StartGateway, seeds []string) {
 	f.Helper()
 	for _, seed := range seeds {
@@ -116,7 +118,7 @@
 	})
 }
 
-// Whatever is sent to the management address, the gateway stays up and answers the next call.
+// The gateway must keep serving and answer the next call, whatever is sent to its management address.
 func FuzzManagement(f *testing.F) {
 	for _, seed := range []string{
 		"GET /api/ready HTTP/1.1\r\n\r\n",
@@ -138,8 +140,8 @@
 	})
 }
 
-// Whatever a host answers, the gateway stays up and the request gets its final answer. The statement's value tells the
-// stub host which bytes to send.
+// The gateway must keep serving, and the request must get its final response, whatever a host sends as its response. The
+// value in the statement tells the stub host which bytes to send.
 func FuzzHostAnswer(f *testing.F) {
 	row := stubserver.AppendRow(stubserver.AppendColumnDescription(nil), "v")
 	complete := pg.AppendReadyForQuery(pg.AppendStrings(append([]byte(nil), row...), pg.MsgCommandComplete, "SELECT 1"))
@@ -155,7 +157,7 @@
 	f.Fuzz(func(t *testing.T, input []byte) {
 		conn, err := net.Dial("tcp4", address)
 		if err != nil {
-			t.Fatalf("the gateway is gone: %v", err)
+			t.Fatalf("cannot connect to the gateway: %v", err)
 		}
 		defer closeConn(conn)
 		_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
@@ -163,7 +165,7 @@
 		if _, err := conn.Write(encode(t, "startup", "query SELECT v FROM s WHERE greenhouse = '"+value+"'")); err != nil {
 			t.Fatal(err)
 		}
-		for readyCount := 0; readyCount < 2; { // of the startup and of the answer
+		for readyCount := 0; readyCount < 2; { // one ReadyForQuery ends the startup, one the response
 			answer, err := testkit.ReadAnswer(conn)
 			if err != nil {
 				t.Fatal(err)
@@ -175,7 +177,7 @@
 	})
 }
 
-// Any operator's file is taken or refused with one line.
+// Any operator's file must be accepted, or rejected with an error of one line.
 func FuzzOperatorFile(f *testing.F) {
 	deployed, err := os.ReadFile("../../deploy/extended.toml")
 	if err != nil {
@@ -197,7 +199,7 @@
 	})
 }
 
-// Any configuration of the platform is taken or refused with one line.
+// Any configuration of the platform must be accepted, or rejected with an error of one line.
 func FuzzPlatformFile(f *testing.F) {
 	for _, seed := range []string{
 		platformText(f, "127.0.0.1:1"), "{}", "", `{"settings":{}}`, `{"settings":[]}`, `{"known":{"members":[{}]}}`,
@@ -211,12 +213,12 @@
 	})
 }
 
-// wantOneLine checks that loading a configuration gave one, or an error of one line that names the key.
+// wantOneLine checks that loading returned a configuration, or an error of one line. A ConfigError must name its key.
 func wantOneLine(t *testing.T, config *Config, err error) {
 	t.Helper()
 	if err == nil {
 		if config == nil {
-			t.Error("neither a configuration nor an error")
+			t.Error("loading returned neither a configuration nor an error")
 		}
 		return
 	}
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -20,10 +20,10 @@
 type runningGateway struct {
 	*Server
 	done chan struct{}
-	err  error // of Run, once done is closed
+	err  error // error of Run; set before done is closed
 }
 
-// runGateway starts a gateway with a configuration that was loaded, or fails with the error of loading it.
+// runGateway starts a gateway with a loaded configuration. The test fails if err, the error of loading it, is not nil.
 func runGateway(tb testing.TB, config *Config, err error) *runningGateway {
 	tb.Helper()
 	if err != nil {
@@ -51,11 +51,11 @@
 	case <-g.done:
 		return g.err
 	case <-time.After(20 * time.Second):
-		return fmt.Errorf("the gateway doesn't stop")
+		return fmt.Errorf("the gateway did not stop within 20 s")
 	}
 }
 
-// RequestsInFlight is how many requests have no final response yet; testkit's steps wait for it.
+// RequestsInFlight returns how many requests have no final response yet. Steps of testkit poll it.
 func (g *runningGateway) RequestsInFlight() int {
 	count := make(chan int, 1)
 	g.loop.Notify(func() { count <- g.core.OpenRequests() })
@@ -73,14 +73,15 @@
 	clockUs atomic.Int64
 }
 
-// newVirtualGateway sets up a gateway of a deployment; start runs it.
+// newVirtualGateway sets up a gateway with the configuration of a deployment; start runs it.
 func newVirtualGateway(tb testing.TB, file string, cluster *testkit.Cluster) *virtualGateway {
 	tb.Helper()
 	config, err := loadDeployment(tb, file, cluster)
 	return virtualGatewayOf(tb, config, err)
 }
 
-// virtualGatewayOf sets up a gateway with a configuration that was loaded, or fails with the error of loading it.
+// virtualGatewayOf sets up a gateway with a loaded configuration. The test fails if err, the error of loading it, is not
+// nil.
 func virtualGatewayOf(tb testing.TB, config *Config, err error) *virtualGateway {
 	tb.Helper()
 	if err != nil {
@@ -97,7 +98,7 @@
 	return g
 }
 
-// advance moves the clock, with a round of the event loop every 10 ms.
+// advance moves the clock forward, and waits for a round of the event loop every 10 ms.
 func (g *virtualGateway) advance(ms int) {
 	for range ms / 10 {
 		g.clockUs.Add(10_000)
@@ -105,12 +106,12 @@
 	}
 }
 
-// waitUntil waits for a condition while the virtual clock stands still.
+// waitUntil waits up to 20 s of real time for a condition. It does not advance the virtual clock.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never came: " + what)
+			t.Fatal("not within 20 s: " + what)
 		}
 	}
 }
@@ -125,7 +126,7 @@
 
 func noEnvironment(string) string { return "" }
 
-// platformText is the platform's configuration that the whole program is tested with.
+// platformText returns the platform's configuration with which cmd/merlinjunction tests the whole program.
 func platformText(tb testing.TB, discovery string) string {
 	tb.Helper()
 	text, err := os.ReadFile("../../cmd/merlinjunction/testdata/platform/config.json")
@@ -141,7 +142,7 @@
 	return LoadPlatform(writeFile(tb, "config.json", text), noEnvironment)
 }
 
-// loadDeployment is a deployment's configuration, with time for connections that take long to be established.
+// loadDeployment loads the configuration of a deployment, with a connect timeout that slow connections don't exceed.
 func loadDeployment(tb testing.TB, file string, cluster *testkit.Cluster) (*Config, error) {
 	tb.Helper()
 	text, err := os.ReadFile(file)
@@ -170,7 +171,8 @@
 	return runGateway(tb, config, err)
 }
 
-// operatorText is deploy/extended.toml with ephemeral ports, discovery in place of its hosts, and two more classes.
+// operatorText returns deploy/extended.toml with ephemeral ports, with discovery instead of its hosts, and with two more
+// classes.
 func operatorText(tb testing.TB, discovery string) string {
 	tb.Helper()
 	text, err := os.ReadFile("../../deploy/extended.toml")
@@ -180,7 +182,7 @@
 	head, rest, headFound := strings.Cut(string(text), "# A host that is to be taken out")
 	_, classes, classesFound := strings.Cut(rest, "[[class]]")
 	if !headFound || !classesFound {
-		tb.Fatal("deploy/extended.toml has changed its form")
+		tb.Fatal("deploy/extended.toml lacks the comment on hosts or the first [[class]] at which the test cuts it")
 	}
 	for _, port := range []string{"6432", "6433", "6434"} {
 		head = strings.Replace(head, "127.0.0.1:"+port, "127.0.0.1:0", 1)
@@ -219,8 +221,7 @@
 	return runGateway(tb, config, err)
 }
 
-// startManagedExtended names the management address in the file, so that the tests find a key that is read but not
-// used.
+// startManagedExtended sets the management address in the file, so that the tests fail if the key is read but not used.
 func startManagedExtended(tb testing.TB, cluster *testkit.Cluster) testkit.Gateway {
 	tb.Helper()
 	text := "management = \"127.0.0.1:0\"\n" + operatorText(tb, serveDiscovery(tb, cluster))
@@ -228,7 +229,7 @@
 	return runGateway(tb, config, err)
 }
 
-// startSlowConnectExtended gives connections that take long to be established their time.
+// startSlowConnectExtended starts a gateway with a connect timeout that slow connections don't exceed.
 func startSlowConnectExtended(tb testing.TB, cluster *testkit.Cluster) testkit.Gateway {
 	tb.Helper()
 	config, err := loadOperatorText(tb, operatorText(tb, serveDiscovery(tb, cluster)))
@@ -238,7 +239,7 @@
 	return runGateway(tb, config, err)
 }
 
-// writeFile writes a file into a directory of its own, and returns its path.
+// writeFile writes a file into a new temporary directory, and returns its path.
 func writeFile(tb testing.TB, name, text string) string {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), name)
@@ -253,7 +254,7 @@
 	}
 }
 
-// playSteps plays steps that must all succeed.
+// playSteps plays the steps, and fails the test at the first one that fails.
 func playSteps(t *testing.T, player *testkit.Player, steps ...string) {
 	t.Helper()
 	for _, step := range steps {
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// reservedDescriptors are for all but clients and hosts: standard streams, epoll, listeners, discovery, the fleet's
-	// socket, state files, and the connections of health checks and management calls, 16 for each of their listeners at
-	// most. All of these at once can need more than are reserved.
+	// reservedDescriptors is the number of descriptors reserved for everything except connections to clients and hosts:
+	// standard streams, epoll, listeners, discovery, the fleet's socket, state files, and the connections of health checks
+	// and management calls, at most 16 for each of their listeners. All of these together can need more than this number.
 	reservedDescriptors = 48
-	// hostConnectionPercent is the part of the other descriptors that is for connections to hosts. The rest, the larger
-	// part, is for clients: they share the connections to hosts, and need none while they are idle.
+	// hostConnectionPercent is the percentage of the remaining descriptors that connections to hosts may use. Clients get
+	// the rest, which is the larger part: they share the connections to hosts, and need none while they are idle.
 	hostConnectionPercent = 40
 	// preparedMemoryShare is the share of the memory limit that prepared statements, portals and their rows may hold.
 	preparedMemoryShare = 0.25
-	// platformClientIdleMs is the idle timeout of the platform's clients: they open a new connection when they need one.
+	// platformClientIdleMs is the idle timeout of the platform's clients, which open a new connection when they need one.
 	platformClientIdleMs = 2000.0
 )
 
@@ -46,7 +46,7 @@
 	return s.openHealthChecks()
 }
 
-// descriptorLimit is the configured number of descriptors, or the process's limit where that is lower.
+// descriptorLimit returns the configured number of descriptors, or the process's limit if that is lower.
 func descriptorLimit(configured int) int {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(configured) {
@@ -73,7 +73,7 @@
 	return err
 }
 
-// openFrontend sets up the clients' sessions.
+// openFrontend sets up the client pool and the frontend that handles the clients' sessions.
 func (s *Server) openFrontend() {
 	s.clients = &pg.ClientPool{Loop: s.loop, MaxClients: s.connectionBudget - s.hostConnectionLimit}
 	if operator := s.config.Operator; operator != nil {
@@ -84,7 +84,7 @@
 	s.clients.NewSession = platform.New(s.core, s.config.Settings, s.ready).NewSession
 }
 
-// newExtendedFrontend returns the frontend that an operator's file sets up.
+// newExtendedFrontend returns the extended frontend with the configuration of an operator's file.
 func (s *Server) newExtendedFrontend(operator *OperatorConfig) *extended.Frontend {
 	return &extended.Frontend{
 		Core:             s.core,
@@ -94,7 +94,7 @@
 	}
 }
 
-// openManagement opens the listener of the management calls where the configuration has an address for it.
+// openManagement opens the listener of the management calls if the configuration has an address for it.
 func (s *Server) openManagement() (err error) {
 	if s.config.Management == "" {
 		return nil
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// openClientListener opens the clients' listener, or takes over the inherited one, which accepts nobody before
-// acceptWhenReady.
+// openClientListener opens the clients' listener, or takes over the inherited one, which accepts no connection until
+// acceptWhenReady starts it.
 func (s *Server) openClientListener() (err error) {
 	if s.config.ListenFD == 0 {
 		s.clientListener, err = s.loop.Listen(s.config.Listen, s.clients.Accept, s.onAcceptError)
@@ -120,7 +120,7 @@
 	return err
 }
 
-// openHealthChecks opens the listeners of load balancers' checks, which only an operator's file sets up.
+// openHealthChecks opens the listeners for load balancers' health checks, which only an operator's file configures.
 func (s *Server) openHealthChecks() (err error) {
 	operator := s.config.Operator
 	if operator == nil {
@@ -137,8 +137,8 @@
 	return err
 }
 
-// onAcceptError disconnects one idle client, if there is one, when a listener could not accept a connection. It is the
-// same for all listeners, and for errors other than a lack of descriptors too.
+// onAcceptError disconnects one idle client, if there is one, after a listener failed to accept a connection. It handles
+// the errors of all listeners, including errors other than a lack of descriptors.
 func (s *Server) onAcceptError(err error) {
 	s.log.Warn("accepting a connection failed, closing idle clients", zap.Error(err))
 	s.clients.EvictIdle()
--- a/internal/server/management.go
+++ b/internal/server/management.go
@@ -9,7 +9,7 @@
 	"merlinjunction/internal/proxy"
 )
 
-// Telemetry is what has been counted since this process started.
+// Telemetry returns what this process has counted since its start, and the status of its fleet without the members.
 func (s *Server) Telemetry() management.Telemetry {
 	telemetry := management.Telemetry{
 		Replies:       map[string]proxy.ReplyCounts{},
@@ -26,7 +26,7 @@
 	return telemetry
 }
 
-// Exclude takes a database host out of use, in sibling processes too; false where no such host is known.
+// Exclude takes a database host out of use, in sibling processes too. It returns false if no such host is known.
 func (s *Server) Exclude(id string) bool {
 	s.applySiblingExclusions()
 	known := s.core.Exclude(id, s.loop.Clock.Now())
@@ -37,7 +37,7 @@
 	return known
 }
 
-// Include uses a database host again, in sibling processes too; false where no such host is known.
+// Include puts a database host back into use, in sibling processes too. It returns false if no such host is known.
 func (s *Server) Include(id string) bool {
 	s.applySiblingExclusions()
 	known := s.core.Include(id)
@@ -48,7 +48,7 @@
 	return known
 }
 
-// Fleet is this gateway's view of its fleet; nil without one.
+// Fleet returns this gateway's view of its fleet, or nil without a fleet.
 func (s *Server) Fleet() *management.Fleet {
 	if s.transport == nil {
 		return nil
@@ -83,7 +83,7 @@
 	return view
 }
 
-// FleetMetrics are the fleet's metrics in the text format of Prometheus; "" without a fleet.
+// FleetMetrics returns the fleet's metrics in the text format of Prometheus, or "" without a fleet.
 func (s *Server) FleetMetrics() string {
 	if s.transport == nil {
 		return ""
--- a/internal/server/pipeline_test.go
+++ b/internal/server/pipeline_test.go
@@ -20,9 +20,10 @@
 	pipelinesAtATime   = 8
 )
 
-// Hundreds of pipelines, most of them interrupted: by a failing statement, by a host that resets, by a client that
-// disconnects at some byte, and in the middle by a primary that drains. For each execute there is one final response at
-// the most, none is left out before a later one, no value runs twice, and one that was skipped or rejected never ran.
+// Runs hundreds of pipelines, most of them interrupted: by a failing statement, by a host that resets the connection, by a
+// client that disconnects at a random byte, or by a primary that drains halfway through the test. Each execute must get
+// at most one final response, and none may be skipped before an execute that gets one. No value may run twice, and a
+// value that was skipped or rejected must not run.
 func TestInterruptedPipelines(t *testing.T) {
 	player := testkit.NewPlayer(t, startExtended, "a", "b", "c")
 	address, _, _ := player.Gateway.Addrs()
@@ -52,11 +53,11 @@
 		t.Error(err)
 	}
 	if g := player.Gateway.(*runningGateway); g.core.OpenRequests() != 0 {
-		t.Errorf("%d requests were left", g.core.OpenRequests())
+		t.Errorf("%d requests are still open", g.core.OpenRequests())
 	}
 }
 
-// runPipeline sends the pipeline of a number and checks its outcome.
+// runPipeline sends the pipeline with the given number and checks its outcome.
 func runPipeline(cluster *testkit.Cluster, address string, number int) error {
 	rng := rand.New(rand.NewPCG(7, uint64(number)))
 	conn, err := net.Dial("tcp4", address)
@@ -83,7 +84,7 @@
 	return outcome.check(cluster, values)
 }
 
-// pipelineValues are the values that the pipeline inserts; in half of the pipelines one of them makes its host fail.
+// pipelineValues returns the values that the pipeline inserts. In half of the pipelines one of them makes its host fail.
 func pipelineValues(number int, rng *rand.Rand) []string {
 	failing := rng.IntN(2 * executesInPipeline)
 	var values []string
@@ -122,15 +123,15 @@
 	closeConn(conn)
 	for _, value := range values {
 		if hosts := cluster.Runs(value); len(hosts) > 1 {
-			return fmt.Errorf("%s ran at %v", value, hosts)
+			return fmt.Errorf("%s ran more than once, at %v", value, hosts)
 		}
 	}
 	return nil
 }
 
-// pipelineOutcome is how a pipeline ended.
+// pipelineOutcome summarizes the responses to a pipeline.
 type pipelineOutcome struct {
-	completed int    // executes that were answered
+	completed int    // executes that succeeded
 	failure   string // error response; "": none
 }
 
@@ -140,7 +141,7 @@
 	for ready := 0; ready < 2; {
 		message, err := testkit.ReadAnswer(conn)
 		if errors.Is(err, io.EOF) {
-			return outcome, fmt.Errorf("the connection ended after %d answers", outcome.completed)
+			return outcome, fmt.Errorf("the connection ended after %d responses", outcome.completed)
 		}
 		if err != nil {
 			return outcome, err
@@ -148,12 +149,12 @@
 		switch {
 		case strings.HasPrefix(message, "C:"):
 			if outcome.failure != "" {
-				return outcome, fmt.Errorf("%s after %s", message, outcome.failure)
+				return outcome, fmt.Errorf("response %s after the error %s", message, outcome.failure)
 			}
 			outcome.completed++
 		case strings.HasPrefix(message, "E:"):
 			if outcome.failure != "" {
-				return outcome, fmt.Errorf("%s after %s: two final answers", message, outcome.failure)
+				return outcome, fmt.Errorf("second error %s after the error %s", message, outcome.failure)
 			}
 			outcome.failure = message
 		case message == "Z":
@@ -163,10 +164,10 @@
 	return outcome, nil
 }
 
-// check compares the outcome with what ran at the hosts.
+// check compares the outcome with the values that ran at the hosts.
 func (o pipelineOutcome) check(cluster *testkit.Cluster, values []string) error {
 	if o.failure == "" && o.completed != executesInPipeline || o.failure != "" && o.completed >= executesInPipeline {
-		return fmt.Errorf("%d answers and %q for %d executes", o.completed, o.failure, executesInPipeline)
+		return fmt.Errorf("%d responses and error %q for %d executes", o.completed, o.failure, executesInPipeline)
 	}
 	rejected := strings.HasPrefix(o.failure, "E:53300")
 	for i, value := range values {
@@ -175,7 +176,7 @@
 		case i < o.completed && len(hosts) != 1,
 			i == o.completed && (len(hosts) > 1 || rejected && len(hosts) > 0),
 			i > o.completed && len(hosts) > 0:
-			return fmt.Errorf("%s, number %d of %d done, failed %q, ran at %v", value, i, o.completed, o.failure, hosts)
+			return fmt.Errorf("%s, at index %d with %d completed and error %q, ran at %v", value, i, o.completed, o.failure, hosts)
 		}
 	}
 	return nil
--- a/internal/server/process_lock.go
+++ b/internal/server/process_lock.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// processLock is a locked file that shows that a process is alive: the kernel releases the lock when the process ends,
+// processLock is a locked file that shows that its process is alive. The kernel releases the lock when the process ends,
 // however it ends.
 type processLock struct {
-	prefix string // of the files of all processes of one gateway
+	prefix string // common path prefix of the lock files of all processes of one gateway
 	path   string
 	file   *os.File
 }
@@ -25,7 +25,7 @@
 		return nil, err
 	}
 	lock := &processLock{prefix: prefix, path: fmt.Sprintf("%s-%d.live", prefix, os.Getpid()), file: file}
-	// The file gets its name only when it is locked: a sibling that found it unlocked would remove it.
+	// The file gets its final name only once it is locked, because a sibling that found it unlocked would remove it.
 	if err = unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
 		err = os.Rename(file.Name(), lock.path)
 	}
@@ -42,31 +42,32 @@
 	closeFile(l.file)
 }
 
-// othersAlive reports whether another process of the gateway holds its lock. It removes the files of processes that
-// have been killed.
-func (l *processLock) othersAlive() bool {
+// siblingAlive reports whether another process of the gateway holds its lock. It removes the files of processes that
+// were killed.
+func (l *processLock) siblingAlive() bool {
 	found := false
 	paths, _ := filepath.Glob(l.prefix + "-*.live") // fails only for a malformed pattern
 	for _, path := range paths {
-		if path != l.path && l.isOfThisGateway(path) && isLocked(path) {
+		if path != l.path && l.belongsToGateway(path) && isLocked(path) {
 			found = true
 		}
 	}
 	return found
 }
 
-// isOfThisGateway reports whether a file that begins with the prefix is of a process of this gateway: a process ID alone
-// follows. The file of a gateway whose name begins with this one's has the rest of that name there.
-func (l *processLock) isOfThisGateway(path string) bool {
+// belongsToGateway reports whether a lock file whose path begins with the prefix belongs to a process of this gateway.
+// That is so if only a process ID follows the prefix. In the file of a gateway whose name begins with this gateway's
+// name, the rest of the longer name follows.
+func (l *processLock) belongsToGateway(path string) bool {
 	processID := strings.TrimSuffix(strings.TrimPrefix(path, l.prefix+"-"), ".live")
 	_, err := strconv.ParseUint(processID, 10, 31)
 	return err == nil
 }
 
-// isLocked reports whether another process holds the lock on a file, and removes the file otherwise.
+// isLocked reports whether another process holds the lock on a file. It removes the file if none does.
 func isLocked(path string) bool {
 	file, err := os.Open(path)
-	if err != nil { // its process has just ended
+	if err != nil { // the process has just ended and removed its file
 		return false
 	}
 	defer closeFile(file)
@@ -77,10 +78,10 @@
 	return false
 }
 
-// closeFile closes a file that has nothing left to write; an error has no consequence.
+// closeFile closes a file that has no unwritten data, so an error has no consequence.
 func closeFile(file *os.File) { _ = file.Close() }
 
-// removeFile removes a file that may be gone already.
+// removeFile removes a file that may already have been removed.
 func removeFile(path string) { _ = os.Remove(path) }
 
 // discardFile closes and removes a temporary file.
--- a/internal/server/process_lock_test.go
+++ b/internal/server/process_lock_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// A process that was killed leaves its file, but not the lock on it.
+// A killed process leaves its lock file behind without a lock. It must not count as alive, and its file must be removed.
 func TestLockShowsWhetherProcessIsAlive(t *testing.T) {
 	dir := t.TempDir()
 	state := openTestState(t, dir, "n")
@@ -23,18 +23,18 @@
 		t.Fatal(err)
 	}
 	if !state.siblingAlive() {
-		t.Error("a process that holds its lock counts as ended")
+		t.Error("a process that holds its lock does not count as alive")
 	}
 	closeFile(file)
 	if state.siblingAlive() {
 		t.Error("a process that was killed counts as alive")
 	}
 	if _, err := os.Stat(path); err == nil {
-		t.Error("the file of a killed process is still there")
+		t.Error("the lock file of a killed process was not removed")
 	}
 }
 
-// Processes of other versions look for the lock under this name.
+// The name of the lock file must not change, because processes of other versions look for it.
 func TestLockFileName(t *testing.T) {
 	dir := t.TempDir()
 	openTestState(t, dir, "zone/n")
@@ -54,13 +54,13 @@
 	return state
 }
 
-// A gateway whose name begins with this one's is another gateway, and no sibling process.
+// The processes of a gateway whose name begins with this gateway's name must not count as siblings.
 func TestGatewayWithALongerNameIsNoSibling(t *testing.T) {
 	dir := t.TempDir()
 	state := openTestState(t, dir, "a")
 	openTestState(t, dir, "a-1")
 	openTestState(t, dir, "a-1-2")
 	if state.siblingAlive() {
-		t.Error("the gateway a takes the process of another gateway for its sibling")
+		t.Error("a process of another gateway counts as a sibling of gateway a")
 	}
 }
--- a/internal/server/readiness.go
+++ b/internal/server/readiness.go
@@ -2,13 +2,13 @@
 
 import "merlinjunction/internal/protocol/health"
 
-// firstListTimeoutMs is how long a gateway that has just started waits for discovery before it counts as ready without
-// an endpoint list from it.
+// firstListTimeoutMs is the time for which a newly started gateway waits for the first endpoint list from discovery.
+// After this time it counts as ready without the list.
 const firstListTimeoutMs = 500.0
 
-// ready reports whether clients can be served: the endpoint list has been received, or the wait for it is over, and
-// some host counts as reachable, as one that was never dialed does (proxy.Core.Ready). An evacuated gateway, which an
-// operator has taken out of service by Evacuate and not yet put back by Rejoin, is not ready.
+// ready reports whether clients can be served. The endpoint list must have been received, or the wait for it must be
+// over. At least one host must count as reachable, and a host that was never dialed does (proxy.Core.Ready). A gateway
+// that an operator has taken out of service by Evacuate is not ready until Rejoin.
 func (s *Server) ready() bool {
 	listSettled := s.endpointListReceived || s.loop.Clock.Now() >= s.discoveryWaitEndMs
 	return !s.evacuated && listSettled && s.core.Ready()
@@ -17,7 +17,7 @@
 // AcceptsClients reports whether this process accepts clients and can serve them.
 func (s *Server) AcceptsClients() bool { return !s.shuttingDown && !s.awaitingTakeover && s.ready() }
 
-// health is the state that load balancers' health checks see.
+// health returns the state that is reported to load balancers' health checks.
 func (s *Server) health() health.State {
 	switch {
 	case s.shuttingDown || s.evacuated:
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -3,8 +3,8 @@
 import "go.uber.org/zap"
 
 const (
-	// A configuration that can't be read at SIGHUP may be incomplete: it is read again every reloadRetryMs,
-	// maxReloadAttempts times in all.
+	// A configuration that can't be read at SIGHUP may be incompletely written, so reading it is retried every
+	// reloadRetryMs, for a total of maxReloadAttempts attempts.
 	reloadRetryMs     = 100.0
 	maxReloadAttempts = 30
 )
@@ -12,8 +12,8 @@
 // reload reads the configuration again. It applies the address of discovery and, from an operator's file, the host list
 // and the fleet's keys; all other changes need a restart. A configuration that can't be read changes nothing.
 //
-// Success is counted and logged once the configuration is read, before it is applied: fleet keys that are rejected
-// after that have a log line of their own.
+// Success is counted and logged once the configuration is read, before it is applied. Fleet keys that are rejected
+// afterwards are logged separately.
 func (s *Server) reload(attemptsLeft int) {
 	s.reloadTimer.Stop()
 	config, err := s.config.Reload()
@@ -34,7 +34,7 @@
 	}
 }
 
-// retryReload schedules the next attempt, and logs the first and the last failure.
+// retryReload schedules the next attempt if one is left. It logs the first and the last failure.
 func (s *Server) retryReload(attemptsLeft int, err error) {
 	isLast := attemptsLeft == 1
 	if attemptsLeft == maxReloadAttempts || isLast {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -11,11 +11,11 @@
 	"merlinjunction/internal/testkit"
 )
 
-// SIGHUP applies the host list of the file; a file with a mistake leaves the old one in use.
+// A reload must apply the host list of the file. If the file is invalid, the previous list must stay in use.
 func TestReload(t *testing.T) {
 	var path string
 	fileText := func(cluster *testkit.Cluster, state string) string {
-		_, text, _ := strings.Cut(operatorText(t, "127.0.0.1:1"), "\n") // hosts take the place of discovery
+		_, text, _ := strings.Cut(operatorText(t, "127.0.0.1:1"), "\n") // without the line with discovery, which hosts replace
 		for _, id := range []string{"a", "b"} {
 			text += fmt.Sprintf("[[host]]\nid = %q\naddress = %q\nstate = %q\n", id, cluster.Addr(id), state)
 			state = "ready"
@@ -48,9 +48,9 @@
 	insert("k3", "b")
 }
 
-// At SIGHUP the platform's gateway follows the endpoint list at the address that the file names then. Until that
-// address has sent the list, and while the file is incomplete, it serves with the list that it has.
-func TestReloadMovesDiscovery(t *testing.T) {
+// After a reload the platform's gateway must follow the endpoint list at the address that the file then has. Until that
+// address has sent the list, and while the file is incomplete, the gateway must serve with the list that it has.
+func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	var path, text string
 	oldDiscovery := httptest.NewServer(nil)
 	player := testkit.NewPlayer(t, func(tb testing.TB, cluster *testkit.Cluster) testkit.Gateway {
@@ -88,7 +88,7 @@
 	select {
 	case <-polled:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nobody polls the new address")
+		t.Fatal("the gateway did not poll the new address within 10 s")
 	}
 	serves("02")
 }
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -10,26 +10,26 @@
 
 func TestPlatform(t *testing.T) { testkit.PlayScenarios(t, "testdata/platform", startPlatform) }
 
-// Queries of one client run side by side. It counts what has run after 60 ms of real time.
+// Queries of one client must run concurrently. The scenario counts those that have run after 60 ms of real time.
 func TestPlatformPipeline(t *testing.T) {
 	testkit.PlayScenarios(t, "testdata/platformpipeline", startPlatform)
 }
 
 func TestExtended(t *testing.T) { testkit.PlayScenarios(t, "testdata/extended", startExtended) }
-func TestManaged(t *testing.T) {
+func TestManagementCalls(t *testing.T) {
 	testkit.PlayScenarios(t, "testdata/managed", startManagedPlatform)
 	testkit.PlayScenarios(t, "testdata/managedextended", startManagedExtended)
 }
 
-// deployment is a platform configuration with the words of the scenarios that depend on it.
+// deployment is a platform configuration, with the words that replace placeholders in the scenarios.
 type deployment struct {
 	name, file string
 	words      map[string]string
 }
 
-// deployments are unlike each other: other names and numbers of classes, writes with an idempotency key and without,
-// lists that are pushed and polled, with and without tenants and health checks, grace periods and deadlines several
-// times as long.
+// deployments differ in the names and the number of classes, in whether writes have an idempotency key, whether endpoint
+// lists are pushed or polled, and whether there are tenants and health checks. Their grace periods and deadlines differ
+// by a factor of several.
 var deployments = []deployment{
 	{"keyed", "../../cmd/merlinjunction/testdata/platform/config.json", map[string]string{
 		"slow": "long", "write": "write", "td": "t=x,d", "pastgrace": "2100", "repeated": "T D C", "runs": "2"}},
@@ -43,20 +43,20 @@
 	return runGateway(tb, config, err)
 }
 
-// Each crossing of two events, in both orders, at each deployment.
-func TestCrossings(t *testing.T) {
+// Plays each pair of overlapping events, in both orders, with each deployment.
+func TestOverlappingEvents(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) { testkit.PlayScenariosWith(t, "testdata/crossings", d.words, d.start) })
 	}
 }
 
-// The extended frontend keeps the same rules.
-func TestExtendedCrossings(t *testing.T) {
+// The extended frontend must follow the same rules for overlapping events.
+func TestExtendedOverlappingEvents(t *testing.T) {
 	testkit.PlayScenarios(t, "testdata/crossingsextended", startSlowConnectExtended)
 }
 
-// A gateway that runs out of descriptors for clients closes idle ones, and goes on serving.
-func TestManyClients(t *testing.T) {
+// A gateway at its limit of clients must close idle ones and keep serving.
+func TestIdleClientsAreClosedAtTheLimit(t *testing.T) {
 	player := testkit.NewPlayer(t, func(tb testing.TB, cluster *testkit.Cluster) testkit.Gateway {
 		tb.Helper()
 		g := startExtended(tb, cluster).(*runningGateway)
@@ -73,8 +73,8 @@
 	}
 }
 
-// A client that disconnects in the middle of anything must not disturb the next one.
-func TestGarbage(t *testing.T) {
+// A client that sends corrupt messages, or disconnects in the middle of one, must not affect the next client.
+func TestMalformedMessages(t *testing.T) {
 	player := testkit.NewPlayer(t, startExtended, "a", "b")
 	address, _, _ := player.Gateway.Addrs()
 	for seed := range 200 {
@@ -90,7 +90,7 @@
 	playSteps(t, player, "send z startup | query SELECT v FROM s WHERE greenhouse = 'g'", "expect z R K Z T D C Z")
 }
 
-// encode encodes messages that are known to be well formed.
+// encode encodes messages, and fails the test if one is malformed.
 func encode(tb testing.TB, messages ...string) []byte {
 	tb.Helper()
 	var out []byte
@@ -103,5 +103,5 @@
 	return out
 }
 
-// closeConn closes a client's connection that the test has no more use for.
+// closeConn closes a client's connection and ignores the error.
 func closeConn(conn net.Conn) { _ = conn.Close() }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	// heapLimitShare is the share of the memory limit above which Go's heap is collected hard. The rest is headroom: Go
-	// may exceed its limit for a while, and doesn't count the program itself and the system's socket buffers.
+	// heapLimitShare is the share of the memory limit that becomes Go's soft memory limit, above which garbage is collected
+	// more often. The rest is headroom: Go may exceed its soft limit for a while, and doesn't count the program's binary
+	// and the system's socket buffers.
 	heapLimitShare = 0.6
 	// bufferMemoryShare is the share of the memory limit that connections' buffers may hold. Appending to a buffer can
-	// double it for a moment.
+	// briefly double its memory.
 	bufferMemoryShare = 0.25
 )
 
-// Server is a running gateway: the event loop with its listeners, the proxy core, the endpoint list's watcher and the
-// fleet membership.
+// Server is a gateway process: the event loop with its listeners, the proxy core, the watcher of the endpoint list and
+// the fleet membership.
 type Server struct {
 	config  *Config
 	log     *zap.Logger
@@ -34,41 +35,42 @@
 	core    *proxy.Core
 	clients *pg.ClientPool
 
-	// Listeners; those that the configuration does not set up are nil.
+	// Listeners; a listener without an address in the configuration is nil.
 	clientListener     *eventloop.Listener
 	agentCheckListener *eventloop.Listener
 	httpCheckListener  *eventloop.Listener
 	managementListener *eventloop.Listener
 
-	connectionBudget    int // descriptors for connections to clients and hosts
-	hostConnectionLimit int // of them for hosts
+	connectionBudget    int // descriptors for all connections to clients and hosts
+	hostConnectionLimit int // part of connectionBudget that is for connections to hosts
 
 	watcher              *discovery.Watcher // nil without discovery
-	discoveryWaitEndMs   float64            // from then on the gateway is ready without an endpoint list; 0: at once
+	discoveryWaitEndMs   float64            // time from which the gateway is ready without an endpoint list; 0: at once
 	endpointListReceived bool
 
 	transport *transport.Transport // nil without a fleet
 	fleetSync fleetSync
 
-	reloadTimer     *eventloop.Timer // next attempt to read the configuration
+	reloadTimer     *eventloop.Timer // for the next attempt to read the configuration
 	reloadFailures  int
 	reloadSuccesses int
 
-	evacuated       bool             // out of service by the management call Evacuate, until Rejoin
-	evacuationTimer *eventloop.Timer // until clients are disconnected as they become idle
+	evacuated       bool             // set by the management call Evacuate, cleared by Rejoin
+	evacuationTimer *eventloop.Timer // starts to disconnect clients as they become idle
 
 	shuttingDown         bool
 	shutdownStartedMs    float64
-	abandonedConnections int // client connections that were open at the end of the graceful shutdown
+	abandonedConnections int // client connections still open at the end of the graceful shutdown
 
-	shared           *sharedState // with sibling processes; nil without an inherited listener
-	hasSibling       bool         // another process of this gateway is alive
-	awaitingTakeover bool         // the inherited listener accepts nobody yet
+	shared           *sharedState // state shared with sibling processes; nil without an inherited listener
+	hasSibling       bool         // whether another process of this gateway is alive
+	awaitingTakeover bool         // whether the inherited listener does not accept clients yet
 }
 
-// New opens a gateway's listeners and sockets; Run starts it. The error is a *ConfigError where the address of the
+// New opens a gateway's listeners and sockets; Run starts it. The error is a *ConfigError if the address of the
 // management calls, the inherited listener or the directory of the shared state can't be used. Errors of the clients'
-// listener, the health checks' listeners and the fleet's socket are plain, with the address or the key in their text.
+// listener, the health checks' listeners and the fleet's socket are of other types, with the address or the key in their
+// text.
 func New(config *Config, log *zap.Logger, clock *eventloop.Clock) (*Server, error) {
 	debug.SetMemoryLimit(heapLimitBytes(config.memoryBytes()))
 	loop, err := eventloop.New(clock)
@@ -85,13 +87,13 @@
 	return s, nil
 }
 
-// heapLimitBytes is Go's soft memory limit for a process that may use so much memory.
+// heapLimitBytes returns Go's soft memory limit for a process with the given memory limit.
 func heapLimitBytes(memoryBytes int) int64 { return int64(heapLimitShare * float64(memoryBytes)) }
 
-// bufferLimitBytes is the limit of connections' buffers for a process that may use so much memory.
+// bufferLimitBytes returns the limit of all connections' buffers for a process with the given memory limit.
 func bufferLimitBytes(memoryBytes int) int { return int(bufferMemoryShare * float64(memoryBytes)) }
 
-// Close releases the sockets and files of a gateway that does not run.
+// Close releases the sockets and files of a gateway whose event loop is not running.
 func (s *Server) Close() {
 	if s.shared != nil {
 		s.shared.close()
@@ -120,7 +122,7 @@
 	return err
 }
 
-// onLoopRound runs at the end of each round of the event loop, when all events of the round have been gathered.
+// onLoopRound runs at the end of each round of the event loop, after the handlers of all events of the round.
 func (s *Server) onLoopRound() {
 	s.core.Step()
 	if s.transport != nil {
@@ -129,15 +131,15 @@
 	}
 }
 
-// Addrs are the addresses of the listeners of clients, agent checks and HTTP checks; "" where there is none.
+// Addrs returns the addresses of the listeners of clients, agent checks and HTTP checks, each "" without a listener.
 func (s *Server) Addrs() (clients, agentCheck, httpCheck string) {
 	return listenerAddress(s.clientListener), listenerAddress(s.agentCheckListener), listenerAddress(s.httpCheckListener)
 }
 
-// Management is the address of the management calls; "" without one.
+// Management returns the address of the management listener, or "" without one.
 func (s *Server) Management() string { return listenerAddress(s.managementListener) }
 
-// listenerAddress is the address of a listener; "" where it is nil.
+// listenerAddress returns the address of a listener, or "" if it is nil.
 func listenerAddress(listener *eventloop.Listener) string {
 	if listener == nil {
 		return ""
--- a/internal/server/shared_state.go
+++ b/internal/server/shared_state.go
@@ -6,14 +6,14 @@
 	"go.uber.org/zap"
 )
 
-// sharedState is what sibling processes of one gateway share through files in one directory while one takes over from
-// the other: exclusions of hosts, and a lock of each process that shows that it is alive.
+// sharedState is the state that sibling processes of one gateway share through files in one directory while one process
+// takes over from the other: the exclusions of hosts, and for each process a lock that shows that it is alive.
 type sharedState struct {
 	exclusions *exclusionFile
 	lock       *processLock
 }
 
-// openSharedState makes this process visible to its siblings. The error is a *ConfigError.
+// openSharedState opens the shared state, and shows siblings that this process is alive. The error is a *ConfigError.
 func openSharedState(log *zap.Logger, dir, gateway string) (*sharedState, error) {
 	prefix := filepath.Join(dir, "merlinjunction-"+filepath.Base(gateway))
 	lock, err := acquireProcessLock(prefix)
@@ -24,7 +24,7 @@
 }
 
 // siblingAlive reports whether another process of this gateway is alive.
-func (s *sharedState) siblingAlive() bool { return s.lock.othersAlive() }
+func (s *sharedState) siblingAlive() bool { return s.lock.siblingAlive() }
 
-// close makes the end of this process visible to its siblings.
+// close shows siblings that this process has ended.
 func (s *sharedState) close() { s.lock.release() }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -1,33 +1,35 @@
 package server
 
 const (
-	// drainNoticeMs is how long clients are accepted after SIGTERM: load balancers go on sending them for a while.
+	// drainNoticeMs is the time for which clients are still accepted after SIGTERM, because load balancers keep sending
+	// new clients for a while.
 	drainNoticeMs = 500.0
-	// handshakeMs is how long before the listener closes no connection is opened any more: one whose handshake has begun
-	// has that time to be established and accepted.
+	// handshakeMs is the time before the listener closes during which no new TCP handshake begins. A connection whose
+	// handshake has begun earlier has this time to be established and accepted.
 	handshakeMs = 20.0
-	// Connected clients have as long as the longest deadline of a request to finish, minDrainMs at least, and
-	// drainMarginMs more.
+	// Connected clients have the following time to finish: the longest deadline of a request, but at least minDrainMs,
+	// plus drainMarginMs.
 	minDrainMs    = 3000.0
 	drainMarginMs = 300.0
-	// The platform sends SIGKILL so long after SIGTERM: the longest deadline of a request, maxKillDeadlineMs at most, and
-	// killMarginMs more.
+	// The platform sends SIGKILL this long after SIGTERM: the longest deadline of a request, but at most
+	// maxKillDeadlineMs, plus killMarginMs.
 	maxKillDeadlineMs = 3000.0
 	killMarginMs      = 700.0
-	// finalResponseMarginMs is how long before the final deadline of a drain the requests that still arrive are answered.
+	// finalResponseMarginMs is the time between the final deadline, by which all requests are answered, even those that
+	// still arrive, and the end of the drain or SIGKILL, whichever comes first.
 	finalResponseMarginMs = 50.0
-	// idlePollMs is the interval at which a draining gateway checks whether all clients have gone.
+	// idlePollMs is the interval at which a draining gateway checks whether all clients have disconnected.
 	idlePollMs = 5.0
 )
 
 // Stop starts a graceful shutdown; any goroutine may call it.
 func (s *Server) Stop() { s.loop.Notify(s.shutDown) }
 
-// shutDown starts a graceful shutdown: new clients are accepted for drainNoticeMs, then the gateway drains. Where a
-// sibling process may have taken over the listener the gateway drains at once.
+// shutDown starts a graceful shutdown: new clients are accepted for drainNoticeMs, then the gateway drains. With an
+// inherited listener, which a sibling process may have taken over, the gateway drains at once.
 //
-// The gateway leaves the fleet at once: without a sibling, drainNoticeMs before it stops accepting clients. A further
-// call, at a second SIGTERM, does nothing. SIGHUP still reloads the configuration.
+// The gateway leaves the fleet at once, so without an inherited listener it leaves drainNoticeMs before it stops accepting
+// clients. A further call, at a second SIGTERM, does nothing. SIGHUP still reloads the configuration.
 func (s *Server) shutDown() {
 	if s.shuttingDown {
 		return
@@ -48,8 +50,8 @@
 	})
 }
 
-// drain accepts no more clients, and ends the event loop when those that are connected have gone, at drainEndMs at the
-// latest. All requests are answered by then, or before SIGKILL where that may come first.
+// drain stops accepting clients, and ends the event loop when all connected clients have disconnected, at drainEndMs at
+// the latest. All requests are answered by then, or before SIGKILL if that may come first.
 func (s *Server) drain() {
 	// The minimum is for large responses, which have no deadline once they have begun.
 	drainEndMs := s.loop.Clock.Now() + max(s.longestDeadlineMs(), minDrainMs) + drainMarginMs
@@ -60,7 +62,8 @@
 	s.finishWhenIdle()
 }
 
-// killTimeMs is the earliest time of SIGKILL. Deadlines of an operator's file may be above the platform's maximum.
+// killTimeMs returns the earliest time of SIGKILL. The platform's maximum does not apply to an operator's file, which may
+// set longer deadlines.
 func (s *Server) killTimeMs() float64 {
 	deadlineMs := s.longestDeadlineMs()
 	if s.config.Operator == nil {
@@ -69,7 +72,7 @@
 	return s.shutdownStartedMs + deadlineMs + killMarginMs
 }
 
-// longestDeadlineMs is the longest deadline of all classes of requests.
+// longestDeadlineMs returns the longest deadline of all classes of requests.
 func (s *Server) longestDeadlineMs() float64 {
 	longest := 0.0
 	for _, class := range s.config.Settings.Classes {
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -12,8 +12,8 @@
 	"merlinjunction/internal/testkit"
 )
 
-// Clients go on for 0.3 s after SIGTERM, on old connections and on new ones: each request gets a response, and the
-// gateway ends without open requests or connections.
+// Clients send requests until 0.3 s after SIGTERM, on existing and on new connections. Each request must get a response,
+// and the gateway must stop without open requests or connections.
 func TestDrainUnderLoad(t *testing.T) {
 	player := testkit.NewPlayer(t, startPlatform, "a", "b", "c")
 	address, _, _ := player.Gateway.Addrs()
@@ -37,11 +37,11 @@
 		t.Fatal(err)
 	}
 	if g := player.Gateway.(*runningGateway); g.core.OpenRequests() != 0 || g.abandonedConnections != 0 {
-		t.Errorf("%d requests and %d connections were left", g.core.OpenRequests(), g.abandonedConnections)
+		t.Errorf("%d requests and %d connections are still open", g.core.OpenRequests(), g.abandonedConnections)
 	}
 }
 
-// requestUntil sends one request after another until stop is closed, every tenth one on a new connection.
+// requestUntil sends requests one after another until stop is closed, every tenth one on a new connection.
 func requestUntil(stop <-chan struct{}, address string, client int) error {
 	var conn net.Conn
 	for i := 0; ; i++ {
@@ -61,7 +61,7 @@
 	}
 }
 
-// request sends one request, on a new connection where there is none, and waits for its response.
+// request sends one request and waits for its response. It opens a connection if conn is nil, and returns the connection.
 func request(conn net.Conn, address, key string, slow bool) (net.Conn, error) {
 	var out []byte
 	if conn == nil {
@@ -93,20 +93,20 @@
 		case message == "Z" && completed:
 			return conn, nil
 		case message == "Z":
-			return conn, fmt.Errorf("no answer before ReadyForQuery")
+			return conn, fmt.Errorf("no CommandComplete before ReadyForQuery")
 		}
 	}
 }
 
-// A client keeps its connection busy beyond SIGTERM, with more time than the platform leaves before SIGKILL. A request
-// that arrives more than 0.7 s after SIGTERM and has no response by SIGKILL is lost.
-func TestNothingIsOpenWhenSIGKILLComes(t *testing.T) {
+// A client keeps its connection busy after SIGTERM, with a deadline beyond the platform's SIGKILL. A request that arrives
+// more than 0.7 s after SIGTERM would be lost if it had no response before SIGKILL.
+func TestRequestsAnsweredBeforeSIGKILL(t *testing.T) {
 	for _, d := range deployments {
-		t.Run(d.name, d.testKill)
+		t.Run(d.name, d.testAnsweredBeforeSIGKILL)
 	}
 }
 
-func (d deployment) testKill(t *testing.T) {
+func (d deployment) testAnsweredBeforeSIGKILL(t *testing.T) {
 	cluster, err := testkit.NewCluster("a", "b", "c")
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 		}
 		playSteps(t, player, step)
 	}
-	g.advance(2000) // discovery has had its time
+	g.advance(2000) // beyond the wait for the endpoint list
 	player.Init()
 	play("send c startup | query SELECT v FROM records WHERE k = 'hang1' /* id=01,c=$slow,$td=2000,cluster=0 */")
 	play("expect c R K Z")
@@ -130,20 +130,20 @@
 	g.advance(800)
 	play("send c query SELECT v FROM records WHERE k = 'hang2' /* id=02,c=$slow,$td=60000,cluster=0 */")
 	waitUntil(t, "the second request", func() bool { return g.RequestsInFlight() == 2 })
-	g.advance(3000 + 700 - 800 - 10) // the longest deadline, taken as 3 s, and 0.7 s after SIGTERM
+	g.advance(3000 + 700 - 800 - 10) // to SIGKILL: the longest deadline, capped at 3 s, plus 0.7 s, after SIGTERM
 	if n := g.RequestsInFlight(); n != 0 {
-		t.Errorf("%d requests have no response when SIGKILL comes", n)
+		t.Errorf("%d requests have no response at SIGKILL", n)
 	}
 	play("expect c E Z E Z eof")
 	g.advance(1000)
 	if err := g.Wait(); err != nil || g.abandonedConnections != 0 {
-		t.Errorf("%v, %d connections were left", err, g.abandonedConnections)
+		t.Errorf("stop: error %v, %d connections still open", err, g.abandonedConnections)
 	}
 }
 
-// The extended frontend handles one message of a client at a time: what has to wait for the answers before it is answered
-// too before SIGKILL comes, the longest deadline and 0.7 s after SIGTERM.
-func TestNothingOfAPipelineIsOpenWhenSIGKILLComes(t *testing.T) {
+// The extended frontend handles one message of a client at a time. A message that waits for the responses to earlier ones
+// must be answered too before SIGKILL, which follows SIGTERM after the longest deadline plus 0.7 s.
+func TestPipelinedRequestsAnsweredBeforeSIGKILL(t *testing.T) {
 	cluster, err := testkit.NewCluster("a", "b", "c")
 	if err != nil {
 		t.Fatal(err)
@@ -157,7 +157,7 @@
 	g.start()
 	player := &testkit.Player{Cluster: cluster, Gateway: g}
 	player.Init()
-	g.advance(2000) // discovery has had its time
+	g.advance(2000) // beyond the wait for the endpoint list
 	playSteps(t, player, "send w startup | query INSERT INTO t VALUES ('first')")
 	waitUntil(t, "the primary", func() bool {
 		g.advance(10)
@@ -166,7 +166,7 @@
 	playSteps(t, player, "close w", "send c startup | query INSERT INTO t VALUES ('hang1')", "expect c R K Z")
 	waitUntil(t, "the first request", func() bool {
 		time.Sleep(5 * time.Millisecond)
-		g.advance(10) // it may wait for its connection to settle
+		g.advance(10) // the request may wait for the settle period of its connection
 		return g.RequestsInFlight() == 1 && len(cluster.Runs("hang1")) > 0
 	})
 	g.Stop()
@@ -175,17 +175,17 @@
 	const longestDeadlineMs, killMarginMs = 2000, 700
 	g.advance(longestDeadlineMs + killMarginMs - 800 - 10)
 	if n := g.RequestsInFlight(); n != 0 {
-		t.Errorf("%d requests have no response when SIGKILL comes", n)
+		t.Errorf("%d requests have no response at SIGKILL", n)
 	}
 	playSteps(t, player, "expect c E Z E Z E Z eof")
 	g.advance(1000)
 	if err := g.Wait(); err != nil || g.abandonedConnections != 0 {
-		t.Errorf("%v, %d connections were left", err, g.abandonedConnections)
+		t.Errorf("stop: error %v, %d connections still open", err, g.abandonedConnections)
 	}
 }
 
-// SIGTERM before the event loop runs, and right behind a SIGHUP.
-func TestStopComesBeforeTheStartOrBehindAReload(t *testing.T) {
+// SIGTERM must stop the gateway if it arrives before the event loop runs, or immediately after a SIGHUP.
+func TestStopBeforeStartOrAfterReload(t *testing.T) {
 	for _, beforeStart := range []bool{true, false} {
 		t.Run(fmt.Sprintf("before the start %v", beforeStart), func(t *testing.T) {
 			cluster, err := testkit.NewCluster("a", "b", "c")
@@ -204,7 +204,7 @@
 			}
 			g.advance(1000)
 			if err := g.Wait(); err != nil || g.abandonedConnections != 0 {
-				t.Errorf("%v, %d connections were left", err, g.abandonedConnections)
+				t.Errorf("stop: error %v, %d connections still open", err, g.abandonedConnections)
 			}
 		})
 	}
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -10,14 +10,14 @@
 	"merlinjunction/internal/eventloop"
 )
 
-// signalQueue holds the signals that wait until handleSignals takes them, which it begins to do once the event loop is
-// set up. Of each kind one that waits stands for all that came: a SIGTERM is not lost behind a series of SIGHUPs.
+// signalQueue holds signals until handleSignals reads them, which it starts to do once the event loop is set up. The
+// queue holds at most one signal to stop and one to reload, so a SIGTERM is not lost behind a series of SIGHUPs.
 type signalQueue struct {
 	stop   chan os.Signal
 	reload chan os.Signal
 }
 
-// newSignalQueue begins to queue signals. Without it they end the process.
+// newSignalQueue starts to queue signals, which would otherwise end the process.
 func newSignalQueue() *signalQueue {
 	q := &signalQueue{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(q.stop, syscall.SIGTERM, syscall.SIGINT)
@@ -25,16 +25,16 @@
 	return q
 }
 
-// close ends the queue.
+// close stops the queueing of signals.
 func (q *signalQueue) close() {
 	signal.Stop(q.stop)
 	signal.Stop(q.reload)
 }
 
-// Serve runs a gateway until SIGTERM or SIGINT, and until the graceful shutdown that follows has ended. SIGHUP reloads
-// the configuration. Its errors are New's, and that of a failed event loop.
+// Serve runs a gateway until SIGTERM or SIGINT, and returns when the graceful shutdown that follows has ended. SIGHUP
+// reloads the configuration. Serve returns the errors of New and of a failed event loop.
 func Serve(config *Config, log *zap.Logger) error {
-	signals := newSignalQueue() // first: signals may come during the start
+	signals := newSignalQueue() // before New, because signals may arrive during the start
 	s, err := New(config, log, eventloop.SystemClock())
 	if err != nil {
 		return err
@@ -44,7 +44,7 @@
 	return s.Run()
 }
 
-// handleSignals passes signals on to the event loop; it runs in a goroutine of its own.
+// handleSignals passes signals to the event loop. It runs in its own goroutine.
 func (s *Server) handleSignals(signals *signalQueue) {
 	for {
 		select {
--- a/internal/server/signals_test.go
+++ b/internal/server/signals_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A SIGTERM behind a series of SIGHUPs, all before the gateway has started to handle signals, is not lost.
+// A SIGTERM after a series of SIGHUPs must not be lost if all of them arrive before the gateway handles signals.
 func TestStopIsNotLostBehindReloads(t *testing.T) {
 	queue := newSignalQueue()
 	defer queue.close()
@@ -15,7 +15,7 @@
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * time.Millisecond) // else the system counts several as one
+		time.Sleep(2 * time.Millisecond) // otherwise the kernel merges several pending SIGHUPs into one
 	}
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -33,6 +33,6 @@
 		}
 	}
 	if reloads == 0 || stops != 1 {
-		t.Errorf("%d reloads, %d stops", reloads, stops)
+		t.Errorf("got %d reloads and %d stops, want at least 1 reload and 1 stop", reloads, stops)
 	}
 }
