--- a/cmd/merlinjunction/fleet_test.go
+++ b/cmd/merlinjunction/fleet_test.go
@@ -17,7 +17,7 @@
 	"merlinjunction/internal/testkit"
 )
 
-// writeFleetConfig writes the file of one gateway, and returns its path.
+// writeFleetConfig writes the operator's file of one gateway of a fleet, and returns its path.
 func writeFleetConfig(t *testing.T, name, listen, seed string, keys ...string) string {
 	t.Helper()
 	var quoted []string
@@ -41,7 +41,7 @@
 	return path
 }
 
-// freeUDPAddress is an address that was free a moment ago.
+// freeUDPAddress returns an address that was free when it was checked. Another process may take it before its use.
 func freeUDPAddress(t *testing.T) string {
 	t.Helper()
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -52,8 +52,8 @@
 	return conn.LocalAddr().String()
 }
 
-// startFleet starts a gateway of a fleet, and kills it at the end of the test if it still runs.
-func startFleet(t *testing.T, path string) *program {
+// startFleetGateway starts a gateway of a fleet, and kills it at the end of the test if it is still running.
+func startFleetGateway(t *testing.T, path string) *program {
 	t.Helper()
 	cluster, err := testkit.NewCluster("unused")
 	if err != nil {
@@ -70,7 +70,7 @@
 	return p
 }
 
-// waitForMembers asks a gateway by the members command until a condition holds.
+// waitForMembers runs the members command on a gateway until its view of the fleet meets a condition.
 func waitForMembers(t *testing.T, p *program, what string, condition func(fleet *management.Fleet) bool) {
 	t.Helper()
 	var out string
@@ -91,23 +91,24 @@
 	t.Fatalf("%s: %s", what, out)
 }
 
-// Two gateways find each other; SIGHUP changes their keys in service; SIGTERM makes one leave; the commands show it.
+// Two gateways must find each other, stay connected while SIGHUP rotates their keys, and see that one leaves at SIGTERM.
+// The members command must show each of these states.
 func TestFleet(t *testing.T) {
 	const one, two = "the first key, long enough", "the second key, long enough"
 	addressA, addressB := freeUDPAddress(t), freeUDPAddress(t)
 	pathA, pathB := writeFleetConfig(t, "a", addressA, addressA, one), writeFleetConfig(t, "b", addressB, addressA, one)
-	a, b := startFleet(t, pathA), startFleet(t, pathB)
+	a, b := startFleetGateway(t, pathA), startFleetGateway(t, pathB)
 	alive := func(n int) func(*management.Fleet) bool {
 		return func(fleet *management.Fleet) bool { return fleet.Alive == n && fleet.Suspect == 0 }
 	}
-	waitForMembers(t, a, "they meet", alive(2))
-	waitForMembers(t, b, "they meet", alive(2))
+	waitForMembers(t, a, "a sees both gateways", alive(2))
+	waitForMembers(t, b, "b sees both gateways", alive(2))
 	out, err := runCommand("members", "--address", a.management)
 	summary, row := "fleet f, seen by a (fine): 2 alive", "b     alive"
 	if err != nil || !strings.Contains(out, summary) || !strings.Contains(out, row) {
-		t.Errorf("members: %v: %s", err, out)
+		t.Errorf("members: error %v, output %q, want one with %q and %q", err, out, summary, row)
 	}
-	// All gateways accept the new key before any uses it, and the old one is removed last: no member is lost.
+	// All gateways accept the new key before any uses it, and the old key is removed last, so no member is lost.
 	for _, keys := range [][]string{{one, two}, {two, one}, {two}} {
 		for i, p := range []*program{a, b} {
 			path := []string{pathA, pathB}[i]
@@ -116,10 +117,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// start has copied the file: the process reads the copy.
+			// start has copied the file, and the process reads the copy.
 			copied := p.cmd.Args[len(p.cmd.Args)-1]
 			if filepath.Base(copied) != filepath.Base(path) {
-				t.Fatalf("the process reads %s", copied)
+				t.Fatalf("the process reads %s, want a copy of %s", copied, path)
 			}
 			if err := os.WriteFile(copied, text, 0o600); err != nil {
 				t.Fatal(err)
@@ -129,8 +130,8 @@
 		}
 	}
 	time.Sleep(1500 * time.Millisecond) // longer than failure detection takes
-	waitForMembers(t, a, "after the keys changed", alive(2))
-	waitForMembers(t, b, "after the keys changed", alive(2))
+	waitForMembers(t, a, "a sees both gateways after the key rotation", alive(2))
+	waitForMembers(t, b, "b sees both gateways after the key rotation", alive(2))
 	watch := testCommand("members", "--watch", "--every", "100ms", "--address", a.management)
 	stdout, err := watch.StdoutPipe()
 	if err != nil {
@@ -147,14 +148,14 @@
 				return
 			}
 		}
-		t.Errorf("the watch does not print %q", want)
+		t.Errorf("members --watch does not print %q", want)
 	}
 	waitForLine("member=b state=alive")
 	b.Stop()
 	waitForLine("member=b was=alive state=left")
 	_ = watch.Process.Signal(syscall.SIGTERM)
 	if err := watch.Wait(); err != nil {
-		t.Errorf("the watch ends with %v", err)
+		t.Errorf("members --watch: got error %v after SIGTERM, want none", err)
 	}
 	waitForMembers(t, a, "b has left", func(fleet *management.Fleet) bool { return fleet.Left == 1 })
 	if err := b.Wait(); err != nil {
@@ -166,16 +167,16 @@
 	}
 }
 
-// A wrong key keeps a gateway out of the fleet, and it goes on serving.
-func TestFleetOfAnotherKey(t *testing.T) {
+// A gateway with a different key must not join the fleet, and must keep serving.
+func TestGatewayWithDifferentKeyDoesNotJoin(t *testing.T) {
 	address := freeUDPAddress(t)
-	a := startFleet(t, writeFleetConfig(t, "a", address, address, "the first key, long enough"))
-	b := startFleet(t, writeFleetConfig(t, "b", freeUDPAddress(t), address, "the second key, long enough"))
+	a := startFleetGateway(t, writeFleetConfig(t, "a", address, address, "the first key, long enough"))
+	b := startFleetGateway(t, writeFleetConfig(t, "b", freeUDPAddress(t), address, "the second key, long enough"))
 	time.Sleep(time.Second)
-	waitForMembers(t, a, "alone", func(fleet *management.Fleet) bool {
+	waitForMembers(t, a, "a sees only itself", func(fleet *management.Fleet) bool {
 		return fleet.Alive == 1 && len(fleet.Members) == 1
 	})
-	waitForMembers(t, b, "kept out", func(fleet *management.Fleet) bool { return fleet.Status == "joining" })
+	waitForMembers(t, b, "b has not joined", func(fleet *management.Fleet) bool { return fleet.Status == "joining" })
 }
 
 func TestMembersCommandFails(t *testing.T) {
--- a/cmd/merlinjunction/main.go
+++ b/cmd/merlinjunction/main.go
@@ -1,4 +1,4 @@
-// Command merlinjunction lets old clients of the PostgreSQL wire protocol reach new servers.
+// Command merlinjunction is a gateway for the PostgreSQL wire protocol between old clients and new servers.
 package main
 
 import (
@@ -15,8 +15,8 @@
 // version is set at build time for a release.
 var version = "development"
 
-const configUsage = "an operator's TOML file, which turns on the extended-query front" +
-	" (default: the file that " + server.ConfigVariable + " names)"
+const configUsage = "operator's TOML file, which enables the extended frontend" +
+	" (default: the platform's file that " + server.ConfigVariable + " names)"
 
 func main() {
 	if err := rootCommand().Execute(); err != nil {
@@ -34,7 +34,7 @@
 	return cmd
 }
 
-// loadConfig reads the operator's file where one is named, else the platform's configuration.
+// loadConfig loads the operator's file if its path is given, otherwise the platform's configuration.
 func loadConfig(operatorPath string) (*server.Config, error) {
 	var config *server.Config
 	var err error
@@ -80,5 +80,5 @@
 	}
 }
 
-// printf prints for the user. An error is dropped: there is nobody left to report it to.
+// printf prints for the user. It ignores errors, because there is no other output to report them on.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
--- a/cmd/merlinjunction/main_test.go
+++ b/cmd/merlinjunction/main_test.go
@@ -17,7 +17,7 @@
 	"merlinjunction/internal/testkit"
 )
 
-// runAsProgram is an environment variable with which the test binary is the program itself.
+// runAsProgram is the environment variable that makes the test binary run as the program.
 const runAsProgram = "MERLINJUNCTION_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -31,10 +31,10 @@
 // program is a running copy of the program. It implements testkit.Gateway.
 type program struct {
 	cmd        *exec.Cmd
-	address    string // of the clients' listener
-	management string
+	address    string      // address of the clients' listener
+	management string      // address of the management listener
 	log        chan string // the complete log, once the process has ended
-	err        error       // of Wait, once waited is true
+	err        error       // result of Wait once waited is true
 	waited     bool
 }
 
@@ -52,13 +52,13 @@
 	p.err = p.cmd.Wait()
 	timer.Stop()
 	if p.err == nil && !strings.Contains(text, `"open_requests":0`) {
-		p.err = fmt.Errorf("requests were left: %s", text)
+		p.err = fmt.Errorf("the log does not report 0 open requests: %s", text)
 	}
 	return p.err
 }
 
-// start runs the program with a copy of a configuration in which DISCOVERY stands for the address of discovery. It
-// inherits a listener, if there is one, as descriptor 3, and variables of the environment.
+// start runs the program with a copy of a configuration file, in which DISCOVERY is replaced by the address of discovery.
+// The program inherits the listener, if it is not nil, as descriptor 3, and gets env in addition to the environment.
 func start(tb testing.TB, cluster *testkit.Cluster, config string, listener *os.File, env ...string) *program {
 	tb.Helper()
 	discovery := httptest.NewServer(cluster)
@@ -96,7 +96,7 @@
 		p.address, p.management = testkit.ParseServingLine(lines.Text())
 	}
 	if p.address == "" {
-		tb.Fatalf("it doesn't serve: %s", log.String())
+		tb.Fatalf("the program ended without a serving line: %s", log.String())
 	}
 	go func() {
 		for lines.Scan() {
@@ -119,14 +119,14 @@
 	}
 }
 
-// testCommand is a command of the program that has no configuration of the platform.
+// testCommand returns a command that runs the program without a platform configuration.
 func testCommand(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), runAsProgram+"=1", "LB_CONFIG=")
 	return cmd
 }
 
-// runCommand runs a command of the program, and returns what it prints.
+// runCommand runs a command of the program, and returns its output.
 func runCommand(args ...string) (string, error) {
 	out, err := testCommand(args...).CombinedOutput()
 	return string(out), err
@@ -134,25 +134,25 @@
 
 func TestCommands(t *testing.T) {
 	if out, err := runCommand("version"); err != nil || !strings.HasPrefix(out, "merlinjunction ") {
-		t.Errorf("version: %q, %v", out, err)
+		t.Errorf("version: output %q, error %v", out, err)
 	}
 	out, err := runCommand("check", "--config", "../../deploy/extended.toml")
 	if err != nil || !strings.Contains(out, "3 classes, 2 hosts") {
-		t.Errorf("check: %q, %v", out, err)
+		t.Errorf("check: output %q, error %v", out, err)
 	}
 	for _, args := range [][]string{{"serve"}, {"check", "--config", "nowhere.toml"}, {"serve", "now"}, {"walk"}} {
 		checkCommandFails(t, args...)
 	}
 }
 
-// checkCommandFails checks that a command ends with an error in one line.
+// checkCommandFails checks that a command fails with an error message of one line.
 func checkCommandFails(t *testing.T, args ...string) {
 	t.Helper()
 	out, err := runCommand(args...)
 	if err == nil || strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "merlinjunction: ") {
-		t.Errorf("%v: %q, %v", args, out, err)
+		t.Errorf("%v: output %q, error %v, want a failure with one line", args, out, err)
 	}
 }
 
-// closeQuietly closes what a test has no more use for.
+// closeQuietly closes a resource of a test and ignores the error.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
--- a/cmd/merlinjunction/members.go
+++ b/cmd/merlinjunction/members.go
@@ -25,7 +25,7 @@
 	maxMembersBytes      = 4 << 20
 	defaultWatchInterval = time.Second
 	minWatchInterval     = 100 * time.Millisecond
-	// shownTimeResolution rounds the time that a member has been in its state.
+	// shownTimeResolution is the unit to which the time that a member has been in its state is rounded.
 	shownTimeResolution = 100 * time.Millisecond
 )
 
@@ -41,19 +41,19 @@
 func membersCommand() *cobra.Command {
 	var options membersOptions
 	cmd := &cobra.Command{
-		Use: "members", Short: "Show what a running gateway knows of its fleet", Args: cobra.NoArgs,
-		Long: "Show what a running gateway knows of its fleet. Asks its management address: " +
-			"--address, the one in --config,\nor LB_MANAGEMENT. Ends with 1 where the gateway can't be asked or has no fleet.",
+		Use: "members", Short: "Show a running gateway's view of its fleet", Args: cobra.NoArgs,
+		Long: "Show a running gateway's view of its fleet. The gateway is queried at its management address: --address,\n" +
+			"the one in --config, or LB_MANAGEMENT. Exits with status 1 if the query fails or the gateway has no fleet.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runMembers(cmd.Context(), cmd.OutOrStdout(), options)
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVarP(&options.address, "address", "a", "", "the gateway's management address")
-	flags.StringVarP(&options.config, "config", "c", "", "an operator's file that names it")
-	flags.BoolVar(&options.json, "json", false, "print the answer as it is")
-	flags.BoolVarP(&options.watch, "watch", "w", false, "go on and print each change of state")
-	flags.DurationVar(&options.interval, "every", defaultWatchInterval, "with --watch: how often to ask")
+	flags.StringVarP(&options.address, "address", "a", "", "gateway's management address")
+	flags.StringVarP(&options.config, "config", "c", "", "operator's file that contains the management address")
+	flags.BoolVar(&options.json, "json", false, "print the gateway's JSON response; with --watch: print each change as JSON")
+	flags.BoolVarP(&options.watch, "watch", "w", false, "keep running and print each change of state")
+	flags.DurationVar(&options.interval, "every", defaultWatchInterval, "with --watch: interval between queries")
 	return cmd
 }
 
@@ -63,7 +63,7 @@
 		return err
 	}
 	if options.interval < minWatchInterval {
-		return fmt.Errorf("--every: %v is too often, 100ms at least", options.interval)
+		return fmt.Errorf("--every: %v is too short, expected at least %v", options.interval, minWatchInterval)
 	}
 	if options.watch {
 		ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
@@ -83,7 +83,7 @@
 	return showMembers(out, fleet)
 }
 
-// managementAddress finds the address to ask: the flag, the operator's file or the environment, in this order.
+// managementAddress returns the address to query, from the flag, the operator's file or the environment, in this order.
 func managementAddress(options membersOptions) (string, error) {
 	address := options.address
 	if address == "" && options.config != "" {
@@ -97,12 +97,12 @@
 		address = os.Getenv("LB_MANAGEMENT")
 	}
 	if address == "" {
-		return "", errors.New("no management address: give --address, or --config with a file that has `management`")
+		return "", errors.New("no management address: expected --address, LB_MANAGEMENT, or --config with a file that sets `management`")
 	}
 	return address, nil
 }
 
-// fetchMembers asks a gateway for its view of the fleet, and returns the response as it is and decoded.
+// fetchMembers queries a gateway for its view of the fleet, and returns the response both unchanged and decoded.
 func fetchMembers(ctx context.Context, address string) ([]byte, *management.Fleet, error) {
 	ctx, cancel := context.WithTimeout(ctx, membersTimeout)
 	defer cancel()
@@ -112,24 +112,24 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, nil, fmt.Errorf("the gateway can't be asked: %w", err)
+		return nil, nil, fmt.Errorf("querying the gateway failed: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
+	defer func() { _ = response.Body.Close() }() // an error has no consequence after reading
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxMembersBytes))
 	if err != nil {
-		return nil, nil, fmt.Errorf("the gateway can't be asked: %w", err)
+		return nil, nil, fmt.Errorf("%s: reading the response failed: %w", address, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, nil, fmt.Errorf("%s: %s", address, strings.TrimSpace(string(text)))
 	}
 	fleet := &management.Fleet{}
 	if err := json.Unmarshal(text, fleet); err != nil {
-		return nil, nil, fmt.Errorf("%s: its answer is not understood: %w", address, err)
+		return nil, nil, fmt.Errorf("%s: expected a fleet view in JSON: %w", address, err)
 	}
 	return text, fleet, nil
 }
 
-// showMembers prints a summary and a table of the members.
+// showMembers prints a summary of the fleet and a table of its members.
 func showMembers(out io.Writer, fleet *management.Fleet) error {
 	partial := ""
 	if fleet.Partial {
--- a/cmd/merlinjunction/members_watch.go
+++ b/cmd/merlinjunction/members_watch.go
@@ -12,17 +12,17 @@
 	"merlinjunction/internal/frontend/management"
 )
 
-// Names of events and states that only the watch prints.
+// Names of events, and of a state, that only the watch prints.
 const (
-	memberEvent      = "member"   // a member's state has changed
+	memberEvent      = "member"   // the state of a member has changed
 	statusEvent      = "standing" // the gateway's own status has changed
-	unreachableEvent = "away"     // the gateway can't be asked
+	unreachableEvent = "away"     // the gateway can't be queried
 	removedState     = "forgotten"
 )
 
 const eventTimeFormat = "15:04:05.000"
 
-// watchEvent is a line that the watch prints. Scripts read its name and keys.
+// watchEvent is an event that the watch prints as one line. Scripts read its name and keys.
 type watchEvent struct {
 	name   string
 	fields []eventField // in the order in which they are printed
@@ -33,18 +33,18 @@
 	key, value string
 }
 
-// membersWatcher prints each change in a gateway's view of its fleet.
+// membersWatcher polls a gateway's view of its fleet, and prints each change.
 type membersWatcher struct {
 	address string
 	out     io.Writer
 	json    bool
 
-	unreachable  bool              // it could not be asked the last time
-	status       string            // of the gateway itself
-	memberStates map[string]string // by name
+	unreachable  bool              // whether the last query failed
+	status       string            // last known status of the gateway itself
+	memberStates map[string]string // last known state of each member, by name
 }
 
-// run asks the gateway at an interval until the context ends.
+// run queries the gateway periodically until the context ends.
 func (w *membersWatcher) run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -64,7 +64,8 @@
 	}
 }
 
-// update returns what has changed. A gateway that can't be asked is reported once until it can be asked again.
+// update returns the changes since the last query. After a failed query, further failures are not reported until a query
+// succeeds.
 func (w *membersWatcher) update(fleet *management.Fleet, err error) []watchEvent {
 	if err != nil {
 		if w.unreachable {
@@ -82,7 +83,7 @@
 	return append(events, w.updateMembers(fleet.Members)...)
 }
 
-// updateMembers returns the members whose state has changed, and those that are no longer listed.
+// updateMembers returns an event for each member whose state has changed or that is no longer listed.
 func (w *membersWatcher) updateMembers(members []management.Member) []watchEvent {
 	var events []watchEvent
 	states := map[string]string{}
@@ -115,7 +116,7 @@
 	printf(w.out, "%s\n", event.text(now))
 }
 
-// encodeJSON is the event as one JSON object, with empty values too.
+// encodeJSON returns the event as one JSON object, with empty values too.
 func (e watchEvent) encodeJSON(now string) []byte {
 	object := map[string]string{"time": now, "event": e.name}
 	for _, field := range e.fields {
@@ -125,7 +126,7 @@
 	return text
 }
 
-// text is the event as one line of key=value pairs, without empty values.
+// text returns the event as one line of key=value pairs, without empty values.
 func (e watchEvent) text(now string) string {
 	line := now + " " + e.name
 	for _, field := range e.fields {
--- a/cmd/merlinjunction/members_watch_test.go
+++ b/cmd/merlinjunction/members_watch_test.go
@@ -7,7 +7,7 @@
 	"merlinjunction/internal/frontend/management"
 )
 
-// Scripts read these lines: their keys and words are pinned.
+// Scripts read these lines, so their keys and words must not change.
 func TestWatchEvents(t *testing.T) {
 	w := &membersWatcher{}
 	member := func(name, state string) management.Member {
@@ -62,14 +62,14 @@
 	} {
 		events := w.update(step.fleet, step.err)
 		if len(events) != len(step.text) {
-			t.Fatalf("%s: %d events", step.name, len(events))
+			t.Fatalf("%s: got %d events, want %d", step.name, len(events), len(step.text))
 		}
 		for i, event := range events {
 			if text := event.text("T"); text != step.text[i] {
-				t.Errorf("%s: %q", step.name, text)
+				t.Errorf("%s: got %q, want %q", step.name, text, step.text[i])
 			}
 			if text := string(event.encodeJSON("T")); text != step.json[i] {
-				t.Errorf("%s: %s", step.name, text)
+				t.Errorf("%s: got %s, want %s", step.name, text, step.json[i])
 			}
 		}
 	}
--- a/cmd/merlinjunction/serve.go
+++ b/cmd/merlinjunction/serve.go
@@ -34,18 +34,18 @@
 	}
 	cmd.Flags().StringVarP(&path, "config", "c", "", configUsage)
 	cmd.Flags().IntVar(&subsetSize, "subset", 0,
-		"platform front: keep to so many hosts of a group, by the gateway's number (0: all)")
+		"platform frontend: number of hosts of each group to prefer, chosen by the gateway's number (0: all)")
 	cmd.Flags().BoolVarP(&verbose, "verbose", "v", false, "log failed connections too")
 	return cmd
 }
 
-// applySubsetFlag sets how many hosts of a group the gateway prefers; 0 leaves the configuration as it is.
+// applySubsetFlag sets how many hosts of each group the gateway prefers. 0 leaves the configuration unchanged.
 func applySubsetFlag(config *server.Config, subsetSize int) error {
 	switch {
 	case subsetSize < 0:
-		return fmt.Errorf("--subset: %d is below 0", subsetSize)
+		return fmt.Errorf("--subset: %d is out of range, expected 0 or more", subsetSize)
 	case subsetSize > 0 && config.Operator != nil:
-		return errors.New("--subset: an operator's file has rules.subset instead")
+		return errors.New("--subset: not allowed with an operator's file, set rules.subset in the file instead")
 	case subsetSize > 0:
 		config.Settings.SubsetSize = subsetSize
 	}
--- a/cmd/merlinjunction/upgrade_test.go
+++ b/cmd/merlinjunction/upgrade_test.go
@@ -15,11 +15,12 @@
 	"merlinjunction/internal/testkit"
 )
 
-// platformConfig is the platform's configuration; DISCOVERY stands for an address.
+// platformConfig is the path of a platform configuration, in which DISCOVERY stands for the address of discovery.
 const platformConfig = "testdata/platform/config.json"
 
-// A new version takes over under load: on the inherited listener no client is rejected, disconnected or left without a
-// response, a session reads its own writes whichever process serves them, and an excluded host stays excluded.
+// A new process takes over from an old one under load. On the inherited listener no client may be rejected, disconnected
+// or left without a response. A session must read its own writes, whichever process serves them, and an excluded host
+// must stay excluded.
 func TestUpgradeUnderLoad(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -98,7 +99,7 @@
 	close(stop)
 	clients.Wait()
 	if before == 0 || requests.Load() == before {
-		t.Errorf("%d requests before the stop, %d in all", before, requests.Load())
+		t.Errorf("got %d requests before the stop and %d in total, want some before and some after", before, requests.Load())
 	}
 	play(player(next), `manage 200 GET /api/telemetry "targets_disabled":1`)
 	next.Stop()
@@ -107,7 +108,7 @@
 	}
 }
 
-// client keeps its connection, and sends a request again on a new connection where the old one was closed meanwhile.
+// client reuses its connection. If a request on a reused connection fails, the client repeats it on a new connection.
 type client struct{ conn net.Conn }
 
 func (c *client) close() {
@@ -117,7 +118,7 @@
 	}
 }
 
-// request sends a read, or every third time a write.
+// request sends a write if i is a multiple of 3, otherwise a read.
 func (c *client) request(address, id string, i int) error {
 	text := fmt.Sprintf("SELECT v FROM records WHERE k = 'k%s' /* id=%s,c=read,t=x,d=900,cluster=0 */", id, id)
 	if i%3 == 0 {
@@ -137,12 +138,12 @@
 		return c.request(address, id, i)
 	}
 	if err == nil && !strings.HasSuffix(responses, "T D C Z") {
-		err = fmt.Errorf("got %s", responses)
+		err = fmt.Errorf("got messages %s, want them to end with T D C Z", responses)
 	}
 	return err
 }
 
-// exchange sends a query and returns the types of the messages that it is answered with.
+// exchange sends a query and returns the types of the response messages.
 func (c *client) exchange(text string, isNew bool) (string, error) {
 	var out []byte
 	var err error
@@ -176,7 +177,7 @@
 	return strings.Join(types, " "), nil
 }
 
-// waitUntil repeats a step until it succeeds.
+// waitUntil repeats a step until it succeeds, for up to 10 s.
 func waitUntil(t *testing.T, step func() error) {
 	t.Helper()
 	var err error
@@ -188,8 +189,8 @@
 	t.Fatal(err)
 }
 
-// A program that can't open what its configuration names ends with one line that names the key.
-func TestAStartWithoutItsListenerNamesTheKey(t *testing.T) {
+// If the program can't open a listener of its configuration, it must exit with an error of one line that names the key.
+func TestListenerErrorNamesKey(t *testing.T) {
 	nothing, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
@@ -217,7 +218,7 @@
 		p.cmd.ExtraFiles = []*os.File{nothing}
 		out, err := p.cmd.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), c.key) {
-			t.Errorf("%s: %q, %v", c.variable, out, err)
+			t.Errorf("%s: output %q, error %v, want a failure with one line that contains %s", c.variable, out, err, c.key)
 		}
 	}
 }
