--- a/internal/server/exclusion_file.go
+++ b/internal/server/exclusion_file.go
@@ -37,8 +37,8 @@
 	path     string
 	newest   map[string]exclusion // newest known entry of each host, by host ID
 	lastSeen fs.FileInfo          // file information at the last read or write; nil before the first
-	// lastError is the error logged last. It is never cleared, so an error that returns after the file was repaired is
-	// not logged again.
+	// lastError is the error logged last. It is never cleared, so the same error is not logged again if it returns after
+	// the file was repaired.
 	lastError string
 }
 
@@ -109,7 +109,8 @@
 	f.log.Error("ignoring unreadable exclusion file", zap.String("path", f.path), zap.Error(err))
 }
 
-// record writes an exclusion or inclusion by this process to the file, unless the host is already in that state.
+// record writes an exclusion or inclusion by this process to the file, unless the host's newest entry already has that
+// state.
 func (f *exclusionFile) record(id string, entry exclusion) {
 	if previous, ok := f.newest[id]; ok && previous.Excluded == entry.Excluded {
 		return
--- a/internal/server/operator_config.go
+++ b/internal/server/operator_config.go
@@ -29,8 +29,8 @@
 
 // OperatorConfig is the part of a configuration that sets up the extended frontend.
 type OperatorConfig struct {
-	AgentCheck            string // address of load balancers' agent checks; "": none
-	HTTPCheck             string // address of load balancers' HTTP checks; "": none
+	AgentCheck            string // listen address for load balancers' agent checks; "": none
+	HTTPCheck             string // listen address for load balancers' HTTP checks; "": none
 	Rules                 extended.Rules
 	Login                 hostLogin
 	HealthCheck           pg.Command // nil: none
--- a/internal/server/operator_file.go
+++ b/internal/server/operator_file.go
@@ -26,7 +26,7 @@
 	Statements    []statementTable `toml:"statement"`
 }
 
-// healthTable is [health]: the addresses of load balancers' health checks.
+// healthTable is [health]: the listen addresses for load balancers' health checks.
 type healthTable struct {
 	AgentCheck string `toml:"agent_check"`
 	HTTP       string `toml:"http"`
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -21,10 +21,10 @@
 	testkit.PlayScenarios(t, "testdata/managedextended", startManagedExtended)
 }
 
-// deployment is a platform configuration, with the words that replace placeholders in the scenarios.
+// deployment is a platform configuration, with the values of the variables in the scenarios.
 type deployment struct {
 	name, file string
-	words      map[string]string
+	variables  map[string]string
 }
 
 // deployments differ in the names and the number of classes, in whether writes have an idempotency key, whether endpoint
@@ -46,7 +46,7 @@
 // Plays each pair of overlapping events, in both orders, with each deployment.
 func TestOverlappingEvents(t *testing.T) {
 	for _, d := range deployments {
-		t.Run(d.name, func(t *testing.T) { testkit.PlayScenariosWith(t, "testdata/crossings", d.words, d.start) })
+		t.Run(d.name, func(t *testing.T) { testkit.PlayScenariosWith(t, "testdata/crossings", d.variables, d.start) })
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -45,7 +45,7 @@
 	hostConnectionLimit int // part of connectionBudget that is for connections to hosts
 
 	watcher              *discovery.Watcher // nil without discovery
-	discoveryWaitEndMs   float64            // time from which the gateway is ready without an endpoint list; 0: at once
+	discoveryWaitEndMs   float64            // time from which the gateway can be ready without an endpoint list; 0: at once
 	endpointListReceived bool
 
 	transport *transport.Transport // nil without a fleet
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -116,8 +116,8 @@
 	player := &testkit.Player{Cluster: cluster, Gateway: g}
 	play := func(step string) {
 		t.Helper()
-		for name, word := range d.words {
-			step = strings.ReplaceAll(step, "$"+name, word)
+		for name, value := range d.variables {
+			step = strings.ReplaceAll(step, "$"+name, value)
 		}
 		playSteps(t, player, step)
 	}
