--- a/internal/frontend/extended/responder.go
+++ b/internal/frontend/extended/responder.go
@@ -26,7 +26,7 @@
 // Fail forwards the error of a host; without one the outcome of the statement is unknown.
 func (s *session) Fail(hostError []byte) {
 	s.inFlight = false
-	s.failWith(pg.FailureBody(hostError))
+	s.failWith(pg.FailureMessage(hostError))
 	s.client.Resume()
 }
 
--- a/internal/frontend/platform/pending_response.go
+++ b/internal/frontend/platform/pending_response.go
@@ -109,5 +109,5 @@
 
 // Fail forwards the error of a host; without one the outcome of the statement is unknown.
 func (r *pendingResponse) Fail(hostError []byte) {
-	r.Succeed(pg.FailureBody(hostError))
+	r.Succeed(pg.FailureMessage(hostError))
 }
--- a/internal/protocol/pg/error_response.go
+++ b/internal/protocol/pg/error_response.go
@@ -99,9 +99,9 @@
 	return ErrorResponse{SQLState: StateUnknownOutcome, Message: "no answer from the database; the statement may have run"}
 }
 
-// FailureBody is the response to a request that has failed: the error of a host, or where that is nil
+// FailureMessage is the response to a request that has failed: the error of a host, or where that is nil
 // UnknownOutcomeResponse.
-func FailureBody(hostError []byte) []byte {
+func FailureMessage(hostError []byte) []byte {
 	if hostError == nil {
 		return UnknownOutcomeResponse().AppendTo(nil)
 	}
