--- a/internal/protocol/pg/answer.go
+++ b/internal/protocol/pg/answer.go
@@ -5,8 +5,8 @@
 // maxAnswerBytes bounds the buffered part of a host's answer.
 const maxAnswerBytes = 256 << 10
 
-// MessageTypes returns the types of the messages in an answer, in order: one row is "TDC". It returns "?" for an answer
-// that doesn't consist of complete messages.
+// MessageTypes returns the types of the messages in an answer, in order: "TDC" for a query result with one row. It
+// returns "?" for an answer that doesn't consist of complete messages.
 func MessageTypes(answer []byte) string {
 	var types []byte
 	for len(answer) > 0 {
@@ -19,13 +19,13 @@
 	return string(types)
 }
 
-// ColumnCount is the number of columns of the RowDescription or DataRow that an answer begins with.
+// ColumnCount returns the number of columns of the RowDescription or DataRow that an answer begins with.
 func ColumnCount(answer []byte) int {
 	_, body, _, _ := SplitMessage(answer, maxAnswerBytes)
 	return NewFieldReader(body).Int16()
 }
 
-// CommandTag is the tag of the CommandComplete that an answer begins with.
+// CommandTag returns the tag of the CommandComplete that an answer begins with.
 func CommandTag(answer []byte) string {
 	_, body, _, _ := SplitMessage(answer, maxAnswerBytes)
 	return NewFieldReader(body).Text()
@@ -37,7 +37,7 @@
 	return kind == MsgRowDescription || kind == MsgDataRow || kind == MsgCommandComplete
 }
 
-// outcomeOf is the outcome of an attempt by the SQLSTATE of its answer, "" for success.
+// outcomeOf returns the outcome of an attempt from the SQLSTATE of its answer. The SQLSTATE is "" if the attempt succeeded.
 func outcomeOf(sqlState string) routing.Outcome {
 	switch sqlState {
 	case "":
@@ -50,8 +50,9 @@
 	return routing.OutcomeError
 }
 
-// isStatementError reports whether an error is caused by the statement itself: any host would return it, and the client
-// gets it. The SQLSTATE classes 08, 25, 40, 53, 54, 57, 58, 72 and XX depend on the host or the moment instead.
+// isStatementError reports whether an SQLSTATE denotes an error in the statement itself. Every host would return such an
+// error, so it is forwarded to the client. Errors of the SQLSTATE classes 08, 25, 40, 53, 54, 57, 58, 72 and XX depend on
+// the host or the time of the attempt instead.
 func isStatementError(sqlState string) bool {
 	if len(sqlState) != sqlStateLen {
 		return false
--- a/internal/protocol/pg/client.go
+++ b/internal/protocol/pg/client.go
@@ -11,7 +11,7 @@
 const (
 	// lingerTimeoutMs is how long a closing connection waits for its client to read the last message.
 	lingerTimeoutMs = 500.0
-	// maxPendingBytes bounds the unsent output of a client: above it no further messages are processed.
+	// maxPendingBytes bounds the unsent output of a client. Above it, no further messages of the client are processed.
 	maxPendingBytes = 512 << 10
 	// maxInputBytes bounds the unprocessed input of a client.
 	maxInputBytes = MaxMessage + headerSize
@@ -19,31 +19,32 @@
 
 var _ eventloop.Handler = (*Client)(nil)
 
-// Client is a connection from a client: its startup, its messages one by one, its end.
+// Client is a connection from a client. It answers the startup message, passes the further messages to the session one
+// by one, and closes the connection.
 type Client struct {
-	// User and Database are those of the startup message.
+	// User and Database are parameters of the startup message.
 	User, Database string
 
-	cancelKey uint64 // with which another connection may cancel the statement in flight
+	cancelKey uint64 // process ID and secret key with which a CancelRequest cancels the statement in flight
 	pool      *ClientPool
 	conn      *eventloop.Conn
 	session   Session // nil until the startup message is complete
 
-	closing       bool             // the last message is sent; further input is discarded
-	lingerTimer   *eventloop.Timer // while it is closing
-	halfClosed    bool             // the client sends no more, but may still read
+	closing       bool             // the last message has been written; further input is discarded
+	lingerTimer   *eventloop.Timer // limits how long a closing connection waits for its client
+	halfClosed    bool             // the client has ended its sending direction, but may still read
 	livenessTimer *eventloop.Timer // until the next liveness check
 
-	processing   bool    // its messages are being processed by a caller further up
-	sentMessage  bool    // it has sent a message after the startup
-	lastActiveMs float64 // when a message was last received, or some output acknowledged
-	// messageDueSinceMs is since when a message is due: its first one, the rest of an incomplete one, or a complete one
-	// that Session.Accepts delays, e.g. until the answer to an earlier one. 0 when none is due.
+	processing   bool    // processInput is running; a nested call does nothing
+	sentMessage  bool    // the client has sent a message after the startup message
+	lastActiveMs float64 // time of the last message, answer or acknowledgment of output
+	// messageDueSinceMs is the time since which a message is due: the client's first message, the rest of an incomplete
+	// one, or a complete one that Session.Accepts delays, e.g. until an earlier one is answered. 0 if none is due.
 	messageDueSinceMs float64
-	unacknowledged    int // bytes of output that it had not acknowledged at the last sweep
+	unacknowledged    int // bytes of output that the client had not acknowledged at the last sweep
 
 	sendBufferLimited bool // the operating system's send buffer is limited, for streaming
-	partialMessage    bool // the output ends within a message, whose rest will follow
+	partialMessage    bool // the output ends within a streamed message, whose rest will follow
 }
 
 // busy reports whether an answer is outstanding.
@@ -62,30 +63,31 @@
 	c.FatalError(ErrorResponse{SQLState: sqlstate, Message: text})
 }
 
-// FatalError is Fatal with an error response, which becomes fatal.
+// FatalError sends an error response with severity FATAL and closes the connection.
 func (c *Client) FatalError(response ErrorResponse) {
 	response.Fatal = true
 	c.Send(response.AppendTo(nil))
 	c.closeGracefully()
 }
 
-// FatalUnknownMessage closes the connection because of a message type that the protocol doesn't have.
+// FatalUnknownMessage sends a fatal error response about a message type that the protocol doesn't define, and closes the
+// connection.
 func (c *Client) FatalUnknownMessage(kind byte) {
 	c.Fatal(StateProtocol, fmt.Sprintf("unknown message type %q", kind))
 }
 
-// Abort closes the connection in the middle of an answer that will never be complete.
+// Abort closes the connection at once, in the middle of an answer that can't be completed.
 func (c *Client) Abort() { c.close() }
 
-// closeGracefully closes the connection once the client has had time to read the output. To close it at once with
-// unread input would reset the connection, which can discard output.
+// closeGracefully closes the connection once the client has had time to read the output. Closing it at once, with unread
+// input, would reset the connection, and a reset can discard output.
 func (c *Client) closeGracefully() {
 	if c.closing {
 		return
 	}
 	c.closing = true
 	c.pool.closingCount++
-	if c.pool.closingCount > maxLingering { // their descriptors are needed
+	if c.pool.closingCount > maxLingering { // their file descriptors are needed for new connections
 		c.close()
 		return
 	}
@@ -110,10 +112,11 @@
 	}
 }
 
-// Connected does nothing: the connection was accepted.
+// Connected does nothing, because an accepted connection is established from the start.
 func (c *Client) Connected() {}
 
-// Flushed is called when all output has been sent. It continues what unsent output has delayed.
+// Flushed is called when all output has been sent. It continues whatever was waiting for that: the close of the
+// connection, or the session and the processing of input.
 func (c *Client) Flushed() {
 	switch {
 	case c.conn.Pending() > 0:
@@ -129,8 +132,8 @@
 	}
 }
 
-// Ended is called when the connection has broken, or the client sends no more. In the latter case it still gets its
-// answers.
+// Ended is called with io.EOF when the client has ended its sending direction, and with any other error when the
+// connection has failed. After io.EOF the client still gets its outstanding answers.
 func (c *Client) Ended(err error) {
 	c.halfClosed = true
 	if !errors.Is(err, io.EOF) || c.closing {
@@ -141,7 +144,7 @@
 	c.startLivenessChecks()
 }
 
-// Data is called when the client has sent something.
+// Data is called when input from the client has arrived.
 func (c *Client) Data() {
 	if c.closing {
 		c.conn.Consume(len(c.conn.In()))
@@ -151,13 +154,14 @@
 	c.startLivenessChecks()
 }
 
-// Resume processes the next messages after an answer.
+// Resume processes the client's next messages. The session calls it after an answer.
 func (c *Client) Resume() {
 	c.lastActiveMs = c.pool.Loop.Clock.Now()
 	c.processInput()
 }
 
-// processInput hands messages to the session as long as it accepts them, and closes a connection that is to end.
+// processInput passes messages to the session as long as it accepts them. Once nothing is outstanding, it closes the
+// connection if the client has half-closed it or the pool is draining.
 func (c *Client) processInput() {
 	if c.processing || c.closing {
 		return
@@ -173,7 +177,7 @@
 		if c.closing || !c.conn.IsOpen() || c.busy() || c.conn.Pending() > 0 {
 			return
 		}
-		if c.halfClosed { // an incomplete message can't be completed any more
+		if c.halfClosed { // the rest of an incomplete message can't arrive any more
 			c.closeGracefully()
 			return
 		}
@@ -183,14 +187,15 @@
 	}
 }
 
-// readMore reads what has arrived by now, and reports whether the unprocessed input has grown.
+// readMore reads the input that has arrived by now and reports whether the unprocessed input has grown.
 func (c *Client) readMore() bool {
 	inputBefore := len(c.conn.In())
 	c.conn.ReadNow()
 	return len(c.conn.In()) > inputBefore
 }
 
-// processMessage processes one message. It returns false when there is none, or the session doesn't accept it now.
+// processMessage processes one message. It returns false if there is no complete message, the session doesn't accept it
+// now, too much output is unsent, or the connection is being closed.
 func (c *Client) processMessage() bool {
 	if c.closing || !c.conn.IsOpen() || c.conn.Pending() > maxPendingBytes {
 		return false
@@ -223,7 +228,8 @@
 	return true
 }
 
-// handleInvalidMessage closes the connection, once outstanding answers are sent.
+// handleInvalidMessage closes the connection because of an invalid message. While the session is busy it does nothing;
+// the message is parsed again once the outstanding answers have been sent.
 func (c *Client) handleInvalidMessage(err error) {
 	switch {
 	case c.session.Busy():
--- a/internal/protocol/pg/client_drain.go
+++ b/internal/protocol/pg/client_drain.go
@@ -1,25 +1,26 @@
 package pg
 
-// closeIfDrained closes the connection of a draining pool unless something is outstanding. It returns true when new
-// input, or its end, was received instead, which is to be processed first.
+// closeIfDrained closes the connection of a draining pool if it is idle. It returns true if it has instead read new input
+// or the end of input, which must be processed first.
 func (c *Client) closeIfDrained() (newInput bool) {
 	if c.session == nil || c.session.InPipeline() {
 		return false
 	}
 	if c.expectsFirstMessage() {
-		c.pool.Loop.After(firstMessageTimeoutMs, c.processInput)
+		c.pool.Loop.After(messageTimeoutMs, c.processInput)
 		return false
 	}
 	if c.readMore() || c.halfClosed {
 		return true
 	}
-	if len(c.conn.In()) == 0 { // at once: a request that crosses the close isn't read, so that the client may retry it
+	if len(c.conn.In()) == 0 { // at once: a request that crosses the close stays unread, so that the client may retry it
 		c.close()
 	}
 	return false
 }
 
-// expectsFirstMessage reports whether the client has only just started its session: its first request is on the way.
+// expectsFirstMessage reports whether the client has only just started its session, so that its first request is
+// probably on the way.
 func (c *Client) expectsFirstMessage() bool {
-	return !c.sentMessage && c.pool.Loop.Clock.Now() < c.lastActiveMs+firstMessageTimeoutMs
+	return !c.sentMessage && c.pool.Loop.Clock.Now() < c.lastActiveMs+messageTimeoutMs
 }
--- a/internal/protocol/pg/client_idle.go
+++ b/internal/protocol/pg/client_idle.go
@@ -3,28 +3,29 @@
 const (
 	// stalledTimeoutMs is how long a client may leave a message incomplete, or its answers unread.
 	stalledTimeoutMs = 2400.0
-	// firstMessageTimeoutMs is how long a client has for a message before its connection may be evicted.
-	firstMessageTimeoutMs = 250.0
+	// messageTimeoutMs is how long a message may be due before the client's connection may be evicted.
+	messageTimeoutMs = 250.0
 )
 
-// idle reports whether nothing is outstanding in either direction.
+// idle reports whether no message, answer or output is outstanding.
 func (c *Client) idle() bool {
 	return c.session != nil && !c.session.Busy() && !c.session.InPipeline() && !c.closing &&
 		c.messageDueSinceMs == 0 && len(c.conn.In()) == 0 && c.conn.Pending() == 0
 }
 
-// evictable reports whether the connection is a candidate to be closed in favor of a new one: its message is overdue,
-// or it has been idle for some time. A busy client isn't: its next message may wait for the answer to an earlier one.
+// evictable reports whether the connection may be closed in favor of a new one, because its message is overdue or it has
+// been idle for at least minIdleMs. A busy client's connection may not: its next message may be waiting for the answer to
+// an earlier one.
 func (c *Client) evictable(now, minIdleMs float64) bool {
 	if c.closing || c.busy() {
 		return false
 	}
-	overdue := c.messageDueSinceMs > 0 && now >= c.messageDueSinceMs+firstMessageTimeoutMs
+	overdue := c.messageDueSinceMs > 0 && now >= c.messageDueSinceMs+messageTimeoutMs
 	return overdue || c.idle() && now >= c.lastActiveMs+minIdleMs
 }
 
-// evictedBefore is the order in which evictable connections are closed: those with an overdue message before idle ones,
-// then by how long that has been so.
+// evictedBefore reports whether c is to be evicted before other. Connections with an overdue message come before idle
+// ones. Among connections of one kind, the one that has been overdue or idle longest comes first.
 func (c *Client) evictedBefore(other *Client) bool {
 	if c.messageDueSinceMs > 0 {
 		return other.messageDueSinceMs == 0 || c.messageDueSinceMs < other.messageDueSinceMs
@@ -32,11 +33,11 @@
 	return other.messageDueSinceMs == 0 && c.lastActiveMs < other.lastActiveMs
 }
 
-// hasNewInput reads once more before a connection is closed, and reports whether the connection must stay open: its
-// input has grown, its session has started, or an answer is outstanding, whether for new input or from before. A
-// request that has been read in part counts as accepted, and must not be lost. A message that the session has handled
-// at once during this call doesn't count.
-func (c *Client) hasNewInput() bool {
+// mustStayOpen reads input once more before the connection is closed, and reports whether the connection must stay open.
+// It must if the unprocessed input has grown, the session has started, or an answer is outstanding, to new input or to
+// earlier input. A request that has been read in part counts as accepted and must not be lost. A message that the session
+// has handled completely during this call is no reason to stay open.
+func (c *Client) mustStayOpen() bool {
 	startedBefore := c.session != nil
 	if c.readMore() {
 		return true
@@ -44,32 +45,33 @@
 	return c.session != nil && (c.session.Busy() || !startedBefore)
 }
 
-// closeIfStalled closes a connection that occupies its slot without using it: it is idle for too long, its answers are
-// not read, or its message stays incomplete.
+// closeIfStalled closes a connection that occupies its slot without using it: one that has been idle for too long, whose
+// client doesn't read its answers, or whose message stays incomplete.
 func (c *Client) closeIfStalled(now float64) {
 	if c.closing || c.busy() {
 		return
 	}
 	c.updateActivity(now)
-	quietMs := now - c.lastActiveMs
+	inactiveMs := now - c.lastActiveMs
 	switch {
 	case c.idle():
-		if idleTimeoutMs := c.pool.IdleTimeoutMs; idleTimeoutMs > 0 && quietMs >= idleTimeoutMs && !c.hasNewInput() {
+		if idleTimeoutMs := c.pool.IdleTimeoutMs; idleTimeoutMs > 0 && inactiveMs >= idleTimeoutMs && !c.mustStayOpen() {
 			c.close()
 		}
 	case c.unacknowledged > 0:
-		if quietMs >= stalledTimeoutMs {
+		if inactiveMs >= stalledTimeoutMs {
 			c.close()
 		}
 	case c.messageDueSinceMs > 0 && now >= c.messageDueSinceMs+stalledTimeoutMs:
-		if !c.hasNewInput() && c.conn.IsOpen() {
+		if !c.mustStayOpen() && c.conn.IsOpen() {
 			c.Fatal(StateProtocol, "no whole message came in time")
 		}
 	}
 }
 
-// updateActivity counts output that the client has read as activity. It is measured by what the client's TCP stack has
-// acknowledged: the gateway's socket may buffer megabytes, and accept nothing more for a long time.
+// updateActivity counts output that the client has read as activity. The measure is the output that the client's TCP
+// stack has acknowledged. The gateway's own socket may buffer megabytes and then accept no more output for a long time,
+// although the client reads.
 func (c *Client) updateActivity(now float64) {
 	unacknowledged := 0
 	if c.conn.Pending() > 0 {
--- a/internal/protocol/pg/client_pool.go
+++ b/internal/protocol/pg/client_pool.go
@@ -5,12 +5,12 @@
 )
 
 const (
-	// sweepIntervalMs is the time between two searches for stalled and idle connections.
+	// sweepIntervalMs is the time between two sweeps, which close stalled and idle connections.
 	sweepIntervalMs = 250.0
 	// earlyEvictionMinIdleMs is how long a connection must be idle to be evicted before MaxClients is reached.
 	earlyEvictionMinIdleMs = 100.0
-	// earlyEvictionPercent is the share of MaxClients from which on a new connection evicts another one. It is well
-	// below 100 because idle connections take up sockets of the clients' side too, whose number is limited.
+	// earlyEvictionPercent is the percentage of MaxClients from which on a new connection evicts another one. It is well
+	// below 100 because idle connections also occupy sockets on the clients' side, whose number is limited too.
 	earlyEvictionPercent = 40
 	// maxLingering bounds the closing connections that wait for their clients to read the last message.
 	maxLingering = 32
@@ -21,16 +21,16 @@
 	Loop       *eventloop.Loop
 	MaxClients int
 	NewSession func(*Client) Session
-	// IdleTimeoutMs is how long a connection may be idle; 0 for no limit.
+	// IdleTimeoutMs is how long a connection may be idle. 0 means no limit.
 	IdleTimeoutMs float64
 
 	clients      map[*Client]struct{} // nil until the first Accept
-	closingCount int                  // clients that are closing
+	closingCount int                  // number of clients that are closing
 	draining     bool
 }
 
-// Accept takes over a descriptor of the listener. When all slots are in use it evicts a connection, or else rejects the
-// new one.
+// Accept takes ownership of the descriptor of a new connection. If all slots are in use, it evicts another connection or,
+// if none is evictable, rejects the new one.
 func (p *ClientPool) Accept(fd int) {
 	if p.clients == nil {
 		p.clients = map[*Client]struct{}{}
@@ -50,7 +50,7 @@
 	}
 }
 
-// ensureSlot reports whether there is a slot for one more connection, and evicts one where that is needed.
+// ensureSlot reports whether there is a slot for one more connection. It evicts another connection if necessary.
 func (p *ClientPool) ensureSlot() bool {
 	open := len(p.clients) - p.closingCount
 	if open < p.MaxClients*earlyEvictionPercent/100 {
@@ -59,39 +59,40 @@
 	return p.evict(earlyEvictionMinIdleMs) || open < p.MaxClients || p.EvictIdle()
 }
 
-// Count is the number of connections.
+// Count returns the number of connections.
 func (p *ClientPool) Count() int { return len(p.clients) }
 
-// EvictIdle closes one connection in favor of a new one: the one whose message has been overdue longest, or else the
-// one that has been idle longest. It returns false when it closes none. A connection that has only just been accepted
-// is not closed, because its first message is on the way.
+// EvictIdle closes one connection in favor of a new one: the one whose message has been overdue longest or, if no message
+// is overdue, the one that has been idle longest. It returns false if it closes none. A connection that has only just
+// been accepted is not closed, because its first message is probably on the way.
 //
-// This protects clients against others that open hundreds of connections and send nothing, an incomplete message, or
-// one request only.
+// Eviction protects clients against others that open hundreds of connections and send nothing, an incomplete message, or
+// only one request.
 func (p *ClientPool) EvictIdle() bool { return p.evict(0) }
 
-// evict is EvictIdle with a minimum idle time in milliseconds; a connection whose message is overdue needs none.
+// evict does the same as EvictIdle, but closes an idle connection only if it has been idle for at least minIdleMs. This
+// minimum doesn't apply to a connection whose message is overdue.
 func (p *ClientPool) evict(minIdleMs float64) bool {
-	passedOver := map[*Client]bool{} // new input keeps them open
+	skipped := map[*Client]bool{} // connections that must stay open
 	for {
-		candidate := p.evictionCandidate(minIdleMs, passedOver)
+		candidate := p.evictionCandidate(minIdleMs, skipped)
 		if candidate == nil {
 			return false
 		}
-		if !candidate.hasNewInput() {
+		if !candidate.mustStayOpen() {
 			candidate.close()
 			return true
 		}
-		passedOver[candidate] = true
+		skipped[candidate] = true
 	}
 }
 
-// evictionCandidate returns the connection to be closed first, apart from some; nil where there is none.
-func (p *ClientPool) evictionCandidate(minIdleMs float64, passedOver map[*Client]bool) *Client {
+// evictionCandidate returns the connection to evict first, leaving out the skipped ones. It returns nil if there is none.
+func (p *ClientPool) evictionCandidate(minIdleMs float64, skipped map[*Client]bool) *Client {
 	now := p.Loop.Clock.Now()
 	var candidate *Client
 	for client := range p.clients {
-		if passedOver[client] || !client.evictable(now, minIdleMs) {
+		if skipped[client] || !client.evictable(now, minIdleMs) {
 			continue
 		}
 		if candidate == nil || client.evictedBefore(candidate) {
@@ -101,7 +102,7 @@
 	return candidate
 }
 
-// sweep closes the connections that occupy a slot without using it.
+// sweep closes the connections that occupy a slot without using it, and schedules the next sweep.
 func (p *ClientPool) sweep() {
 	now := p.Loop.Clock.Now()
 	for client := range p.clients {
@@ -110,7 +111,7 @@
 	p.Loop.After(sweepIntervalMs, p.sweep)
 }
 
-// cancel cancels the statement in flight of the client with a key.
+// cancel cancels the statement in flight of the client with the given cancel key.
 func (p *ClientPool) cancel(key uint64) {
 	for client := range p.clients {
 		if client.cancelKey != key || !client.busy() {
@@ -123,7 +124,7 @@
 	}
 }
 
-// Drain closes idle connections, and all others as soon as they are idle.
+// Drain closes idle connections now and all others as soon as they are idle.
 func (p *ClientPool) Drain() {
 	p.draining = true
 	for client := range p.clients {
@@ -131,5 +132,5 @@
 	}
 }
 
-// StopDraining ends a drain: connections stay open again.
+// StopDraining ends a drain. Connections that are still open then stay open.
 func (p *ClientPool) StopDraining() { p.draining = false }
--- a/internal/protocol/pg/client_pool_test.go
+++ b/internal/protocol/pg/client_pool_test.go
@@ -94,7 +94,7 @@
 	if third := h.accept(); h.open(third) || !h.open(first) {
 		t.Error("a connection that was just accepted was evicted")
 	}
-	h.now += firstMessageTimeoutMs
+	h.now += messageTimeoutMs
 	if fourth := h.accept(); h.open(first) || !h.open(fourth) {
 		t.Error("a connection without a first message was not evicted")
 	}
@@ -117,7 +117,7 @@
 		first = client
 	}
 	first.messageDueSinceMs = h.now
-	h.now += firstMessageTimeoutMs
+	h.now += messageTimeoutMs
 	for client := range h.clients {
 		h.send(client, AppendStrings(nil, MsgQuery, ""))
 	}
@@ -128,7 +128,7 @@
 		client.session = &stubSession{}
 	}
 	first.messageDueSinceMs = h.now
-	h.now += firstMessageTimeoutMs
+	h.now += messageTimeoutMs
 	if fifth := h.accept(); h.open(first) || !h.open(fifth) {
 		t.Error("a connection with an incomplete message was not evicted")
 	}
@@ -169,7 +169,7 @@
 			startSession(staying)
 			startSession(idle)
 			prepare(h, staying)
-			h.now += firstMessageTimeoutMs
+			h.now += messageTimeoutMs
 			if newest := h.accept(); h.open(idle) || !h.open(staying) || !h.open(newest) {
 				t.Errorf("idle one open %v, the one that must stay %v, the new one %v",
 					h.open(idle), h.open(staying), h.open(newest))
--- a/internal/protocol/pg/client_stream.go
+++ b/internal/protocol/pg/client_stream.go
@@ -3,14 +3,14 @@
 const (
 	// streamWindowBytes bounds the unsent output of a client while an answer is streamed to it.
 	streamWindowBytes = 128 << 10
-	// scarceStreamWindowBytes is the bound while the buffers of all connections together are half full.
+	// scarceStreamWindowBytes replaces streamWindowBytes while the buffers of all connections together are half full.
 	scarceStreamWindowBytes = 8 << 10
-	// streamSendBufferBytes bounds what the operating system buffers of a streamed answer.
+	// streamSendBufferBytes is the size of the operating system's send buffer for a client that gets a streamed answer.
 	streamSendBufferBytes = 64 << 10
 )
 
-// SendPart writes as much of a streamed answer as the client's window has space for, and returns the number of bytes.
-// When that isn't all, Flushed follows.
+// SendPart writes as much of a part of a streamed answer as the client's window has space for, and returns the number of
+// bytes written. If that is not the whole part, Flushed is called later.
 func (c *Client) SendPart(part []byte) int {
 	if !c.sendBufferLimited {
 		c.sendBufferLimited = true
@@ -21,7 +21,7 @@
 		windowBytes = scarceStreamWindowBytes
 	}
 	sent := 0
-	for sent < len(part) { // what the socket accepts at once doesn't use the window, and no Flushed follows for it
+	for sent < len(part) { // bytes that the socket accepts at once use no window, and no Flushed follows for them
 		chunkBytes := min(len(part)-sent, windowBytes-c.conn.Pending())
 		if chunkBytes <= 0 {
 			break
--- a/internal/protocol/pg/error_response.go
+++ b/internal/protocol/pg/error_response.go
@@ -4,7 +4,7 @@
 	"strconv"
 )
 
-// SQLSTATEs, with their condition names.
+// SQLSTATE codes with PostgreSQL's condition names.
 const (
 	StateTooManyConnections = "53300" // too_many_connections
 	StateCannotConnectNow   = "57P03" // cannot_connect_now
@@ -36,27 +36,27 @@
 	fieldDetail               = 'D'
 )
 
-// ErrorResponse is an ErrorResponse message.
+// ErrorResponse holds the fields of an ErrorResponse message to a client.
 type ErrorResponse struct {
-	Fatal    bool // the connection ends
+	Fatal    bool // severity FATAL instead of ERROR: the connection is closed after the message
 	SQLState string
 	Message  string
 	Detail   string // optional
 }
 
-// AppendTo appends the message.
+// AppendTo appends the encoded message.
 func (e ErrorResponse) AppendTo(buf []byte) []byte {
 	severity := "ERROR"
 	if e.Fatal {
 		severity = "FATAL"
 	}
-	buf, mark := BeginMessage(buf, MsgErrorResponse)
+	buf, lengthOffset := BeginMessage(buf, MsgErrorResponse)
 	buf = appendErrorField(buf, fieldSeverity, severity)
 	buf = appendErrorField(buf, fieldSeverityNonlocalized, severity)
 	buf = appendErrorField(buf, fieldSQLState, e.SQLState)
 	buf = appendErrorField(buf, fieldMessage, e.Message)
 	buf = appendErrorField(buf, fieldDetail, e.Detail)
-	return EndMessage(append(buf, 0), mark)
+	return EndMessage(append(buf, 0), lengthOffset)
 }
 
 // appendErrorField appends a field unless it is empty.
@@ -67,7 +67,7 @@
 	return appendString(append(buf, field), text)
 }
 
-// sqlStateOf returns the SQLSTATE in the body of an ErrorResponse, "" when it has none.
+// sqlStateOf returns the SQLSTATE in the body of an ErrorResponse, or "" if it has none.
 func sqlStateOf(body []byte) string {
 	fields := NewFieldReader(body)
 	for {
@@ -81,9 +81,9 @@
 	}
 }
 
-// RejectionResponse is the response to a request that was not answered and may be repeated safely. Its text promises
-// that nothing was done, but an idempotent request, or one whose idempotency key all hosts share, may have run. The
-// detail is the Retry-After hint in whole milliseconds, absent when retryAfterMs is 0.
+// RejectionResponse returns the response to a request that was not answered and that the client can safely retry. Its
+// message says that nothing was done, but an idempotent request, or one whose idempotency key all hosts share, may have
+// run. The detail is the Retry-After hint in whole milliseconds; it is omitted if retryAfterMs is 0.
 func RejectionResponse(retryAfterMs float64) ErrorResponse {
 	response := ErrorResponse{
 		SQLState: StateTooManyConnections, Message: "refused, nothing was done; trying again is harmless",
@@ -94,13 +94,13 @@
 	return response
 }
 
-// UnknownOutcomeResponse is the response to a request that may or may not have run.
+// UnknownOutcomeResponse returns the response to a request that may or may not have run.
 func UnknownOutcomeResponse() ErrorResponse {
 	return ErrorResponse{SQLState: StateUnknownOutcome, Message: "no answer from the database; the statement may have run"}
 }
 
-// FailureMessage is the response to a request that has failed: the error of a host, or where that is nil
-// UnknownOutcomeResponse.
+// FailureMessage returns the encoded ErrorResponse for a failed request. It is hostError, the message that a host sent,
+// or UnknownOutcomeResponse if hostError is nil.
 func FailureMessage(hostError []byte) []byte {
 	if hostError == nil {
 		return UnknownOutcomeResponse().AppendTo(nil)
--- a/internal/protocol/pg/errors.go
+++ b/internal/protocol/pg/errors.go
@@ -8,21 +8,21 @@
 var (
 	// ErrMalformed is returned for a message whose body doesn't match its type and length.
 	ErrMalformed = &ProtocolError{"malformed message"}
-	// ErrTooLarge is returned for a message that is longer than is accepted.
+	// ErrTooLarge is returned for a message that exceeds the accepted length.
 	ErrTooLarge = &ProtocolError{"message too large"}
 
-	// errInvalidAnswer is returned for an answer of a host that the protocol doesn't allow at this point. The command
-	// may have run; its answer, role and position are discarded.
+	// errInvalidAnswer is returned for a message from a host that the protocol doesn't allow at this point. The command
+	// in flight may have run. Its answer is discarded, together with the role and position that the host reported.
 	errInvalidAnswer = &ProtocolError{"invalid answer from the host"}
-	// errUnsolicitedMessage is returned for an answer of a host without a command.
+	// errUnsolicitedMessage is returned for a message that a host sends as an answer while no command is in flight.
 	errUnsolicitedMessage = &ProtocolError{"unsolicited message from the host"}
-	// errPasswordRequested is returned for a host that asks for authentication, which the gateway doesn't support.
-	errPasswordRequested = &ProtocolError{"the host requests a password"}
+	// errAuthenticationRequested is returned for a host that requests authentication, which the gateway doesn't support.
+	errAuthenticationRequested = &ProtocolError{"the host requests authentication, which is not supported"}
 )
 
-// ConnectionRejectedError is the error of a host that rejects a connection, or closes an idle one.
+// ConnectionRejectedError reports the ErrorResponse with which a host rejected a connection or closed an idle one.
 type ConnectionRejectedError struct{ SQLState string }
 
 func (e *ConnectionRejectedError) Error() string {
-	return e.SQLState + ": the host rejects the connection"
+	return "SQLSTATE " + e.SQLState + ": the host rejected or closed the connection"
 }
--- a/internal/protocol/pg/field_reader.go
+++ b/internal/protocol/pg/field_reader.go
@@ -5,17 +5,17 @@
 	"encoding/binary"
 )
 
-// nullLength is the length of a NULL value.
+// nullLength is the length field of a NULL value.
 const nullLength = -1
 
-// FieldReader reads the fields of a message body in order. After a read past the end Malformed is true, and all further
-// fields are zero.
+// FieldReader reads the fields of a message body in order. After a read past the end of the body, Malformed is true and
+// all further fields are zero or empty.
 type FieldReader struct {
 	rest      []byte
 	Malformed bool
 }
 
-// NewFieldReader returns a FieldReader at the start of a body.
+// NewFieldReader returns a FieldReader at the start of a message body.
 func NewFieldReader(body []byte) *FieldReader { return &FieldReader{rest: body} }
 
 // fail marks the body as malformed.
@@ -24,7 +24,7 @@
 	f.rest = nil
 }
 
-// Bytes reads a number of bytes. They refer to the body.
+// Bytes reads count bytes. The result shares memory with the body.
 func (f *FieldReader) Bytes(count int) []byte {
 	if count < 0 || count > len(f.rest) {
 		f.fail()
@@ -71,7 +71,7 @@
 	return text
 }
 
-// Value reads a length and as many bytes. NULL is nil; an empty value is not.
+// Value reads a length field and the value that follows it. The result is nil for NULL, but not for an empty value.
 func (f *FieldReader) Value() []byte {
 	length := f.Int32()
 	if length == nullLength {
--- a/internal/protocol/pg/health_check.go
+++ b/internal/protocol/pg/health_check.go
@@ -8,10 +8,10 @@
 	"merlinjunction/routing"
 )
 
-// Names in a load report.
+// Names of values in a load report.
 const (
-	reportPosition = "x0" // in seconds since 1970
-	reportPrimary  = "x1" // 1 at the primary
+	reportPosition = "x0" // position of the host's data, in seconds since 1970
+	reportPrimary  = "x1" // 1 if the host is the primary
 )
 
 const millisecondsPerSecond = 1000
@@ -29,14 +29,14 @@
 	return AppendStrings(buf, MsgQuery, "SHOW server_load")
 }
 
-// Forwards accepts the messages of a query result, for ParseLoadReport.
+// Forwards accepts the messages of a query result, which ParseLoadReport parses.
 func (LoadReportQuery) Forwards(kind byte) bool { return IsQueryResult(kind) }
 
-// IsComplete requires one row.
+// IsComplete requires a result with one row.
 func (LoadReportQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "TDC" }
 
-// EmptyQuery is a health check for hosts without load reports. Its answer shows that the host is alive; the role is
-// what the host reported when the connection started, or since.
+// EmptyQuery is a health check for hosts without load reports. Its answer shows that the host is alive. The host's role
+// is the last one that the host has reported on the connection (HostDialer.RoleOnChange).
 type EmptyQuery struct{}
 
 // AppendTo appends the query.
@@ -48,8 +48,8 @@
 // IsComplete requires the answer to an empty query.
 func (EmptyQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "I" }
 
-// ParseLoadReport parses the answer to a LoadReportQuery. The position is in milliseconds since 1970. It returns false
-// for an answer that is no load report, or one without a position.
+// ParseLoadReport parses the answer to a LoadReportQuery. The position is in milliseconds since 1970. ok is
+// false for an answer that is not a load report or has no position.
 func ParseLoadReport(answer []byte) (role routing.Role, positionMs float64, ok bool) {
 	if !(LoadReportQuery{}).IsComplete(answer) {
 		return 0, 0, false
--- a/internal/protocol/pg/host_conn.go
+++ b/internal/protocol/pg/host_conn.go
@@ -21,13 +21,13 @@
 	handler     proxy.UpstreamHandler
 	conn        *eventloop.Conn
 	established bool         // the host has accepted the connection
-	role        routing.Role // as last reported, with HostDialer.RoleOnChange
-	hostClosed  bool         // the host sends no more; what it has sent is still processed
+	role        routing.Role // last role that the host reported; only with HostDialer.RoleOnChange
+	hostClosed  bool         // the host has ended its sending direction; earlier input is still processed
 
 	command  Command // nil when none is in flight
-	written  bool    // the last byte of the command has been sent: it may run
+	written  bool    // the last byte of the command has been sent, so the command may run
 	response proxy.Response
-	sqlState string // of the answer's first error, "" for none
+	sqlState string // SQLSTATE of the answer's first error; "" if there is none
 
 	stream rowStream
 }
@@ -51,7 +51,7 @@
 	}
 }
 
-// Close closes the connection without a notification.
+// Close closes the connection without notifying the handler.
 func (c *hostConn) Close() { c.conn.Close() }
 
 // Connected does nothing: the connection is established once the host has answered the startup message.
@@ -60,8 +60,8 @@
 // Flushed is called when all output has been sent.
 func (c *hostConn) Flushed() { c.notifyWritten() }
 
-// Ended is called when the connection has broken, or the host sends no more. A streamed row is still forwarded as far
-// as the host has sent it.
+// Ended is called with io.EOF when the host has ended its sending direction, and with any other error when the connection
+// has failed. After io.EOF the part of a streamed row that the host has sent is still forwarded.
 func (c *hostConn) Ended(err error) {
 	if errors.Is(err, io.EOF) && c.stream.active && len(c.conn.In()) > 0 && !c.hostClosed {
 		c.hostClosed = true
@@ -74,7 +74,7 @@
 	c.handler.ConnectionClosed(err)
 }
 
-// Data is called when the host has sent something, and when a streamed row can go on.
+// Data is called when input from the host has arrived, and when the client can receive more of a streamed row.
 func (c *hostConn) Data() {
 	c.processInput()
 	if c.hostClosed && c.conn.IsOpen() && len(c.conn.In()) == 0 {
@@ -82,7 +82,7 @@
 	}
 }
 
-// processInput processes messages and parts of streamed rows until it has to wait. An error ends the connection.
+// processInput processes messages and parts of streamed rows until processNext has to wait. An error ends the connection.
 func (c *hostConn) processInput() {
 	for c.conn.IsOpen() && (len(c.conn.In()) > 0 || len(c.stream.buffered) > 0) {
 		progress, err := c.processNext()
@@ -140,7 +140,7 @@
 	return true, c.finishResponse()
 }
 
-// handleMessage handles one message, whose encoding with the header is raw. It returns true for ReadyForQuery.
+// handleMessage handles one message. raw is the whole message with its header. It returns true for ReadyForQuery.
 func (c *hostConn) handleMessage(kind byte, body, raw []byte) (readyForQuery bool, err error) {
 	if !isWellFormed(kind, body) {
 		return false, errInvalidAnswer
@@ -162,7 +162,8 @@
 	return false, c.handleResult(kind, body, raw)
 }
 
-// handleParameterStatus reads the host's role or position from a parameter. Values that can't be parsed are ignored.
+// handleParameterStatus reads the host's role or position from a parameter. A position that can't be parsed is ignored.
+// With HostDialer.RoleOnChange, an unknown role replaces the last reported one.
 func (c *hostConn) handleParameterStatus(body []byte) {
 	fields := NewFieldReader(body)
 	name, value := fields.Text(), fields.Text()
@@ -182,8 +183,8 @@
 	}
 }
 
-// handleError handles an ErrorResponse: the first one is the command's answer. Without a command the host rejects or
-// closes the connection.
+// handleError handles an ErrorResponse. The first one for a command becomes part of its answer; later ones are ignored.
+// An ErrorResponse without a command means that the host rejects or closes the connection.
 func (c *hostConn) handleError(body, raw []byte) error {
 	sqlState := sqlStateOf(body)
 	if c.command == nil {
@@ -201,7 +202,7 @@
 	switch {
 	case !c.established:
 		if kind == MsgAuthentication && NewFieldReader(body).Int32() != authenticationOK {
-			return errPasswordRequested
+			return errAuthenticationRequested
 		}
 	case c.command == nil:
 		return errUnsolicitedMessage
@@ -216,7 +217,7 @@
 	return nil
 }
 
-// finishStartup handles the first ReadyForQuery. More input after it is an error.
+// finishStartup handles the ReadyForQuery that ends the startup. More input after it is an error.
 func (c *hostConn) finishStartup() error {
 	c.response = proxy.Response{}
 	if len(c.conn.In()) > 0 {
@@ -227,8 +228,8 @@
 	return nil
 }
 
-// finishResponse hands a complete answer to the handler. When there is more input after it the connection accepts no
-// more commands: that input could be mistaken for the next command's answer.
+// finishResponse passes a complete answer to the handler. If there is more input after it, the connection accepts no
+// further commands, because that input could be mistaken for the next command's answer.
 func (c *hostConn) finishResponse() error {
 	if !c.responseComplete() {
 		return errInvalidAnswer
@@ -245,8 +246,8 @@
 	return nil
 }
 
-// responseComplete reports whether the answer is an error or a complete result. An error after a streamed row is
-// neither: the client has a part of the result already.
+// responseComplete reports whether the answer is an error or a complete result. An error after a streamed row is not a
+// complete answer, because the client has already received a part of the result.
 func (c *hostConn) responseComplete() bool {
 	failed := c.sqlState != ""
 	if c.stream.active {
--- a/internal/protocol/pg/host_message.go
+++ b/internal/protocol/pg/host_message.go
@@ -1,20 +1,20 @@
 package pg
 
 const (
-	// maxShortMessageLength is the largest length of the messages whose body is empty or, in ReadyForQuery, one byte.
+	// maxShortMessageLength is the largest length field of messages whose body is empty or, in ReadyForQuery, one byte.
 	maxShortMessageLength = lengthSize + 1
-	// maxNonRowMessageLength is the largest length of other messages from a host, except for rows.
+	// maxNonRowMessageLength is the largest length field of other messages from a host, except for DataRow.
 	maxNonRowMessageLength = 32 << 10
-	// ColumnFieldsSize is the size of a column in a RowDescription after its name, in bytes: five fields and the format
-	// code.
+	// ColumnFieldsSize is the size of the fields that follow a column's name in a RowDescription, in bytes: five
+	// properties of the column and the format code.
 	ColumnFieldsSize = 18
 	// ParameterTypeSize is the size of a parameter type's OID, in bytes.
 	ParameterTypeSize = 4
 )
 
-// maxHostMessageLength is the largest length field of a message from a host, by the message's type, and 0 for a type
-// that no host sends to a gateway. The length is checked as soon as the header is there, so that the gateway never
-// waits for gigabytes.
+// maxHostMessageLength returns the largest accepted length field of a message from a host, by the message's type, or 0
+// for a type that no host may send to the gateway. The length is checked as soon as the header has arrived, so that the
+// gateway never waits for a message of gigabytes.
 func maxHostMessageLength(kind byte) int {
 	switch kind {
 	case MsgReadyForQuery, MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQueryResponse,
--- a/internal/protocol/pg/message.go
+++ b/internal/protocol/pg/message.go
@@ -1,12 +1,13 @@
-// Package pg speaks version 3 of PostgreSQL's wire protocol in both directions: as a server towards clients and as a
-// client towards database hosts.
+// Package pg implements version 3 of PostgreSQL's frontend/backend protocol: the server's side towards clients and the
+// client's side towards database hosts.
 package pg
 
 import (
 	"encoding/binary"
 )
 
-// Types of messages from clients, named as in PostgreSQL's documentation. Some letters are in use in both directions.
+// Message types from clients, named as in PostgreSQL's documentation. Some letters stand for one message type from
+// clients and for another one from hosts.
 const (
 	MsgBind         = 'B'
 	MsgClose        = 'C'
@@ -23,7 +24,7 @@
 	MsgSync         = 'S'
 )
 
-// Types of messages from hosts, named likewise.
+// Message types from hosts, named as in PostgreSQL's documentation.
 const (
 	MsgAuthentication           = 'R'
 	MsgBackendKeyData           = 'K'
@@ -45,23 +46,25 @@
 	MsgPortalSuspended          = 's'
 )
 
-// MaxMessage bounds a message in either direction, in bytes. It holds a value of 64 KiB as hexadecimal text.
+// MaxMessage is the largest accepted length field of a message that is buffered whole, in either direction. It has room
+// for a value of 64 KiB in hexadecimal text form.
 const MaxMessage = 160 << 10
 
 const (
-	lengthSize = 4              // a length counts itself, but not the type byte
-	headerSize = 1 + lengthSize // type and length
+	lengthSize = 4              // the length field counts itself, but not the type byte
+	headerSize = 1 + lengthSize // type byte and length field
 )
 
 // Transaction statuses in a ReadyForQuery message.
 const (
 	transactionIdle   = 'I' // outside a transaction block
-	transactionOpen   = 'T'
-	transactionFailed = 'E' // in a transaction block whose further statements are rejected
+	transactionOpen   = 'T' // in a transaction block
+	transactionFailed = 'E' // in a failed transaction block: statements are rejected until it ends
 )
 
-// SplitMessage splits the first message off buf: its type, its body and its size with the header. The size is 0 while
-// the message is incomplete. A length over maxLength is ErrTooLarge, an impossible one ErrMalformed.
+// SplitMessage returns the type, the body and the size, including the header, of the first message in buf. The size is 0
+// while the message is incomplete. The error is ErrTooLarge if the length field exceeds maxLength, and ErrMalformed if it
+// is less than its own size.
 func SplitMessage(buf []byte, maxLength int) (kind byte, body []byte, size int, err error) {
 	if len(buf) < headerSize {
 		return 0, nil, 0, nil
@@ -78,34 +81,34 @@
 	return buf[0], buf[headerSize : length+1], int(length) + 1, nil
 }
 
-// BeginMessage appends a message's header, to be completed by EndMessage with the returned mark. A startup message has
-// the type 0: it has no type byte.
-func BeginMessage(buf []byte, kind byte) (out []byte, mark int) {
+// BeginMessage appends a message's header with an unset length field, which starts at lengthOffset. EndMessage sets it.
+// The kind 0 is for a startup message, which has no type byte.
+func BeginMessage(buf []byte, kind byte) (out []byte, lengthOffset int) {
 	if kind != 0 {
 		buf = append(buf, kind)
 	}
 	return append(buf, 0, 0, 0, 0), len(buf)
 }
 
-// EndMessage sets the length of the message that was begun at mark.
-func EndMessage(buf []byte, mark int) []byte {
-	binary.BigEndian.PutUint32(buf[mark:], uint32(len(buf)-mark))
+// EndMessage sets the length field at lengthOffset, as returned by BeginMessage, for a message that ends where buf ends.
+func EndMessage(buf []byte, lengthOffset int) []byte {
+	binary.BigEndian.PutUint32(buf[lengthOffset:], uint32(len(buf)-lengthOffset))
 	return buf
 }
 
-// AppendMessage appends a message.
+// AppendMessage appends a message with the given type and body.
 func AppendMessage(buf []byte, kind byte, body ...byte) []byte {
-	buf, mark := BeginMessage(buf, kind)
-	return EndMessage(append(buf, body...), mark)
+	buf, lengthOffset := BeginMessage(buf, kind)
+	return EndMessage(append(buf, body...), lengthOffset)
 }
 
-// AppendStrings appends a message whose body is a list of strings.
+// AppendStrings appends a message whose body is a list of zero-terminated strings.
 func AppendStrings(buf []byte, kind byte, texts ...string) []byte {
-	buf, mark := BeginMessage(buf, kind)
+	buf, lengthOffset := BeginMessage(buf, kind)
 	for _, text := range texts {
 		buf = appendString(buf, text)
 	}
-	return EndMessage(buf, mark)
+	return EndMessage(buf, lengthOffset)
 }
 
 // appendString appends a string with its terminating zero byte.
@@ -113,7 +116,7 @@
 	return append(append(buf, text...), 0)
 }
 
-// AppendReadyForQuery appends a ReadyForQuery message outside a transaction block.
+// AppendReadyForQuery appends a ReadyForQuery message with the status of a session outside a transaction block.
 func AppendReadyForQuery(buf []byte) []byte {
 	return AppendMessage(buf, MsgReadyForQuery, transactionIdle)
 }
--- a/internal/protocol/pg/message_test.go
+++ b/internal/protocol/pg/message_test.go
@@ -53,7 +53,7 @@
 }
 
 func TestProtocolErrorsAreTyped(t *testing.T) {
-	for _, err := range []error{ErrMalformed, ErrTooLarge, errInvalidAnswer, errUnsolicitedMessage, errPasswordRequested} {
+	for _, err := range []error{ErrMalformed, ErrTooLarge, errInvalidAnswer, errUnsolicitedMessage, errAuthenticationRequested} {
 		var protocolError *ProtocolError
 		if !errors.As(err, &protocolError) {
 			t.Errorf("%v is no ProtocolError", err)
--- a/internal/protocol/pg/row_stream.go
+++ b/internal/protocol/pg/row_stream.go
@@ -3,28 +3,29 @@
 import "encoding/binary"
 
 const (
-	// minStreamedRowBytes is the length above which a row is streamed: a value of 64 KiB and the fields before it.
+	// minStreamedRowBytes is the length field above which a row is streamed. It has room for a value of 64 KiB and the
+	// fields before it.
 	minStreamedRowBytes = 64<<10 + 64
-	// maxStreamedRowBytes is the length above which a row is rejected.
+	// maxStreamedRowBytes is the length field above which a row is rejected.
 	maxStreamedRowBytes = 4<<20 + 64
-	// streamReadAheadBytes bounds what is read from the host ahead of the client.
+	// streamReadAheadBytes bounds the part of a streamed row that is read from the host but not yet forwarded.
 	streamReadAheadBytes = 32 << 10
 )
 
-// rowStream is a large row that is forwarded to the client while it arrives. It bounds the memory for large values, and
-// the time to the first byte.
+// rowStream is the state of a large row that is forwarded to the client while it arrives. Streaming bounds the memory
+// for large values and the time to the first byte.
 type rowStream struct {
-	active       bool   // a row of the current answer is, or was, streamed
-	buffered     []byte // messages of the answer that go to the client before the row
-	rowBytesLeft int    // of the row, with its header
+	active       bool   // a row of the current answer is being streamed or has been
+	buffered     []byte // messages of the answer that precede the row and are still to be forwarded
+	rowBytesLeft int    // bytes of the row that are still to be forwarded, with its header
 	validator    rowValidator
 }
 
-// pending reports whether something is left to be forwarded.
+// pending reports whether preceding messages or parts of the row are still to be forwarded.
 func (s *rowStream) pending() bool { return len(s.buffered)+s.rowBytesLeft > 0 }
 
-// beginStream reports whether the input begins with a row that is to be streamed, and starts that once the row's header
-// is there: until then rowBytesLeft is 0.
+// beginStream reports whether the input begins with a row that is to be streamed. It starts the stream once the row's
+// header and column count have arrived; until then rowBytesLeft is 0.
 func (c *hostConn) beginStream() (bool, error) {
 	input := c.conn.In()
 	if input[0] != MsgDataRow || len(input) < headerSize || c.command == nil || c.sqlState != "" {
@@ -48,7 +49,7 @@
 	c.stream = rowStream{
 		active:       true,
 		buffered:     c.response.Body,
-		rowBytesLeft: length + 1, // the length doesn't count the type byte
+		rowBytesLeft: length + 1, // the length field doesn't count the type byte
 		validator:    rowValidator{columnsLeft: columns, skip: rowHeaderSize},
 	}
 	c.response.Body = nil
@@ -56,8 +57,8 @@
 	return true, nil
 }
 
-// forwardStream forwards as much as the client's window allows. It returns false when there is no more input, the
-// window is full, or the connection was closed.
+// forwardStream forwards as much input as the client's window has space for. It returns false if the window is full or
+// the connection has been closed.
 func (c *hostConn) forwardStream() (progress bool, err error) {
 	stream := &c.stream
 	if len(stream.buffered) > 0 {
@@ -67,7 +68,7 @@
 	part := c.conn.In()
 	part = part[:min(len(part), stream.rowBytesLeft)]
 	forwarded := c.handler.StreamPart(part)
-	if !c.conn.IsOpen() { // closed by the handler, because the client is gone
+	if !c.conn.IsOpen() { // closed by the handler, because the client has disconnected
 		return false, nil
 	}
 	stream.validator.add(part[:forwarded])
--- a/internal/protocol/pg/row_validator.go
+++ b/internal/protocol/pg/row_validator.go
@@ -5,12 +5,13 @@
 // rowHeaderSize is the size of a DataRow's header and its column count, in bytes.
 const rowHeaderSize = headerSize + 2
 
-// rowValidator checks a DataRow message that is forwarded in parts: its values have to fill it exactly.
+// rowValidator checks a DataRow message that is forwarded in parts. The row's values must end exactly where the message
+// ends.
 type rowValidator struct {
-	columnsLeft int              // columns whose length hasn't been read; negative for a malformed row
-	skip        int              // bytes before the next length
-	length      [lengthSize]byte // of the next value, as far as it has been read
-	lengthRead  int              // bytes of length that have been read
+	columnsLeft int              // columns whose length field hasn't been read; negative if the row is malformed
+	skip        int              // bytes before the next length field
+	length      [lengthSize]byte // length field of the next value, as far as it has been read
+	lengthRead  int              // number of bytes of length that have been read
 }
 
 // add checks the next part of the row.
@@ -31,7 +32,7 @@
 	}
 }
 
-// beginValue skips the value whose length has been read.
+// beginValue decodes a length field and sets skip to the size of the value that follows it.
 func (r *rowValidator) beginValue() {
 	r.lengthRead = 0
 	r.columnsLeft--
@@ -44,7 +45,7 @@
 	}
 }
 
-// complete reports whether the values end where the row does.
+// complete reports whether all values of the row have been read and nothing follows them.
 func (r *rowValidator) complete() bool {
 	return r.columnsLeft == 0 && r.skip == 0 && r.lengthRead == 0
 }
--- a/internal/protocol/pg/session.go
+++ b/internal/protocol/pg/session.go
@@ -1,17 +1,18 @@
 package pg
 
-// A Session is the frontend's state of one client.
+// A Session handles the messages of one client after its startup message. Each frontend has its own implementation.
 type Session interface {
-	// HandleMessage handles one message, whose body is valid during the call. While an answer is outstanding Busy must
-	// return true.
+	// HandleMessage handles one message. body is valid only during the call. Busy must return true while an answer is
+	// outstanding.
 	HandleMessage(kind byte, body []byte)
 	// Busy reports whether an answer is outstanding.
 	Busy() bool
-	// Accepts reports whether a message of a type can be handled now. Otherwise it waits until Client.Resume.
+	// Accepts reports whether a message of this type can be handled now. Otherwise the message stays in the input until
+	// the session calls Client.Resume.
 	Accepts(kind byte) bool
-	// InPipeline reports whether the client is in the middle of a pipeline: its connection is not idle yet.
+	// InPipeline reports whether the client is in the middle of a pipeline, so that its connection doesn't count as idle.
 	InPipeline() bool
-	// ClientGone is called when the connection has been closed; nothing can be sent any more.
+	// ClientGone is called when the connection has been closed. Nothing can be sent to the client after that.
 	ClientGone()
 }
 
--- a/internal/protocol/pg/startup.go
+++ b/internal/protocol/pg/startup.go
@@ -9,7 +9,7 @@
 // Version3 is the version of the protocol in a startup message: major version 3, minor version 0.
 const Version3 = 3 << 16
 
-// Request codes, sent instead of a startup message's version.
+// Request codes, sent in place of the protocol version of a startup message.
 const (
 	codeCancel = 80877102
 	codeSSL    = 80877103
@@ -17,7 +17,7 @@
 )
 
 const (
-	startupHeaderSize = 8 // length and version
+	startupHeaderSize = 8 // length field, and protocol version or request code
 	maxStartupBytes   = 10_000
 	cancelBodySize    = 8 // process ID and secret key
 	majorVersion      = 3
@@ -29,15 +29,15 @@
 	protocolOptionPrefix = "_pq_."
 )
 
-// startupMessage is what a client sends first.
+// startupMessage holds the fields of a client's startup message that the gateway uses.
 type startupMessage struct {
 	user, database string
 	minorVersion   uint32
 	unknownOptions []string // protocol options that the gateway doesn't support
 }
 
-// processStartup processes the startup message, or a request that a client may send before it. It returns false when
-// the message is incomplete or the connection ends.
+// processStartup processes a startup message, or an SSLRequest, GSSENCRequest or CancelRequest sent in its place. It
+// returns false if the message is incomplete or the connection is being closed.
 func (c *Client) processStartup() bool {
 	input := c.conn.In()
 	if len(input) < startupHeaderSize {
@@ -58,7 +58,7 @@
 		c.Send([]byte{encryptionRejected})
 		c.conn.Consume(size)
 		return true
-	case code == codeCancel: // it has no answer, whether or not it has an effect
+	case code == codeCancel: // a CancelRequest gets no answer, whether or not it has an effect
 		if len(body) == cancelBodySize {
 			c.pool.cancel(binary.BigEndian.Uint64(body))
 		}
@@ -78,7 +78,8 @@
 	return !c.closing
 }
 
-// startSession accepts a client. Its session may close the connection at once.
+// startSession creates a client's session and answers its startup message. The new session may close the connection at
+// once.
 func (c *Client) startSession(startup *startupMessage) {
 	c.User, c.Database = startup.user, startup.database
 	c.cancelKey = rand.Uint64()
@@ -117,7 +118,7 @@
 	return startup, nil
 }
 
-// response is the gateway's answer to a startup message, up to ReadyForQuery.
+// response returns the messages that answer a startup message, up to and including ReadyForQuery.
 func (m *startupMessage) response(cancelKey uint64) []byte {
 	var buf []byte
 	if m.minorVersion > 0 || len(m.unknownOptions) > 0 {
@@ -142,13 +143,14 @@
 	return AppendReadyForQuery(buf)
 }
 
-// appendNegotiation appends NegotiateProtocolVersion: the gateway supports minor version 0 without options.
+// appendNegotiation appends a NegotiateProtocolVersion message. The gateway supports minor version 0 and no protocol
+// options.
 func (m *startupMessage) appendNegotiation(buf []byte) []byte {
-	buf, mark := BeginMessage(buf, MsgNegotiateProtocolVersion)
+	buf, lengthOffset := BeginMessage(buf, MsgNegotiateProtocolVersion)
 	buf = binary.BigEndian.AppendUint32(buf, 0)
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(m.unknownOptions)))
 	for _, name := range m.unknownOptions {
 		buf = appendString(buf, name)
 	}
-	return EndMessage(buf, mark)
+	return EndMessage(buf, lengthOffset)
 }
