--- a/internal/protocol/pg/answer_test.go
+++ b/internal/protocol/pg/answer_test.go
@@ -18,14 +18,14 @@
 		"42601": routing.OutcomeError,
 	} {
 		if got := outcomeOf(state); got != want {
-			t.Errorf("%s: %v", state, got)
+			t.Errorf("SQLSTATE %q: got outcome %v, want %v", state, got, want)
 		}
 	}
 	for state, want := range map[string]bool{
 		"42601": true, "22012": true, "23505": true, "XX000": false, "53300": false, "25006": false, "": false,
 	} {
 		if isStatementError(state) != want {
-			t.Errorf("%s: statement error %v", state, !want)
+			t.Errorf("SQLSTATE %q: isStatementError = %v, want %v", state, !want, want)
 		}
 	}
 }
--- a/internal/protocol/pg/client_pool_test.go
+++ b/internal/protocol/pg/client_pool_test.go
@@ -9,7 +9,7 @@
 	"merlinjunction/internal/eventloop"
 )
 
-// stubSession accepts every message and answers none.
+// stubSession accepts one message and never answers it.
 type stubSession struct{ busy bool }
 
 func (s *stubSession) Busy() bool                 { return s.busy }
@@ -18,12 +18,12 @@
 func (s *stubSession) InPipeline() bool           { return false }
 func (s *stubSession) ClientGone()                {}
 
-// poolHarness is a ClientPool with a clock that the test moves.
+// poolHarness is a ClientPool with a clock that the test sets.
 type poolHarness struct {
 	*ClientPool
 	t        *testing.T
 	now      float64
-	peerEnds map[*Client]int // descriptors of the clients' ends
+	peerEnds map[*Client]int // the client's end of each connection, as a file descriptor
 }
 
 func newPoolHarness(t *testing.T, pool *ClientPool) *poolHarness {
@@ -38,7 +38,8 @@
 	return h
 }
 
-// accept connects a client, one millisecond after the last event.
+// accept advances the clock by one millisecond and connects a client. It returns nil if the pool gained no
+// client.
 func (h *poolHarness) accept() *Client {
 	h.t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// send writes from a client's end.
+// send writes data at a client's end of its connection.
 func (h *poolHarness) send(client *Client, data []byte) {
 	h.t.Helper()
 	if _, err := unix.Write(h.peerEnds[client], data); err != nil {
@@ -75,14 +76,15 @@
 	return ok && !client.closing
 }
 
-// startSession puts a client past its first message.
+// startSession gives a client a session, as if it had completed its startup and no message were due.
 func startSession(client *Client) {
 	client.session = &stubSession{}
 	client.messageDueSinceMs = 0
 }
 
-// Clients that have sent one request and stay must not occupy all slots: otherwise each new client is evicted
-// for the next one before its first request has been received.
+// TestEvictionOrder guards against clients that send one request and then stay connected in all slots. If their idle
+// connections were not evicted first, each new client would be evicted in favor of the next one before its first request
+// had been received.
 func TestEvictionOrder(t *testing.T) {
 	h := newPoolHarness(t, &ClientPool{MaxClients: 2})
 	idle, first := h.accept(), h.accept()
@@ -98,13 +100,13 @@
 	if fourth := h.accept(); h.open(first) || !h.open(fourth) {
 		t.Error("a connection without a first message was not evicted")
 	}
-	h.MaxClients = 100 // idle connections are evicted well below it: the clients' side is limited too
+	h.MaxClients = 100 // idle connections are evicted well below it, because sockets on the clients' side are limited too
 	for range earlyEvictionPercent {
 		startSession(h.accept())
 	}
 	h.now += earlyEvictionMinIdleMs
 	if n := len(h.clients) - h.closingCount; h.accept() == nil || len(h.clients)-h.closingCount > n {
-		t.Errorf("%d connections, and no idle one was evicted", n)
+		t.Errorf("no idle connection was evicted, with %d connections open", n)
 	}
 	h.MaxClients = 2
 	for client := range h.clients {
@@ -112,7 +114,7 @@
 			client.close()
 		}
 	}
-	for client := range h.clients { // both are idle; one has then sent a part of a message
+	for client := range h.clients { // both connections are idle; one of them then has an incomplete message
 		startSession(client)
 		first = client
 	}
@@ -134,8 +136,8 @@
 	}
 }
 
-// An idle connection whose time is up must not be closed when the first part of a query has just been received: a
-// request that was read in part would be lost.
+// TestIdleConnectionWithNewInputStaysOpen guards against the loss of a request: a connection that has reached its idle
+// timeout must not be closed if the first part of a query has just been received.
 func TestIdleConnectionWithNewInputStaysOpen(t *testing.T) {
 	h := newPoolHarness(t, &ClientPool{MaxClients: 10, IdleTimeoutMs: 2000})
 	client := h.accept()
@@ -145,15 +147,16 @@
 	h.send(client, query[:9])
 	h.sweep()
 	if len(h.clients) != 1 {
-		t.Fatal("a connection was closed on the first part of a query")
+		t.Fatal("the connection was closed although the first part of a query had been received")
 	}
 	h.send(client, query[9:])
 	if client.conn.ReadNow(); !client.session.Busy() {
-		t.Error("the rest of the query is not taken")
+		t.Error("the session is not busy after the rest of the query was sent")
 	}
 }
 
-// A connection that may not be closed, since it is busy or has just sent something, keeps no other one from being evicted.
+// TestEvictionPassesOverConnectionsThatMustStay checks that another connection is evicted if the first candidate must stay
+// open, because it is busy or has just sent something.
 func TestEvictionPassesOverConnectionsThatMustStay(t *testing.T) {
 	query := AppendStrings(nil, MsgQuery, "a query")
 	for name, prepare := range map[string]func(*poolHarness, *Client){
@@ -171,14 +174,15 @@
 			prepare(h, staying)
 			h.now += messageTimeoutMs
 			if newest := h.accept(); h.open(idle) || !h.open(staying) || !h.open(newest) {
-				t.Errorf("idle one open %v, the one that must stay %v, the new one %v",
+				t.Errorf("open: idle connection %v, connection that must stay open %v, new connection %v; want false, true, true",
 					h.open(idle), h.open(staying), h.open(newest))
 			}
 		})
 	}
 }
 
-// A drain that finds the end of input behind half a message closes the connection: the rest can't come any more.
+// TestDrainClosesHalfMessageAtEndOfInput checks that a drain closes a connection whose input ends within a
+// message. The rest of the message can't arrive any more.
 func TestDrainClosesHalfMessageAtEndOfInput(t *testing.T) {
 	h := newPoolHarness(t, &ClientPool{MaxClients: 2})
 	client := h.accept()
@@ -188,9 +192,9 @@
 	if err := unix.Shutdown(h.peerEnds[client], unix.SHUT_WR); err != nil {
 		t.Fatal(err)
 	}
-	client.readMore() // reads the half message, and not yet the end
+	client.readMore() // reads the incomplete message, but not yet the end of input
 	h.Drain()
 	if h.open(client) {
-		t.Error("the connection stays open")
+		t.Error("the drain left the connection open")
 	}
 }
--- a/internal/protocol/pg/fuzz_test.go
+++ b/internal/protocol/pg/fuzz_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Whatever a host answers to a health check, the report has a finite position or is none.
+// FuzzParseLoadReport checks that the answer to a health check is rejected or has a finite position, whatever the host
+// sends.
 func FuzzParseLoadReport(f *testing.F) {
 	for _, text := range []string{"x0=1,x1=1", "x0=NaN", "x0=1e308", "x0=-1,x1=1,x1=0", "=,,=", ""} {
 		answer := AppendMessage(nil, MsgRowDescription, 0, 0)
@@ -18,15 +19,16 @@
 	f.Fuzz(func(t *testing.T, answer []byte) {
 		_, positionMs, ok := ParseLoadReport(answer)
 		if ok && (math.IsNaN(positionMs) || math.IsInf(positionMs, 0)) {
-			t.Errorf("position %v", positionMs)
+			t.Errorf("the load report has the position %v, want a finite one", positionMs)
 		}
 		ColumnCount(answer)
 		CommandTag(answer)
 	})
 }
 
-// A host's message is incomplete, refused, or lies within its input; what is well formed can be read. A row that is read
-// in parts, split anywhere, is judged like the whole one.
+// FuzzHostMessage checks that a message from a host is incomplete, rejected or within its input, and that a well-formed
+// ErrorResponse has an SQLSTATE. rowValidator must give the same result for a row that is split anywhere as isWellFormed
+// for the whole row.
 func FuzzHostMessage(f *testing.F) {
 	for _, seed := range [][]byte{
 		AppendReadyForQuery(nil), AppendMessage(nil, MsgDataRow, 0, 1, 0, 0, 0, 1, 'v'), AppendMessage(nil, MsgDataRow, 0, 1),
@@ -41,10 +43,10 @@
 			return
 		}
 		if size > len(input) || len(body) != size-headerSize {
-			t.Fatalf("a message of %d bytes of %d", size, len(input))
+			t.Fatalf("message of %d bytes with a body of %d bytes in an input of %d bytes", size, len(body), len(input))
 		}
 		if isWellFormed(kind, body) && kind == MsgErrorResponse && len(sqlStateOf(body)) != sqlStateLen {
-			t.Errorf("an error without SQLSTATE is well formed: %q", body)
+			t.Errorf("an ErrorResponse without an SQLSTATE is well-formed: %q", body)
 		}
 		if kind != MsgDataRow || len(body) < rowHeaderSize-headerSize {
 			return
@@ -54,12 +56,12 @@
 		validator.add(input[:at])
 		validator.add(input[at:size])
 		if validator.complete() != isWellFormed(kind, body) {
-			t.Errorf("a row cut at %d is complete: %v, unlike the whole one: %q", at, validator.complete(), body)
+			t.Errorf("row split at byte %d: complete = %v, unlike isWellFormed of the whole row %q", at, validator.complete(), body)
 		}
 	})
 }
 
-// A startup message is refused, or names a user and a database.
+// FuzzParseStartup checks that a startup message is rejected or has a user and a database.
 func FuzzParseStartup(f *testing.F) {
 	for _, seed := range []string{"user\x00a\x00\x00", "user\x00a\x00database\x00b\x00\x00", "\x00", "", "user\x00", "_pq_.x\x00y\x00\x00"} {
 		f.Add([]byte(seed))
@@ -67,7 +69,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		startup, err := parseStartup(body, 0)
 		if err == nil && (startup.user == "" || startup.database == "") {
-			t.Errorf("%q gives %+v", body, startup)
+			t.Errorf("%q: got %+v, want a user and a database", body, startup)
 		}
 	})
 }
--- a/internal/protocol/pg/host_message_test.go
+++ b/internal/protocol/pg/host_message_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestWellFormed(t *testing.T) {
+func TestHostMessageValidation(t *testing.T) {
 	for text, want := range map[string]bool{
 		"ZI": true, "Z?": false, "ZII": false,
 		"D\x00\x01\x00\x00\x00\x01v": true, "D\x00\x01\x00\x00\x00\x02v": false, "D\x00\x01\x00\x00\x00\x00v": false,
@@ -14,12 +14,12 @@
 		"1": true, "1x": false,
 	} {
 		if isWellFormed(text[0], []byte(text[1:])) != want {
-			t.Errorf("%q: %v", text, !want)
+			t.Errorf("%q: isWellFormed = %v, want %v", text, !want, want)
 		}
 	}
 	for _, kind := range []byte("x?q\x00QPF") {
 		if maxHostMessageLength(kind) != 0 {
-			t.Errorf("%q is taken from a host", kind)
+			t.Errorf("message type %q is accepted from a host", kind)
 		}
 	}
 }
--- a/internal/protocol/pg/message_test.go
+++ b/internal/protocol/pg/message_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The bytes are written out by hand from PostgreSQL's documentation of message formats.
+// TestMessageEncoding compares encoded messages with bytes that were derived by hand from the message formats in
+// PostgreSQL's documentation.
 func TestMessageEncoding(t *testing.T) {
 	for want, got := range map[string][]byte{
 		"5a 00000005 49":                     AppendReadyForQuery(nil),
@@ -22,7 +23,7 @@
 	}
 }
 
-func TestSplitMessageAndFieldReaderOnBadInput(t *testing.T) {
+func TestSplitMessageAndFieldReaderOnInvalidInput(t *testing.T) {
 	for _, test := range []struct {
 		input string
 		size  int
@@ -35,7 +36,7 @@
 		{"Q\xff\xff\xff\xff", 0, ErrTooLarge},
 	} {
 		if _, _, size, err := SplitMessage([]byte(test.input), 100); size != test.size || !errors.Is(err, test.err) {
-			t.Errorf("%q: %d, %v", test.input, size, err)
+			t.Errorf("%q: got size %d, error %v, want %d, %v", test.input, size, err, test.size, test.err)
 		}
 	}
 	for _, read := range []func(*FieldReader){
@@ -47,7 +48,7 @@
 	} {
 		fields := NewFieldReader([]byte{0x7f, 1, 1, 1})
 		if read(fields); !fields.Malformed || fields.AtEnd() {
-			t.Error("a read past the end goes unnoticed")
+			t.Error("a read past the end of the body was not reported as malformed")
 		}
 	}
 }
@@ -56,7 +57,7 @@
 	for _, err := range []error{ErrMalformed, ErrTooLarge, errInvalidAnswer, errUnsolicitedMessage, errAuthenticationRequested} {
 		var protocolError *ProtocolError
 		if !errors.As(err, &protocolError) {
-			t.Errorf("%v is no ProtocolError", err)
+			t.Errorf("%v is not a ProtocolError", err)
 		}
 	}
 }
--- a/internal/protocol/pg/row_validator_test.go
+++ b/internal/protocol/pg/row_validator_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A row that is forwarded in parts is checked as strictly as one that is complete, wherever it is cut.
+// TestPartialRowIsValidatedLikeACompleteOne checks that rowValidator and isWellFormed give the same result for a row,
+// wherever the row is split.
 func TestPartialRowIsValidatedLikeACompleteOne(t *testing.T) {
 	for _, body := range []string{
 		"\x00\x01\x00\x00\x00\x03abc",
@@ -20,7 +21,7 @@
 			validator.add(row[:cut])
 			validator.add(row[cut:])
 			if validator.complete() != isWellFormed(MsgDataRow, []byte(body)) {
-				t.Fatalf("%q cut at %d: %v", body, cut, validator.complete())
+				t.Fatalf("%q split at byte %d: complete = %v, unlike isWellFormed", body, cut, validator.complete())
 			}
 		}
 	}
--- a/internal/protocol/pg/startup_test.go
+++ b/internal/protocol/pg/startup_test.go
@@ -28,18 +28,19 @@
 			got, err := parseStartup([]byte(test.body), 0)
 			if test.want == nil {
 				if !errors.Is(err, ErrMalformed) {
-					t.Errorf("got %+v, %v", got, err)
+					t.Errorf("got %+v, error %v, want ErrMalformed", got, err)
 				}
 				return
 			}
 			if err != nil || !reflect.DeepEqual(got, test.want) {
-				t.Errorf("got %+v, %v", got, err)
+				t.Errorf("got %+v, error %v, want %+v", got, err, test.want)
 			}
 		})
 	}
 }
 
-// A client that asks for a newer minor version, or for options, is told what the gateway supports before anything else.
+// TestStartupNegotiatesTheVersion checks that the response to a newer minor version or to protocol options begins with a
+// NegotiateProtocolVersion message.
 func TestStartupNegotiatesTheVersion(t *testing.T) {
 	noOptions := []byte("v\x00\x00\x00\x0c\x00\x00\x00\x00\x00\x00\x00\x00")
 	oneOption := []byte("v\x00\x00\x00\x13\x00\x00\x00\x00\x00\x00\x00\x01_pq_.x\x00")
@@ -53,7 +54,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if response := test.startup.response(1); !bytes.HasPrefix(response, test.want) {
-				t.Errorf("got %q, want %q first", response, test.want)
+				t.Errorf("got %q, want the prefix %q", response, test.want)
 			}
 		})
 	}
