--- a/internal/protocol/discovery/document.go
+++ b/internal/protocol/discovery/document.go
@@ -14,16 +14,16 @@
 // NoRevision is the revision of an endpoint list that has not been received yet.
 const NoRevision = -1
 
-// maxStartedAtMs is the first start time that no longer fits a time.Duration, in Unix milliseconds.
+// maxStartedAtMs is the first start time that doesn't fit a time.Duration, as Unix time in milliseconds.
 const maxStartedAtMs = math.MaxInt64 / 1e6
 
-// primaryRole is the role that discovery gives to the primary of a group.
+// primaryRole is the role of a group's primary in a Document.
 const primaryRole = "leader"
 
-// Document is the endpoint list, or a change of it, in the form that discovery sends.
+// Document is the body of a response from discovery: the whole endpoint list or the entries that have changed.
 type Document struct {
 	Revision int64   `json:"revision"`
-	Complete bool    `json:"complete"` // the whole list: a host without an entry is gone
+	Complete bool    `json:"complete"` // the whole list: a host without an entry has been removed
 	Entries  []Entry `json:"members"`
 }
 
@@ -38,29 +38,29 @@
 	StartedAtMs float64 `json:"up_since_ms"` // Unix time in milliseconds
 }
 
-// endpointStates maps discovery's states to the code's.
+// endpointStates maps the states in a Document to routing's states.
 var endpointStates = map[string]routing.EndpointState{
 	"active":  routing.StateReady,
 	"leaving": routing.StateDraining,
 	"left":    routing.StateGone,
 }
 
-// EntryError reports an entry of the endpoint list that can't be used.
+// EntryError reports an invalid entry of the endpoint list.
 type EntryError struct {
-	ID      string // "" where the entry has none
+	ID      string // "" if the entry has none
 	Address string
 	Reason  string
 }
 
 func (e *EntryError) Error() string {
 	if e.ID == "" {
-		return fmt.Sprintf("host list: the entry with host_port %q %s", e.Address, e.Reason)
+		return fmt.Sprintf("endpoint list: the entry with host_port %q %s", e.Address, e.Reason)
 	}
-	return fmt.Sprintf("host list: entry %q: %s", e.ID, e.Reason)
+	return fmt.Sprintf("endpoint list: entry %q: %s", e.ID, e.Reason)
 }
 
-// Hosts converts the entries. The error is an *EntryError for the first entry that can't be used; all usable entries
-// are returned with it.
+// Hosts converts the entries. If some are invalid, it returns the hosts of all valid entries together with an *EntryError
+// for the first invalid one.
 func (d *Document) Hosts() ([]proxy.Host, error) {
 	var hosts []proxy.Host
 	var firstError error
@@ -75,7 +75,7 @@
 	return hosts, firstError
 }
 
-// host converts one entry. Only a host that may be used needs an address.
+// host converts one entry. Only an entry in the state "active" needs an address.
 func (e *Entry) host() (proxy.Host, error) {
 	state, known := endpointStates[e.State]
 	_, addressErr := netip.ParseAddrPort(e.Address)
@@ -85,7 +85,7 @@
 	case !known:
 		return proxy.Host{}, e.invalid(fmt.Sprintf("unknown phase %q", e.State))
 	case addressErr != nil && state == routing.StateReady:
-		return proxy.Host{}, e.invalid(fmt.Sprintf("host_port %q is no address and port", e.Address))
+		return proxy.Host{}, e.invalid(fmt.Sprintf("host_port %q is not an IP address and port", e.Address))
 	case !(e.StartedAtMs >= 0 && e.StartedAtMs < maxStartedAtMs):
 		return proxy.Host{}, e.invalid("up_since_ms is out of range")
 	}
@@ -100,7 +100,7 @@
 	return proxy.Host{Address: e.Address, Endpoint: endpoint}, nil
 }
 
-// invalid returns an EntryError for the entry.
+// invalid returns an *EntryError for the entry.
 func (e *Entry) invalid(reason string) error {
 	return &EntryError{ID: e.ID, Address: e.Address, Reason: reason}
 }
--- a/internal/protocol/discovery/response.go
+++ b/internal/protocol/discovery/response.go
@@ -13,12 +13,12 @@
 	maxHeadBytes = 16 << 10
 )
 
-// Errors of parseResponse, which a poll's log line at level Debug shows.
+// Errors of parseResponse. They appear in the Debug log line of a failed poll.
 var (
-	errMalformedResponse = errors.New("not an HTTP answer")
+	errMalformedResponse = errors.New("the response has a malformed HTTP/1 status line")
 	errHeadTooLarge      = errors.New("the head of the response is too large")
 	errBodyTooLarge      = errors.New("the body of the response is too large")
-	errMissingLength     = errors.New("the response has neither Content-Length nor chunks")
+	errMissingLength     = errors.New("the response has neither a Content-Length nor a chunked body")
 	errMalformedLength   = errors.New("the response has a malformed Content-Length")
 	errMalformedChunk    = errors.New("the response has a malformed chunk")
 )
@@ -34,20 +34,20 @@
 type response struct {
 	status      int
 	body        []byte
-	size        int  // of head and body together, in bytes
-	closesAfter bool // the server ends the connection after it
+	size        int  // size of head and body together, in bytes
+	closesAfter bool // the server closes the connection after the response
 }
 
-// responseHead is what the header fields say of the body.
+// responseHead holds the status and the header fields that describe the body.
 type responseHead struct {
 	status      int
-	length      int // Content-Length; -1: none
+	length      int // Content-Length, or -1 if there is none
 	chunked     bool
 	closesAfter bool
 }
 
-// parseResponse reads the response that the input begins with; nil while it is incomplete. The error is one
-// of those above.
+// parseResponse parses the response at the start of the input. It returns nil while the response is incomplete. The error
+// is one of those above.
 func parseResponse(input []byte) (*response, error) {
 	headEnd := bytes.Index(input, []byte("\r\n\r\n"))
 	if headEnd < 0 {
@@ -80,7 +80,7 @@
 	return resp, nil
 }
 
-// parseHead reads the status line and the header fields, without the empty line that ends them.
+// parseHead parses the status line and the header fields. text doesn't include the empty line that ends them.
 func parseHead(text string) (responseHead, error) {
 	head := responseHead{length: -1}
 	lines := strings.Split(text, "\r\n")
@@ -113,7 +113,8 @@
 	return head, nil
 }
 
-// parseChunks reads a chunked body and how many bytes of the input it takes; size is 0 while it is incomplete.
+// parseChunks decodes a chunked body. size is the number of input bytes that the body occupies, or 0 while the body is
+// incomplete.
 func parseChunks(input []byte) (body []byte, size int, err error) {
 	position := 0
 	for {
--- a/internal/protocol/discovery/watcher.go
+++ b/internal/protocol/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery follows the endpoint list over HTTP/1.1: one request for the whole list, then one watch request
-// (long poll) after another. Package fleet decides when a request is made (PollPolicy); this package makes it.
+// Package discovery follows the endpoint list over HTTP/1.1. It first requests the whole list and then sends one watch
+// request (long poll) after another. fleet.PollPolicy decides when a request is sent; this package sends it.
 package discovery
 
 import (
@@ -20,27 +20,28 @@
 const listPath = "/v1/servers"
 
 var (
-	errTimeout            = errors.New("no response in time")
-	errUnexpectedResponse = errors.New("response without a request")
+	errTimeout            = errors.New("the poll timed out without a response")
+	errUnexpectedResponse = errors.New("response received while no request was in flight")
 )
 
-// UpdateFunc receives the whole endpoint list (complete) or changes of it. The changes count as known to this gateway
-// since notifiedAtMs, on the loop's clock, which may lie before the call.
+// UpdateFunc receives the whole endpoint list (complete is true) or the hosts that have changed. The update counts as
+// notified since notifiedAtMs on the loop's clock, which may be earlier than the call.
 type UpdateFunc func(complete bool, hosts []proxy.Host, notifiedAtMs float64)
 
-// Config is how a Watcher polls.
+// Config configures how a Watcher polls.
 type Config struct {
-	GatewayCount  int     // gateways in the fleet
-	GatewayNumber int     // number of this one among them, from 1; 0: unknown
+	GatewayCount  int     // number of gateways in the fleet
+	GatewayNumber int     // number of this gateway in the fleet, from 1; 0 if unknown
 	DrainGraceMs  float64 // drain grace period, in milliseconds
-	Seed          uint64  // of the random delays
-	// Pushed says that an agent on this gateway's machine holds the list; else all gateways poll one discovery service.
+	Seed          uint64  // seed of the random delays
+	// Pushed means that an agent on this gateway's machine holds the list. Otherwise all gateways poll one discovery
+	// service.
 	Pushed   bool
-	Revision int64 // of the list that is known already, or NoRevision
+	Revision int64 // revision of the list that is already known, or NoRevision
 }
 
-// Watcher keeps one request to discovery in flight, and hands each update of the endpoint list to an UpdateFunc. It
-// runs on the event loop and implements eventloop.Handler.
+// Watcher keeps one request to discovery in flight and passes each update of the endpoint list to an UpdateFunc. It runs
+// on the event loop and implements eventloop.Handler.
 type Watcher struct {
 	loop     *eventloop.Loop
 	log      *zap.Logger
@@ -49,20 +50,20 @@
 	rng      *rand.Rand
 	policy   fleet.PollPolicy
 
-	conn               *eventloop.Conn  // nil while there is none
-	pollTimer          *eventloop.Timer // next poll, or the timeout of the one in flight
-	addressChangeTimer *eventloop.Timer // start of polling at another address
+	conn               *eventloop.Conn  // nil while no connection is open
+	pollTimer          *eventloop.Timer // next poll, or timeout of the poll in flight
+	addressChangeTimer *eventloop.Timer // starts polling at another address
 	firstPollAtMs      float64
 	lastPollAtMs       float64
-	revision           int64 // of the list that is known; NoRevision: none
+	revision           int64 // revision of the known list, or NoRevision
 	awaitingResponse   bool
-	// lastEntryError is the error logged last. It is never cleared: the same error is logged once, and stays silent
-	// where it comes back after a repair.
+	// lastEntryError is the last logged error about an invalid entry. It is never cleared, so the same error isn't
+	// logged again even if the entry has been valid in the meantime.
 	lastEntryError string
 }
 
-// Watch starts to follow the list at an address. A gateway that knows a list already delays its first poll as
-// fleet.PollPolicy says, so that a fleet that starts at one moment does not poll at one moment.
+// Watch starts to follow the list at an address. If a list is already known, the first poll is delayed as
+// fleet.PollPolicy says, so that the gateways of a fleet that start together don't all poll at once.
 func Watch(loop *eventloop.Loop, log *zap.Logger, address string, config Config, onUpdate UpdateFunc) *Watcher {
 	w := &Watcher{
 		loop:     loop,
@@ -87,16 +88,16 @@
 	return w
 }
 
-// SetSchedule replaces the number of gateways and this one's slot among them.
+// SetSchedule replaces the number of gateways in the fleet and this gateway's slot.
 func (w *Watcher) SetSchedule(schedule fleet.SlotSchedule) { w.policy.SlotSchedule = schedule }
 
-// FirstPollLaterThan reports whether the first poll is still more than some milliseconds away.
+// FirstPollLaterThan reports whether discovery has not answered yet and the first poll is more than ms milliseconds away.
 func (w *Watcher) FirstPollLaterThan(ms float64) bool {
 	return !w.policy.HasAnswer() && w.firstPollAtMs > w.loop.Clock.Now()+ms
 }
 
-// SetAddress follows the list at another address, after a random delay of its own for each gateway. The list that is
-// known stays in use until the new address has sent a complete one: its revisions may be numbered otherwise.
+// SetAddress follows the list at another address, after a random delay that differs between gateways. The known list
+// stays in use until the new address has sent a complete one, because revisions may be numbered differently there.
 func (w *Watcher) SetAddress(address string) {
 	w.addressChangeTimer.Stop()
 	w.addressChangeTimer = w.loop.After(w.policy.AddressChangeDelay(w.rng.Float64()), func() {
@@ -107,10 +108,10 @@
 	})
 }
 
-// Address is where the list is followed.
+// Address returns the address at which the list is followed.
 func (w *Watcher) Address() string { return w.address }
 
-// poll sends a request, on a new connection where none is open.
+// poll sends a request. It opens a connection if there is none.
 func (w *Watcher) poll() {
 	w.lastPollAtMs = w.loop.Clock.Now()
 	if w.conn == nil {
@@ -132,12 +133,12 @@
 	w.pollTimer = w.loop.After(timeoutMs, func() { w.retry(errTimeout) })
 }
 
-// retry drops the connection and polls again after a backoff. The list that is known stays in use.
+// retry closes the connection and polls again after a backoff. The known list stays in use.
 func (w *Watcher) retry(cause error) {
 	w.log.Debug("discovery poll failed", zap.String("address", w.address), zap.Error(cause))
 	now, draw := w.loop.Clock.Now(), w.rng.Float64()
 	if !w.awaitingResponse {
-		// No poll is in flight that may have missed updates: the policy counts from now on what may be missed.
+		// No poll is in flight that may have missed updates. The policy counts updates as possibly missed only from now on.
 		w.lastPollAtMs = now
 	}
 	w.disconnect()
@@ -145,8 +146,8 @@
 	w.pollTimer = w.loop.After(w.backoff(cause, now, draw), w.poll)
 }
 
-// backoff is the time until the next poll, in milliseconds. Whatever is neither a timeout nor a rejection counts as a
-// lost connection: the end of the connection, a malformed response, invalid JSON, and a list without a usable entry.
+// backoff returns the time until the next poll, in milliseconds. Every cause other than a timeout or a rejection counts as
+// a lost connection: the end of the connection, a malformed response, invalid JSON, and a list without a valid entry.
 func (w *Watcher) backoff(cause error, now, draw float64) float64 {
 	var rejected *statusError
 	switch {
@@ -158,7 +159,7 @@
 	return w.policy.ConnectionLost(w.lastPollAtMs, now, draw)
 }
 
-// disconnect closes the connection, and with it ends the request in flight.
+// disconnect closes the connection and thereby ends the request in flight.
 func (w *Watcher) disconnect() {
 	if w.conn != nil {
 		w.conn.Close()
@@ -167,16 +168,16 @@
 	w.awaitingResponse = false
 }
 
-// Connected implements eventloop.Handler; the request has been written already.
+// Connected implements eventloop.Handler. It does nothing, because poll has already written the request.
 func (w *Watcher) Connected() {}
 
 // Flushed implements eventloop.Handler.
 func (w *Watcher) Flushed() {}
 
-// Ended implements eventloop.Handler: the connection ended, so the poll is made again.
+// Ended implements eventloop.Handler. It polls again, because the connection has ended.
 func (w *Watcher) Ended(err error) { w.retry(err) }
 
-// Data implements eventloop.Handler: it handles a response once it is complete, and schedules the next poll.
+// Data implements eventloop.Handler. It handles a response once it is complete and schedules the next poll.
 func (w *Watcher) Data() {
 	if !w.awaitingResponse {
 		w.retry(errUnexpectedResponse)
@@ -209,8 +210,8 @@
 	w.poll()
 }
 
-// handleResponse applies the document of a response. The error is a *statusError where the poll was rejected, an
-// *EntryError where no entry could be used, or the JSON decoder's.
+// handleResponse passes the hosts of a response's document to onUpdate. The error is a *statusError if the poll was
+// rejected, an *EntryError if no entry is valid, or an error of the JSON decoder.
 func (w *Watcher) handleResponse(resp *response) error {
 	if resp.status != http.StatusOK {
 		if mayBeUnknownRevision(resp.status) {
@@ -228,8 +229,8 @@
 		if len(hosts) == 0 {
 			return err
 		}
-		// A host whose entry is invalid must not count as gone. On the other side hosts that were really removed stay in
-		// use until a complete list without an invalid entry arrives.
+		// A host whose entry is invalid must not count as removed. The drawback is that hosts that were really removed stay
+		// in use until a complete list without an invalid entry arrives.
 		document.Complete = false
 	}
 	isFirst, notifiedAtMs := w.policy.Answered(w.loop.Clock.Now())
@@ -240,13 +241,14 @@
 	return nil
 }
 
-// mayBeUnknownRevision reports whether a status may mean that discovery doesn't know the revision any more, so that the
-// next poll asks for the whole list: a 4xx, unless it says that the poll came too often or took too long.
+// mayBeUnknownRevision reports whether a status may mean that discovery no longer knows the revision, so that the next
+// poll must request the whole list. That is every 4xx status except 429 (too many requests) and 408 (request timeout).
 func mayBeUnknownRevision(status int) bool {
 	return status/100 == 4 && status != http.StatusTooManyRequests && status != http.StatusRequestTimeout
 }
 
-// logEntryError logs an invalid entry once; discovery sends the same list again and again.
+// logEntryError logs an error about an invalid entry unless it is the same as the last one, because discovery sends the
+// same list repeatedly.
 func (w *Watcher) logEntryError(err error) {
 	if w.lastEntryError == err.Error() {
 		return
--- a/internal/protocol/discovery/watcher_test.go
+++ b/internal/protocol/discovery/watcher_test.go
@@ -212,9 +212,9 @@
 // invalid.
 func TestInvalidEntryLeavesTheOthersInUse(t *testing.T) {
 	for _, c := range []struct{ entry, want string }{
-		{`{"id":"b","cell":0,"phase":"active"}`, `entry "b": host_port "" is no address and port`},
+		{`{"id":"b","cell":0,"phase":"active"}`, `entry "b": host_port "" is not an IP address and port`},
 		{`{"id":"b","host_port":"nowhere","cell":0,"phase":"active"}`,
-			`entry "b": host_port "nowhere" is no address and port`},
+			`entry "b": host_port "nowhere" is not an IP address and port`},
 		{`{"id":"","host_port":"127.0.0.1:1","phase":"active"}`, `host_port "127.0.0.1:1" has no id`},
 		{`{"id":"b","host_port":"127.0.0.1:1","phase":"asleep"}`, `entry "b": unknown phase "asleep"`},
 	} {
