--- a/internal/protocol/discovery/document_test.go
+++ b/internal/protocol/discovery/document_test.go
@@ -10,7 +10,7 @@
 	"merlinjunction/routing"
 )
 
-// The list as discovery writes it, in the code's terms.
+// TestDocumentHosts checks the conversion of an endpoint list in the form in which discovery sends it.
 func TestDocumentHosts(t *testing.T) {
 	const text = `{"revision":7,"complete":true,"members":[
 		{"id":"a","host_port":"127.0.0.1:1","locality":"z","cell":3,"phase":"active","role":"leader","up_since_ms":1500.5},
@@ -22,7 +22,7 @@
 	}
 	hosts, err := document.Hosts()
 	if err != nil || document.Revision != 7 || !document.Complete || len(hosts) != 3 {
-		t.Fatalf("%+v, %v", document, err)
+		t.Fatalf("got document %+v and error %v, want revision 7, a complete list and three hosts", document, err)
 	}
 	want := []proxy.Host{
 		{Address: "127.0.0.1:1", Endpoint: routing.Endpoint{
@@ -33,12 +33,13 @@
 	}
 	for i := range want {
 		if hosts[i] != want[i] {
-			t.Errorf("%+v instead of %+v", hosts[i], want[i])
+			t.Errorf("got host %+v, want %+v", hosts[i], want[i])
 		}
 	}
 }
 
-// The error names the first invalid entry; all others are converted.
+// TestDocumentHostsWithInvalidEntries checks that the error names the first invalid entry and that valid entries are
+// converted.
 func TestDocumentHostsWithInvalidEntries(t *testing.T) {
 	document := Document{Entries: []Entry{
 		{ID: "a", State: "active"},
@@ -49,9 +50,9 @@
 	hosts, err := document.Hosts()
 	var entryError *EntryError
 	if !errors.As(err, &entryError) || entryError.ID != "a" {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want an *EntryError for entry \"a\"", err)
 	}
 	if len(hosts) != 1 || hosts[0].ID != "b" {
-		t.Errorf("hosts %+v", hosts)
+		t.Errorf("got hosts %+v, want only \"b\"", hosts)
 	}
 }
--- a/internal/protocol/discovery/fuzz_test.go
+++ b/internal/protocol/discovery/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Whatever discovery sends, it is incomplete, refused or a response within its input, and its document gives hosts or an
-// error that names the entry.
+// FuzzParseResponse checks that input from discovery is incomplete, rejected, or a response within the input, and that
+// the hosts of its document are complete unless there is an error, whatever discovery sends.
 func FuzzParseResponse(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
@@ -25,14 +25,14 @@
 			return
 		}
 		if resp.size <= 0 || resp.size > len(input) || len(resp.body) > resp.size {
-			t.Fatalf("a response of %d bytes, body %d, of an input of %d", resp.size, len(resp.body), len(input))
+			t.Fatalf("response of %d bytes with a body of %d bytes in an input of %d bytes", resp.size, len(resp.body), len(input))
 		}
 		var document Document
 		if json.Unmarshal(resp.body, &document) != nil {
 			return
 		}
 		if hosts, err := document.Hosts(); err == nil && len(hosts) != len(document.Entries) {
-			t.Errorf("%d hosts of %d entries, and no error", len(hosts), len(document.Entries))
+			t.Errorf("got %d hosts from %d entries without an error", len(hosts), len(document.Entries))
 		}
 	})
 }
--- a/internal/protocol/discovery/outage_test.go
+++ b/internal/protocol/discovery/outage_test.go
@@ -13,28 +13,28 @@
 	"merlinjunction/routing"
 )
 
-// behavior is how the stub of discovery handles one poll.
+// behavior defines how the stub of discovery handles one poll.
 type behavior string
 
 const (
-	healthy       behavior = "healthy" // a watch waits for an update as long as its query asks
-	noResponse    behavior = "mute"    // nothing is sent, and the connection stays open
-	lateReset     behavior = "quiet"   // nothing is sent, and the connection is reset after a while
-	headOnly      behavior = "head"    // the response stops behind its head
-	partialBody   behavior = "body"    // the response stops in its body
-	reset         behavior = "reset"   // the connection is reset
-	overloaded    behavior = "busy"    // 503
-	immediateSame behavior = "same"    // the unchanged list, at once
-	lateResetMs            = 900.0     // delay of lateReset
+	healthy        behavior = "healthy" // a watch waits for an update until the timeout in its query
+	noResponse     behavior = "mute"    // nothing is sent, and the connection stays open
+	lateClose      behavior = "quiet"   // nothing is sent, and the connection is closed after lateCloseMs
+	headOnly       behavior = "head"    // only the head of the response is sent
+	partialBody    behavior = "body"    // the response stops within its body
+	immediateClose behavior = "reset"   // the connection is closed at once
+	overloaded     behavior = "busy"    // status 503
+	unchangedList  behavior = "same"    // the unchanged list is sent at once
+	lateCloseMs             = 900.0     // delay of lateClose
 )
 
 // stubDiscovery is a stub of discovery on the test's own event loop.
 type stubDiscovery struct {
 	loop         *eventloop.Loop
-	behaviors    []behavior // of the next polls; the last one stays
+	behaviors    []behavior // for the next polls; the last one also handles all later polls
 	polls        []string   // request lines in order of arrival
 	pollTimesMs  []float64
-	drainStartMs float64 // from then on host "a" is draining, in revision 5
+	drainStartMs float64 // time from which host "a" is draining, in revision 5
 	conns        map[*stubConn]bool
 }
 
@@ -42,9 +42,9 @@
 type stubConn struct {
 	stub         *stubDiscovery
 	conn         *eventloop.Conn
-	watching     bool // a watch waits for an update
+	watching     bool // a watch is waiting for an update
 	watchUntilMs float64
-	resetAtMs    float64 // 0: never
+	closeAtMs    float64 // 0 if the connection stays open
 }
 
 func (c *stubConn) Connected()  {}
@@ -78,25 +78,25 @@
 	c.tick()
 }
 
-// fail handles a poll as a faulty behavior says; false where the behavior is healthy.
-func (c *stubConn) fail(how behavior) bool {
+// fail handles a poll with a faulty behavior. It returns false if the behavior is healthy.
+func (c *stubConn) fail(failure behavior) bool {
 	c.watching = false
 	now := c.stub.loop.Clock.Now()
 	text := c.stub.response(now)
 	headEnd := strings.Index(text, "\r\n\r\n") + 4
-	switch how {
+	switch failure {
 	case noResponse:
-	case lateReset:
-		c.resetAtMs = now + lateResetMs
+	case lateClose:
+		c.closeAtMs = now + lateCloseMs
 	case headOnly:
 		c.conn.Write([]byte(text[:headEnd]))
 	case partialBody:
 		c.conn.Write([]byte(text[:headEnd+9]))
-	case reset:
+	case immediateClose:
 		c.close()
 	case overloaded:
 		c.conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
-	case immediateSame:
+	case unchangedList:
 		c.conn.Write([]byte(text))
 	default:
 		return false
@@ -104,10 +104,11 @@
 	return true
 }
 
-// tick responds to a watch once there is an update or its time is over.
+// tick closes the connection once closeAtMs is reached, and responds to a watch once there is an update or the watch has
+// timed out.
 func (c *stubConn) tick() {
 	now := c.stub.loop.Clock.Now()
-	if c.resetAtMs > 0 && now >= c.resetAtMs {
+	if c.closeAtMs > 0 && now >= c.closeAtMs {
 		c.close()
 		return
 	}
@@ -156,36 +157,36 @@
 	return listener
 }
 
-// outage is one case: which poll fails, how, and how often in a row.
+// outage is one test case: which poll fails, how it fails, and how many polls fail in a row.
 type outage struct {
-	pushed bool
-	poll   string // "first", "watch" or "moved", the first one at a new address
-	how    behavior
-	times  int
+	pushed  bool
+	poll    string // "first", "watch", or "moved" for the first poll at a new address
+	failure behavior
+	times   int
 }
 
 func (o outage) String() string {
-	return fmt.Sprintf("pushed %v, %s call, %s, %d times", o.pushed, o.poll, o.how, o.times)
+	return fmt.Sprintf("pushed %v, %s call, %s, %d times", o.pushed, o.poll, o.failure, o.times)
 }
 
-// Discovery fails at the poll that should report a drain: in each way, once and twice in a row, in a first poll, a
-// watch, or the first poll at a new address. The gateway must know of the drain, and must count it as known since a
-// time, within the drain grace period as the platform counts it: from 6 s after the poll timed out; of a pushed list,
-// from when it responds again.
+// TestDrainIsKnownInTimeDespiteOutages lets discovery fail at the poll that should report a drain: in each way, once and
+// twice in a row, at the first poll, at a watch, or at the first poll of a new address. The gateway must receive the
+// drain within the drain grace period as the platform counts it, and must count it as notified since a time in that
+// period. The period starts 6 s after the poll timed out or, for a pushed list, when discovery responds again.
 func TestDrainIsKnownInTimeDespiteOutages(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		for _, poll := range []string{"first", "watch", "moved"} {
-			for _, how := range []behavior{noResponse, headOnly, partialBody, lateReset, reset, overloaded, immediateSame} {
+			for _, failure := range []behavior{noResponse, headOnly, partialBody, lateClose, immediateClose, overloaded, unchangedList} {
 				for times := 1; times <= 2; times++ {
-					o := outage{pushed, poll, how, times}
-					t.Run(o.String(), o.play)
+					o := outage{pushed, poll, failure, times}
+					t.Run(o.String(), o.run)
 				}
 			}
 		}
 	}
 }
 
-func (o outage) play(t *testing.T) {
+func (o outage) run(t *testing.T) {
 	const graceMs = 2000.0
 	now := 1e6
 	loop, err := eventloop.New(eventloop.ManualClock(&now))
@@ -194,9 +195,9 @@
 	}
 	stub := &stubDiscovery{loop: loop, conns: map[*stubConn]bool{}, drainStartMs: 1e12, behaviors: []behavior{healthy}}
 	listener := stub.listen(t)
-	faulty := []behavior{o.how}
+	faulty := []behavior{o.failure}
 	if o.times == 2 {
-		faulty = append(faulty, o.how)
+		faulty = append(faulty, o.failure)
 	}
 	faulty = append(faulty, healthy)
 	failedAtMs, receivedAtMs, notifiedAtMs := 0.0, 0.0, 0.0
@@ -213,7 +214,7 @@
 	rounds := 0
 	err = loop.Run(func() {
 		rounds++
-		if rounds%4 == 0 { // what is sent arrives while the clock stands still
+		if rounds%4 == 0 { // in the rounds between, sent data arrives while the clock stands still
 			now += 10
 		}
 		for c := range stub.conns {
@@ -227,7 +228,7 @@
 			fail()
 			if o.poll == "watch" { // the watch in flight fails
 				for c := range stub.conns {
-					c.fail(o.how)
+					c.fail(o.failure)
 				}
 				stub.behaviors = stub.behaviors[1:]
 			}
@@ -240,24 +241,24 @@
 		t.Fatal(err)
 	}
 	loop.Close()
-	// A watch times out only after the time that it may wait; a move counts from 4 s after SIGHUP.
+	// A watch times out only after the time for which it may wait. A change of address counts from 4 s after SIGHUP.
 	maxDelayMs := 6000 + graceMs - 500
-	if fails := o.how == reset || o.how == overloaded || o.how == immediateSame; fails && o.pushed {
+	if fails := o.failure == immediateClose || o.failure == overloaded || o.failure == unchangedList; fails && o.pushed {
 		maxDelayMs = graceMs
-	} else if fails { // of a list that is polled, four times AskWithinMs
+	} else if fails { // polled list: four times 5 s
 		maxDelayMs = 20_000
 	}
 	switch {
 	case receivedAtMs == 0:
-		t.Errorf("the drain is never known; polls %q", stub.polls)
+		t.Errorf("the drain was never received; polls %q", stub.polls)
 	case receivedAtMs > failedAtMs+maxDelayMs:
-		t.Errorf("known %.0f ms after it began, %.0f at the most", receivedAtMs-failedAtMs, maxDelayMs)
-	case o.pushed && o.how != immediateSame && notifiedAtMs > failedAtMs+50:
-		t.Errorf("counts as known %.0f ms after discovery had it", notifiedAtMs-failedAtMs)
+		t.Errorf("the drain was received %.0f ms after the poll failed, want at most %.0f ms", receivedAtMs-failedAtMs, maxDelayMs)
+	case o.pushed && o.failure != unchangedList && notifiedAtMs > failedAtMs+50:
+		t.Errorf("the drain counts as notified %.0f ms after the poll failed, want at most 50 ms", notifiedAtMs-failedAtMs)
 	}
 	for i := 10; i < len(stub.pollTimesMs); i++ {
 		if stub.pollTimesMs[i] < stub.pollTimesMs[i-10]+400 {
-			t.Errorf("ten polls in %.0f ms", stub.pollTimesMs[i]-stub.pollTimesMs[i-10])
+			t.Errorf("ten polls within %.0f ms, want at least 400 ms", stub.pollTimesMs[i]-stub.pollTimesMs[i-10])
 			break
 		}
 	}
--- a/internal/protocol/discovery/response_test.go
+++ b/internal/protocol/discovery/response_test.go
@@ -24,7 +24,7 @@
 			input: "HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n"},
 		{name: "chunk size too large", err: errBodyTooLarge,
 			input: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n400001\r\n"},
-		{name: "chunk size no number", err: errMalformedChunk,
+		{name: "chunk size not a number", err: errMalformedChunk,
 			input: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n"},
 		{name: "chunk too long", err: errMalformedChunk,
 			input: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n"},
@@ -34,10 +34,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			resp, err := parseResponse([]byte(c.input))
 			if !errors.Is(err, c.err) {
-				t.Errorf("error %v, %v is right", err, c.err)
+				t.Errorf("got error %v, want %v", err, c.err)
 			}
 			if complete := resp != nil; complete != (c.body != "") || complete && string(resp.body) != c.body {
-				t.Errorf("response %v", resp)
+				t.Errorf("got response %+v, want the body %q", resp, c.body)
 			}
 		})
 	}
--- a/internal/protocol/discovery/watcher_test.go
+++ b/internal/protocol/discovery/watcher_test.go
@@ -26,13 +26,14 @@
 		err := w.handleResponse(&response{status: 200, body: []byte(`{"members":[` + entry + `]}`)})
 		var entryError *EntryError
 		if !errors.As(err, &entryError) {
-			t.Errorf("%s: error %v", entry, err)
+			t.Errorf("%s: got error %v, want an *EntryError", entry, err)
 		}
 	}
 }
 
-// Discovery responds in pieces, then not at all, then closes the connection: the watch continues from the revision that
-// is known, and the complete list is requested again where discovery does not know that revision any more.
+// TestWatchResumesFromKnownRevision checks that the watch continues from the known revision after discovery has responded
+// in pieces, then not at all, and then closed the connection. The whole list is requested again only if discovery no
+// longer knows that revision.
 func TestWatchResumesFromKnownRevision(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -87,7 +88,7 @@
 		t.Fatal(err)
 	}
 	if want := []string{"true a", "false b", "true c"}; !slices.Equal(updates, want) {
-		t.Errorf("updates %q", updates)
+		t.Errorf("got updates %q, want %q", updates, want)
 	}
 	<-served
 	want := []string{
@@ -99,12 +100,13 @@
 		"GET /v1/servers",
 	}
 	if !slices.Equal(requests[:min(len(want), len(requests))], want) {
-		t.Errorf("requests %q", requests)
+		t.Errorf("got requests %q, want %q first", requests, want)
 	}
 }
 
-// A discovery service that rejects polls with 503 is polled with exponential backoff and jitter, and the watch keeps
-// the revision that is known: a request for the complete list would cost an overloaded service more.
+// TestOverloadedDiscoveryIsPolledWithBackoff checks that a discovery service that rejects polls with 503 is polled with
+// exponential backoff and jitter, and that the watch keeps the known revision. A request for the whole list would be more
+// expensive for an overloaded service.
 func TestOverloadedDiscoveryIsPolledWithBackoff(t *testing.T) {
 	now := 1000.0
 	loop, err := eventloop.New(eventloop.ManualClock(&now))
@@ -117,7 +119,7 @@
 		w := Watch(loop, zap.NewNop(), "nowhere", Config{GatewayCount: 1, Seed: seed, Revision: 41}, nil)
 		for range 12 {
 			if err := w.handleResponse(&response{status: 503}); err == nil || w.revision != 41 {
-				t.Fatalf("%v, revision %d", err, w.revision)
+				t.Fatalf("after 503: got error %v and revision %d, want an error and revision 41", err, w.revision)
 			}
 			w.retry(overloaded)
 			at, _ := loop.Next()
@@ -128,17 +130,19 @@
 	}
 	first, second := backoffs(1), backoffs(2)
 	if first[0] > 400 || first[11] < 6000 || first[11] > 18_000 || slices.Equal(first, second) {
-		t.Errorf("backoffs %.0f and %.0f", first, second)
+		t.Errorf("got backoffs %.0f and %.0f, want different ones that begin with at most 400 ms and end with 6 to 18 s",
+			first, second)
 	}
 	w := &Watcher{revision: 41}
 	if _ = w.handleResponse(&response{status: 410}); w.revision != NoRevision {
-		t.Errorf("after 410 the watch still names revision %d", w.revision)
+		t.Errorf("after 410: got revision %d, want NoRevision", w.revision)
 	}
 }
 
-// Polls that time out are repeated within half of the drain grace period, however many time out in a row: a change
-// counts as known to the gateway although its poll got no response.
-func TestTimedOutPollIsRepeatedWithinTheGrace(t *testing.T) {
+// TestTimedOutPollIsRepeatedWithinTheGracePeriod checks that a poll that has timed out is repeated within half of the
+// drain grace period, however many polls time out in a row. An update counts as notified even if the gateway's poll got
+// no response.
+func TestTimedOutPollIsRepeatedWithinTheGracePeriod(t *testing.T) {
 	now := 1000.0
 	loop, err := eventloop.New(eventloop.ManualClock(&now))
 	if err != nil {
@@ -155,14 +159,15 @@
 		for range 8 {
 			w.retry(errTimeout)
 			if at, _ := loop.Next(); at > now+1000 {
-				t.Fatalf("seed %d: polls again after %.0f ms", seed, at-now)
+				t.Fatalf("seed %d: got the next poll after %.0f ms, want at most 1000 ms", seed, at-now)
 			}
 		}
 		w.pollTimer.Stop()
 	}
 }
 
-// Gateways of a fleet that start at one moment spread their first polls, but within the drain grace period.
+// TestFleetSpreadsItsFirstPolls checks that the gateways of a fleet that start together spread their first polls, and that
+// all of these polls are made within the drain grace period.
 func TestFleetSpreadsItsFirstPolls(t *testing.T) {
 	now := 1000.0
 	loop, err := eventloop.New(eventloop.ManualClock(&now))
@@ -175,14 +180,14 @@
 		config := Config{GatewayCount: 80, DrainGraceMs: 2000, Seed: seed, Revision: 0}
 		w := Watch(loop, zap.NewNop(), "127.0.0.1:1", config, nil)
 		if w.conn != nil || w.FirstPollLaterThan(0) != (w.firstPollAtMs > now) {
-			t.Fatal("the first poll was made at the start")
+			t.Fatal("the first poll was made at the start, or FirstPollLaterThan disagrees with its time")
 		}
 		pollsPerTenth[int(w.firstPollAtMs-now)/100]++
 		w.pollTimer.Stop()
 	}
 	for tenth, polls := range pollsPerTenth {
-		if polls > 15 || tenth >= 12 { // a later poll would learn of a drain after its grace period
-			t.Errorf("%d of 80 in tenth of a second %d", polls, tenth)
+		if polls > 15 || tenth >= 12 { // a later poll would receive a drain after its grace period
+			t.Errorf("%d of 80 first polls in tenth of a second %d, want at most 15 and none from tenth 12 on", polls, tenth)
 		}
 	}
 	config := Config{GatewayCount: 80, DrainGraceMs: 2000, Revision: NoRevision}
@@ -190,13 +195,13 @@
 	if w.conn == nil {
 		t.Error("a gateway without a list delays its first poll")
 	}
-	// A shorter timeout would put the poll at the end of discovery's queue again.
+	// With a shorter timeout, the repeated poll would go to the end of discovery's queue.
 	if at, _ := loop.Next(); at != now+4000 {
-		t.Errorf("the first poll times out after %.0f ms", at-now)
+		t.Errorf("the first poll times out after %.0f ms, want 4000 ms", at-now)
 	}
 	w.SetAddress("127.0.0.1:2")
 	if at, _ := loop.Next(); w.Address() != "127.0.0.1:1" || at > now+1000 {
-		t.Errorf("address %s, or it is left only after %.0f ms", w.Address(), at-now)
+		t.Errorf("got address %s and its change after %.0f ms, want 127.0.0.1:1 and at most 1000 ms", w.Address(), at-now)
 	}
 }
 
@@ -208,8 +213,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// An invalid entry is logged once; the other entries are applied, and no host counts as gone because its entry is
-// invalid.
+// TestInvalidEntryLeavesTheOthersInUse checks that an invalid entry is logged once, that the other entries are applied,
+// and that no host counts as removed because its entry is invalid.
 func TestInvalidEntryLeavesTheOthersInUse(t *testing.T) {
 	for _, c := range []struct{ entry, want string }{
 		{`{"id":"b","cell":0,"phase":"active"}`, `entry "b": host_port "" is not an IP address and port`},
@@ -234,22 +239,23 @@
 			}
 		}
 		if want := []string{"false 1 a", "false 1 a"}; !slices.Equal(updates, want) || w.revision != 7 {
-			t.Errorf("%s: updates %q, revision %d", c.entry, updates, w.revision)
+			t.Errorf("%s: got updates %q and revision %d, want %q and revision 7", c.entry, updates, w.revision, want)
 		}
 		if n := logs.Len(); n != 1 || !strings.Contains(fmt.Sprint(logs.All()[0].ContextMap()["error"]), c.want) {
-			t.Errorf("%s: %d log lines, %v", c.entry, n, logs.All())
+			t.Errorf("%s: got %d log lines %v, want one with %q", c.entry, n, logs.All(), c.want)
 		}
 	}
 }
 
-// A poll that is rejected for its rate or its time says nothing about the revision: the whole list, which costs a discovery
-// short of capacity most, is asked for only where the revision is not known any more.
+// TestRejectedPollKeepsItsRevision checks that the watch keeps its revision when a poll is rejected because of its rate or
+// its duration, which says nothing about the revision. The whole list, the most expensive response for an overloaded
+// discovery service, is requested only if discovery may no longer know the revision.
 func TestRejectedPollKeepsItsRevision(t *testing.T) {
 	for status, revision := range map[int]int64{429: 41, 408: 41, 503: 41, 410: NoRevision, 404: NoRevision, 400: NoRevision} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			w := &Watcher{log: zap.NewNop(), revision: 41}
 			if err := w.handleResponse(&response{status: status}); err == nil || w.revision != revision {
-				t.Errorf("error %v, revision %d, want %d", err, w.revision, revision)
+				t.Errorf("got error %v and revision %d, want an error and revision %d", err, w.revision, revision)
 			}
 		})
 	}
