--- a/internal/protocol/health/health.go
+++ b/internal/protocol/health/health.go
@@ -9,19 +9,19 @@
 	"merlinjunction/internal/protocol/httpd"
 )
 
-// State is what a load balancer learns of the gateway.
+// State is the state of the gateway that health checks report.
 type State int
 
 // States of a gateway.
 const (
-	Starting State = iota // no host can be reached, or none is known yet
+	Starting State = iota // no host can be reached, or no host is known yet
 	Ready
 	Draining
 )
 
 const (
-	agentCheckTimeoutMs = 2000.0 // from the connection's start to its end
-	maxAgentChecks      = 16     // at a time
+	agentCheckTimeoutMs = 2000.0 // from accepting a connection to closing it
+	maxAgentChecks      = 16     // open connections of one listener
 	agentInputLimit     = 1 << 10
 )
 
@@ -39,7 +39,7 @@
 	Draining: {Status: http.StatusServiceUnavailable, Body: "draining\n"},
 }
 
-// ServeHTTP responds to HTTP checks on an address. onAcceptError is called when no connection can be accepted.
+// ServeHTTP responds to HTTP checks on an address. onAcceptError is called when accepting a connection fails.
 func ServeHTTP(
 	loop *eventloop.Loop, address string, state func() State, onAcceptError func(error),
 ) (*eventloop.Listener, error) {
@@ -64,8 +64,8 @@
 	return httpd.Response{Status: http.StatusNotFound, Body: "only /healthz, /readyz and /livez are here\n"}
 }
 
-// ServeAgent responds to agent checks on an address. The agent sends the state as soon as it is connected to.
-// onAcceptError is called when no connection can be accepted.
+// ServeAgent responds to agent checks on an address. It sends the state as soon as it has accepted a connection.
+// onAcceptError is called when accepting a connection fails.
 func ServeAgent(
 	loop *eventloop.Loop, address string, state func() State, onAcceptError func(error),
 ) (*eventloop.Listener, error) {
@@ -77,7 +77,7 @@
 type agentServer struct {
 	loop  *eventloop.Loop
 	state func() State
-	open  int // connections
+	open  int // number of open connections
 }
 
 func (s *agentServer) accept(fd int) {
@@ -108,18 +108,18 @@
 // Connected implements eventloop.Handler.
 func (c *agentCheck) Connected() {}
 
-// Flushed implements eventloop.Handler: it ends this side once the response is written; the other side's end closes the
-// connection.
+// Flushed implements eventloop.Handler. It ends the gateway's sending direction once the response has been written. The
+// connection is closed when the load balancer has ended its direction too.
 func (c *agentCheck) Flushed() {
 	if c.conn.Pending() == 0 {
 		c.conn.CloseWrite()
 	}
 }
 
-// Ended implements eventloop.Handler.
+// Ended implements eventloop.Handler. It closes the connection.
 func (c *agentCheck) Ended(error) { c.close() }
 
-// Data implements eventloop.Handler: it discards what the other side sends.
+// Data implements eventloop.Handler. It discards all input.
 func (c *agentCheck) Data() { c.conn.Consume(len(c.conn.In())) }
 
 func (c *agentCheck) close() {
--- a/internal/protocol/health/health_test.go
+++ b/internal/protocol/health/health_test.go
@@ -25,7 +25,7 @@
 		t.Run(c.method+" "+c.path, func(t *testing.T) {
 			r := respond(httpd.Request{Method: c.method, Path: c.path}, c.state)
 			if r.Status != c.status || r.Body != c.body {
-				t.Errorf("%d %q", r.Status, r.Body)
+				t.Errorf("got status %d and body %q, want %d and %q", r.Status, r.Body, c.status, c.body)
 			}
 		})
 	}
--- a/internal/protocol/httpd/httpd.go
+++ b/internal/protocol/httpd/httpd.go
@@ -1,5 +1,5 @@
-// Package httpd is the bounded HTTP/1.1 server that health checks and the management calls share: one request a
-// connection, small heads and bodies, and no client that can hold up another.
+// Package httpd provides a minimal HTTP/1.1 server for health checks and management calls. It serves one request per
+// connection, bounds the sizes of heads and bodies, and keeps clients that are slow or silent from blocking others.
 package httpd
 
 import (
@@ -12,16 +12,16 @@
 )
 
 const (
-	requestTimeoutMs = 2000.0 // from the connection's start to its end
-	maxConnections   = 16     // of one listener at a time
+	requestTimeoutMs = 2000.0 // from accepting a connection to closing it
+	maxConnections   = 16     // open connections of one listener
 )
 
 // Response is the response to a Request.
 type Response struct {
-	Status      int    // one of net/http's numbers
-	ContentType string // "": text/plain
+	Status      int    // HTTP status code
+	ContentType string // text/plain if empty
 	Body        string
-	Allow       string // the methods that are allowed, with status 405
+	Allow       string // value of the Allow header in a response with status 405
 }
 
 // Handler responds to a request. It runs on the event loop and must not block.
@@ -34,7 +34,8 @@
 	connections []*connection // oldest first
 }
 
-// Serve serves the requests that come to an address. onAcceptError is called when no connection can be accepted.
+// Serve listens on an address and serves the requests that it receives. onAcceptError is called when accepting a
+// connection fails.
 func Serve(
 	loop *eventloop.Loop, address string, handler Handler, onAcceptError func(error),
 ) (*eventloop.Listener, error) {
@@ -42,8 +43,8 @@
 	return loop.Listen(address, s.accept, onAcceptError)
 }
 
-// accept adopts a connection, and closes the oldest one where there are too many: clients that send a part of a
-// request, or nothing, can't hold up others.
+// accept adopts a connection. If there are too many, it closes the oldest one, so that clients that send an incomplete
+// request or nothing can't block others.
 func (s *Server) accept(fd int) {
 	conn, err := s.loop.Adopt(fd, maxHeadBytes+maxBodyBytes)
 	if err != nil {
@@ -70,18 +71,18 @@
 // Connected implements eventloop.Handler.
 func (c *connection) Connected() {}
 
-// Flushed implements eventloop.Handler: it ends this side once the response is written; the client's end closes the
-// connection.
+// Flushed implements eventloop.Handler. It ends the server's sending direction once the response has been written. The
+// connection is closed when the client has ended its direction too.
 func (c *connection) Flushed() {
 	if c.responded && c.conn.Pending() == 0 {
 		c.conn.CloseWrite()
 	}
 }
 
-// Ended implements eventloop.Handler.
+// Ended implements eventloop.Handler. It closes the connection.
 func (c *connection) Ended(error) { c.close() }
 
-// Data implements eventloop.Handler: it responds once the request is complete, and discards what follows it.
+// Data implements eventloop.Handler. It responds once the request is complete and discards all later input.
 func (c *connection) Data() {
 	if !c.responded {
 		c.handleInput()
@@ -103,14 +104,14 @@
 	}
 }
 
-// respond writes the response and ends this side.
+// respond writes the response and ends the server's sending direction.
 func (c *connection) respond(response Response, withBody bool) {
 	c.responded = true
 	c.conn.Write(response.encode(withBody))
 	c.Flushed()
 }
 
-// timeOut ends a connection whose request is incomplete, or whose client does not read the response.
+// timeOut closes a connection whose request is incomplete or whose client has not read the response in time.
 func (c *connection) timeOut() {
 	if !c.responded {
 		c.respond(Response{Status: http.StatusRequestTimeout, Body: "no whole call came in time\n"}, true)
@@ -131,7 +132,7 @@
 	c.conn.Close()
 }
 
-// encode is the response as it is written; a response to HEAD goes without its body.
+// encode returns the encoded response. withBody is false for a response to HEAD, whose body is omitted.
 func (r Response) encode(withBody bool) []byte {
 	contentType := r.ContentType
 	if contentType == "" {
--- a/internal/protocol/httpd/httpd_test.go
+++ b/internal/protocol/httpd/httpd_test.go
@@ -11,9 +11,10 @@
 	"merlinjunction/internal/eventloop"
 )
 
-// Clients send a part of a request, or nothing, and stay connected: each request of the others gets its response at
-// once, and they get 408 in the end.
-func TestIncompleteRequestsHoldUpNobody(t *testing.T) {
+// TestIncompleteRequestsDoNotBlockOthers checks that complete requests get their responses at once while other clients
+// that have sent an incomplete request or nothing stay connected. The latter get status 408 in the end, or are closed in
+// favor of newer connections.
+func TestIncompleteRequestsDoNotBlockOthers(t *testing.T) {
 	now := 1000.0
 	loop, err := eventloop.New(eventloop.ManualClock(&now))
 	if err != nil {
@@ -47,17 +48,17 @@
 		got, err := io.ReadAll(conn)
 		_ = conn.Close()
 		if err != nil || !strings.HasSuffix(string(got), fmt.Sprintf("\r\n\r\n/%d", i)) {
-			t.Fatalf("request %d: %q, %v", i, got, err)
+			t.Fatalf("request %d: got response %q, error %v, want the body /%d", i, got, err, i)
 		}
 	}
 	loop.Notify(func() { now += requestTimeoutMs })
 	for i, conn := range incomplete {
 		got, err := io.ReadAll(conn)
 		if i >= len(incomplete)-maxConnections/2 && (err != nil || !strings.Contains(string(got), " 408 ")) {
-			t.Errorf("incomplete request %d: %q, %v", i, got, err)
+			t.Errorf("incomplete request %d: got response %q, error %v, want status 408", i, got, err)
 		}
 		if i < maxConnections && len(got) > 0 {
-			t.Errorf("incomplete request %d was not displaced: %q", i, got)
+			t.Errorf("incomplete request %d got response %q, want its connection closed without a response", i, got)
 		}
 		_ = conn.Close()
 	}
--- a/internal/protocol/httpd/request.go
+++ b/internal/protocol/httpd/request.go
@@ -20,15 +20,15 @@
 	Body   []byte
 }
 
-// requestError reports a request that is answered with an error status, unseen by the handler.
+// requestError reports a request that is answered with an error status without a call of the handler.
 type requestError struct {
-	Status  int    // one of net/http's numbers
-	Message string // one line for the client
+	Status  int    // HTTP status code
+	Message string // one line of text for the body of the response
 }
 
 func (e *requestError) Error() string { return e.Message }
 
-// response is the response that tells the client.
+// response returns the response that reports the error to the client.
 func (e *requestError) response() Response { return Response{Status: e.Status, Body: e.Message + "\n"} }
 
 var (
@@ -37,7 +37,8 @@
 	errChunkedBody     = errors.New("only bodies with a Content-Length are taken")
 )
 
-// parseRequest reads the request that the input begins with; nil while it is incomplete. The error is a *requestError.
+// parseRequest parses the request at the start of the input. It returns nil while the request is incomplete. The error is
+// a *requestError.
 func parseRequest(input []byte) (*Request, error) {
 	head, rest, complete := bytes.Cut(input, []byte("\r\n\r\n"))
 	if len(head) > maxHeadBytes {
@@ -64,7 +65,8 @@
 	return &Request{Method: method, Path: path, Body: rest[:length]}, nil
 }
 
-// parseRequestLine reads the method and the target; not ok for anything but HTTP/1.0 and HTTP/1.1.
+// parseRequestLine parses the method and the target. ok is false if the line is malformed or its version is neither
+// HTTP/1.0 nor HTTP/1.1.
 func parseRequestLine(line string) (method, target string, ok bool) {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || parts[0] == "" || parts[1] == "" {
@@ -76,8 +78,8 @@
 	return parts[0], parts[1], true
 }
 
-// contentLength is the length of the body in bytes; 0 without a Content-Length. A chunked body is an error, as no
-// request here needs one.
+// contentLength returns the length of the body in bytes, which is 0 without a Content-Length. A chunked body is an error,
+// because no request to this server needs one.
 func contentLength(headerLines []string) (int, error) {
 	length := -1
 	for _, line := range headerLines {
--- a/internal/protocol/httpd/request_test.go
+++ b/internal/protocol/httpd/request_test.go
@@ -9,8 +9,8 @@
 func TestParseRequest(t *testing.T) {
 	for _, c := range []struct {
 		name, input string
-		want        string // method, path and body; "": none
-		status      int    // of the error; 0: none
+		want        string // method, path and body; "" if no request is returned
+		status      int    // status of the error; 0 if there is none
 	}{
 		{name: "query", input: "GET /api/ready?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", want: "GET /api/ready "},
 		{name: "case of a header", input: "PUT /x HTTP/1.1\r\ncontent-length: 3\r\n\r\nabcd", want: "PUT /x abc"},
@@ -38,7 +38,7 @@
 				status = rejected.Status
 			}
 			if got != c.want || status != c.status || (err != nil) != (status != 0) {
-				t.Errorf("%q, status %d, error %v", got, status, err)
+				t.Errorf("got request %q, status %d, error %v, want request %q, status %d", got, status, err, c.want, c.status)
 			}
 		})
 	}
