--- a/internal/protocol/discovery/fuzz_test.go
+++ b/internal/protocol/discovery/fuzz_test.go
@@ -6,7 +6,7 @@
 )
 
 // FuzzParseResponse checks that input from discovery is incomplete, rejected, or a response within the input, and that
-// the hosts of its document are complete unless there is an error, whatever discovery sends.
+// every entry of its document becomes a host unless there is an error, whatever discovery sends.
 func FuzzParseResponse(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
--- a/internal/protocol/discovery/watcher_test.go
+++ b/internal/protocol/discovery/watcher_test.go
@@ -186,7 +186,7 @@
 		w.pollTimer.Stop()
 	}
 	for tenth, polls := range pollsPerTenth {
-		if polls > 15 || tenth >= 12 { // a later poll would receive a drain after its grace period
+		if polls > 15 || tenth >= 12 { // a later poll could receive a drain only after its grace period
 			t.Errorf("%d of 80 first polls in tenth of a second %d, want at most 15 and none from tenth 12 on", polls, tenth)
 		}
 	}
--- a/internal/protocol/pg/client_pool.go
+++ b/internal/protocol/pg/client_pool.go
@@ -132,5 +132,5 @@
 	}
 }
 
-// StopDraining ends a drain. Connections that are still open then stay open.
+// StopDraining ends a drain. The remaining connections are no longer closed as soon as they are idle.
 func (p *ClientPool) StopDraining() { p.draining = false }
--- a/internal/protocol/pg/command.go
+++ b/internal/protocol/pg/command.go
@@ -14,9 +14,10 @@
 // A StreamingCommand is a Command whose answer may contain large rows that are forwarded before the answer is complete.
 type StreamingCommand interface {
 	Command
-	// CanStream reports whether a row with this number of columns may follow the messages received since the last
-	// streamed row, which are in answer.
+	// CanStream reports whether a row with this number of columns may follow answer, which holds the messages received
+	// since the last streamed row.
 	CanStream(answer []byte, columns int) bool
-	// IsStreamComplete reports whether the messages after the last streamed row complete the answer.
+	// IsStreamComplete reports whether answer, which holds the messages after the last streamed row, completes the answer
+	// to this command.
 	IsStreamComplete(answer []byte) bool
 }
--- a/internal/protocol/pg/error_response.go
+++ b/internal/protocol/pg/error_response.go
@@ -36,7 +36,7 @@
 	fieldDetail               = 'D'
 )
 
-// ErrorResponse holds the fields of an ErrorResponse message to a client.
+// ErrorResponse holds the fields of an ErrorResponse message.
 type ErrorResponse struct {
 	Fatal    bool // severity FATAL instead of ERROR: the connection is closed after the message
 	SQLState string
--- a/internal/protocol/pg/health_check.go
+++ b/internal/protocol/pg/health_check.go
@@ -48,8 +48,8 @@
 // IsComplete requires the answer to an empty query.
 func (EmptyQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "I" }
 
-// ParseLoadReport parses the answer to a LoadReportQuery. The position is in milliseconds since 1970. ok is
-// false for an answer that is not a load report or has no position.
+// ParseLoadReport parses the answer to a LoadReportQuery. The position is in milliseconds since 1970. ok is false
+// for an answer that is not a load report or has no position.
 func ParseLoadReport(answer []byte) (role routing.Role, positionMs float64, ok bool) {
 	if !(LoadReportQuery{}).IsComplete(answer) {
 		return 0, 0, false
--- a/internal/protocol/pg/host_conn.go
+++ b/internal/protocol/pg/host_conn.go
@@ -163,7 +163,7 @@
 }
 
 // handleParameterStatus reads the host's role or position from a parameter. A position that can't be parsed is ignored.
-// With HostDialer.RoleOnChange, an unknown role replaces the last reported one.
+// So is an unknown role, except that with HostDialer.RoleOnChange it replaces the last reported one.
 func (c *hostConn) handleParameterStatus(body []byte) {
 	fields := NewFieldReader(body)
 	name, value := fields.Text(), fields.Text()
--- a/internal/protocol/pg/message.go
+++ b/internal/protocol/pg/message.go
@@ -64,7 +64,7 @@
 
 // SplitMessage returns the type, the body and the size, including the header, of the first message in buf. The size is 0
 // while the message is incomplete. The error is ErrTooLarge if the length field exceeds maxLength, and ErrMalformed if it
-// is less than its own size.
+// is smaller than the field's own size.
 func SplitMessage(buf []byte, maxLength int) (kind byte, body []byte, size int, err error) {
 	if len(buf) < headerSize {
 		return 0, nil, 0, nil
@@ -81,8 +81,8 @@
 	return buf[0], buf[headerSize : length+1], int(length) + 1, nil
 }
 
-// BeginMessage appends a message's header with an unset length field, which starts at lengthOffset. EndMessage sets it.
-// The kind 0 is for a startup message, which has no type byte.
+// BeginMessage appends a message's header with an unset length field, which starts at lengthOffset. EndMessage sets
+// the length. The kind 0 is for a startup message, which has no type byte.
 func BeginMessage(buf []byte, kind byte) (out []byte, lengthOffset int) {
 	if kind != 0 {
 		buf = append(buf, kind)
