--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -89,5 +89,5 @@
 			a.encoder.InternalError(instance, fmt.Sprint("panic: ", cause))
 		}
 	}()
-	a.encoder.Actions(instance, router.Step(now, events))
+	a.encoder.WriteActions(instance, router.Step(now, events))
 }
--- a/internal/protocol/simulator/encoder.go
+++ b/internal/protocol/simulator/encoder.go
@@ -24,8 +24,8 @@
 	return &Encoder{writer: bufio.NewWriterSize(w, outputBufferBytes), current: noInstance}
 }
 
-// Actions writes the actions of one instance.
-func (e *Encoder) Actions(instance int, actions []routing.Action) {
+// WriteActions writes the actions of one instance.
+func (e *Encoder) WriteActions(instance int, actions []routing.Action) {
 	for _, action := range actions {
 		e.switchTo(instance)
 		e.line(encodeAction(action)...)
--- a/internal/protocol/simulator/encoder_test.go
+++ b/internal/protocol/simulator/encoder_test.go
@@ -11,7 +11,7 @@
 func TestEncodeActions(t *testing.T) {
 	var out bytes.Buffer
 	encoder := NewEncoder(&out)
-	encoder.Actions(3, []routing.Action{
+	encoder.WriteActions(3, []routing.Action{
 		routing.Attempt{Request: 1, Host: "m:1", GiveUpAt: 8492250 * time.Microsecond},
 		routing.CancelAttempt{Request: 1},
 		routing.Reject{Request: 2, RetryAfter: 250 * time.Millisecond},
