--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -86,7 +86,7 @@
 func (a *adapter) step(instance int, router *routing.Router, now time.Duration, events []routing.Event) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			a.encoder.InternalError(instance, fmt.Sprint("panic: ", cause))
+			a.encoder.WriteInternalError(instance, fmt.Sprint("panic: ", cause))
 		}
 	}()
 	a.encoder.WriteActions(instance, router.Step(now, events))
--- a/internal/protocol/simulator/encoder.go
+++ b/internal/protocol/simulator/encoder.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// InternalError reports that an instance has panicked. The simulator ends its day.
-func (e *Encoder) InternalError(instance int, text string) {
+// WriteInternalError reports that an instance has panicked. The simulator ends its day.
+func (e *Encoder) WriteInternalError(instance int, text string) {
 	e.switchTo(instance)
 	e.line("internal_error", singleLine(text))
 }
--- a/internal/protocol/simulator/encoder_test.go
+++ b/internal/protocol/simulator/encoder_test.go
@@ -21,7 +21,7 @@
 		routing.SetTimer{After: 500 * time.Microsecond},
 		routing.Log{Text: "two\nlines"},
 	})
-	encoder.InternalError(5, "broke\nhere")
+	encoder.WriteInternalError(5, "broke\nhere")
 	if err := encoder.Flush(); err != nil {
 		t.Fatal(err)
 	}
