--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -37,7 +37,7 @@
 		if err := instances.process(batch); err != nil {
 			return err
 		}
-		if err := encoder.Flush(); err != nil {
+		if err := encoder.EndReply(); err != nil {
 			return err
 		}
 	}
--- a/internal/protocol/simulator/encoder.go
+++ b/internal/protocol/simulator/encoder.go
@@ -38,8 +38,8 @@
 	e.line("internal_error", singleLine(text))
 }
 
-// Flush ends the reply and sends it. It returns the first error of the reply's writes.
-func (e *Encoder) Flush() error {
+// EndReply ends the reply and sends it. It returns the first error of the reply's writes.
+func (e *Encoder) EndReply() error {
 	e.current = noInstance
 	e.line("yield")
 	return e.writer.Flush()
--- a/internal/protocol/simulator/encoder_test.go
+++ b/internal/protocol/simulator/encoder_test.go
@@ -22,7 +22,7 @@
 		routing.Log{Text: "two\nlines"},
 	})
 	encoder.WriteInternalError(5, "broke\nhere")
-	if err := encoder.Flush(); err != nil {
+	if err := encoder.EndReply(); err != nil {
 		t.Fatal(err)
 	}
 	want := "from 3\nattempt 1 m:1 8492.25\ndrop_attempt 1 0\nrefuse 2 250\nlose 3\ntouch m:1\nlisten 1\nsleep 0.5 0\n" +
