--- a/cmd/merlinjunction/members.go
+++ b/cmd/merlinjunction/members.go
@@ -144,7 +144,7 @@
 		if name == fleet.Self {
 			name += " *"
 		}
-		inState := time.Duration(member.ForMs * 1e6).Round(shownTimeResolution)
+		inState := time.Duration(member.StateAgeMs * 1e6).Round(shownTimeResolution)
 		printf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%d\n",
 			name, member.State, inState, member.Zone, member.Address, member.Incarnation, member.Version)
 	}
--- a/internal/frontend/management/management.go
+++ b/internal/frontend/management/management.go
@@ -65,7 +65,7 @@
 	State       string  `json:"state"`
 	Incarnation uint64  `json:"incarnation"`
 	Version     int     `json:"version"` // of the message format
-	ForMs       float64 `json:"for_ms"`  // since the last change of state
+	StateAgeMs  float64 `json:"for_ms"`  // since the last change of state
 }
 
 // Telemetry is what a gateway has counted.
--- a/internal/frontend/management/management_test.go
+++ b/internal/frontend/management/management_test.go
@@ -86,7 +86,7 @@
 
 // Scripts and dashboards read these objects: their keys are pinned.
 func TestJSONKeys(t *testing.T) {
-	members := []Member{{Name: "a", ForMs: 2}}
+	members := []Member{{Name: "a", StateAgeMs: 2}}
 	g := &stubGateway{fleet: &Fleet{Name: "f", Self: "a", Status: "fine", Alive: 1, Members: members}}
 	for path, want := range map[string]string{
 		"/api/telemetry": `{"replies":{"read":{"success":1,"overload":2,"error":3}},` +
--- a/internal/server/management.go
+++ b/internal/server/management.go
@@ -77,7 +77,7 @@
 			State:       member.State.String(),
 			Incarnation: member.Incarnation,
 			Version:     int(member.Version),
-			ForMs:       max(0, now-member.Since),
+			StateAgeMs:  max(0, now-member.Since),
 		})
 	}
 	return view
