--- a/internal/protocol/simulator/decoder.go
+++ b/internal/protocol/simulator/decoder.go
@@ -18,11 +18,11 @@
 var (
 	errNoBatch            = errors.New("expected begin_batch")
 	errInputEndsInBatch   = errors.New("the input ends inside a batch")
-	errNoCurrentInstance  = errors.New("create: no switch_to came before it")
-	errInputEndsInSheet   = errors.New("sheet: the input ends inside it")
+	errNoCurrentInstance  = errors.New("create: no switch_to before it in the batch")
+	errInputEndsInSheet   = errors.New("sheet: the input ends before its last member")
 	errTooFewValues       = errors.New("too few values")
-	errValueAbsent        = errors.New("a value is absent")
-	errNegativeResultMark = errors.New("a mark below 0")
+	errValueAbsent        = errors.New("a required value is absent")
+	errNegativeResultMark = errors.New("the mark is negative")
 )
 
 // LineError is an error in a line of the input. Lines are counted from 1.
@@ -35,13 +35,13 @@
 
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Batch is the input at one time of the simulator's clock.
+// Batch is the input for one time of the simulator's clock.
 type Batch struct {
 	Clock    time.Duration
 	Messages []Message
 }
 
-// Message is one message for one instance: exactly one of Create, Kill and Event is set.
+// Message is a message for one instance. Exactly one of Create, Kill and Event is set.
 type Message struct {
 	Instance int
 	Create   *Create
@@ -49,28 +49,28 @@
 	Event    routing.Event
 }
 
-// Create starts an instance.
+// Create is the message that starts an instance.
 type Create struct {
 	Seed     uint64
 	Settings routing.Settings
 }
 
-// instance is what the decoder needs to decode the events of an instance.
+// instance holds the class and tenant names of a simulated gateway, which its events refer to.
 type instance struct {
-	classIndexes, tenantIndexes map[string]int // by name
+	classIndexes, tenantIndexes map[string]int // indexes in the settings, by name
 }
 
 // Decoder decodes batches.
 type Decoder struct {
-	lines     lineReader
-	sheets    endpointSheets // of the process: all instances share them
-	instances map[int]*instance
-	current   int // the instance of the lines that follow
+	lines           lineReader
+	sheets          endpointSheets // shared by all instances
+	instances       map[int]*instance
+	currentInstance int // the instance that the next lines of the batch are for
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{lines: newLineReader(r), instances: map[int]*instance{}, current: noInstance}
+	return &Decoder{lines: newLineReader(r), instances: map[int]*instance{}, currentInstance: noInstance}
 }
 
 // Next returns the next batch, or io.EOF when the input ends between two batches. Any other error is a *LineError.
@@ -90,12 +90,12 @@
 		if line == "your_turn" {
 			return batch, nil
 		}
-		message, err := d.decodeMessage(newFields(line))
+		message, err := d.decodeMessage(newValueReader(line))
 		if err != nil {
-			return nil, d.lines.fault(err)
+			return nil, d.lines.wrapError(err)
 		}
 		if message != nil {
-			message.Instance = d.current
+			message.Instance = d.currentInstance
 			batch.Messages = append(batch.Messages, *message)
 		}
 	}
@@ -106,25 +106,25 @@
 	if err != nil {
 		return nil, err
 	}
-	values := newFields(line)
+	values := newValueReader(line)
 	if values.value() != "begin_batch" {
-		return nil, d.lines.fault(errNoBatch)
+		return nil, d.lines.wrapError(errNoBatch)
 	}
 	batch := &Batch{Clock: values.milliseconds()}
 	if err := values.end(); err != nil {
-		return nil, d.lines.fault(err)
+		return nil, d.lines.wrapError(err)
 	}
-	d.current = noInstance
+	d.currentInstance = noInstance
 	return batch, nil
 }
 
-// decodeMessage decodes one line of a batch, and the lines of a sheet. It returns nil for a line that is no message to
-// an instance.
-func (d *Decoder) decodeMessage(values *fields) (*Message, error) {
+// decodeMessage decodes one line of a batch, and for a sheet line its member lines too. It returns nil for a line that
+// is not a message to an instance.
+func (d *Decoder) decodeMessage(values *valueReader) (*Message, error) {
 	name := values.value()
 	switch name {
 	case "switch_to":
-		d.current = values.integer(math.MaxInt32)
+		d.currentInstance = values.integer(math.MaxInt32)
 		return nil, values.end()
 	case "sheet":
 		return nil, d.decodeSheet(values)
@@ -135,12 +135,12 @@
 	if !known && name != "kill" {
 		return nil, fmt.Errorf("unknown message %q", name)
 	}
-	target := d.instances[d.current]
+	target := d.instances[d.currentInstance]
 	if target == nil {
-		return nil, fmt.Errorf("%s: instance %d was not created", name, d.current)
+		return nil, fmt.Errorf("%s: instance %d doesn't exist", name, d.currentInstance)
 	}
 	if name == "kill" {
-		delete(d.instances, d.current)
+		delete(d.instances, d.currentInstance)
 		return &Message{Kill: true}, values.end()
 	}
 	event := decodeEvent(d, target, values)
@@ -153,20 +153,20 @@
 	return &Message{Event: event}, nil
 }
 
-func (d *Decoder) decodeCreate(values *fields) (*Message, error) {
+func (d *Decoder) decodeCreate(values *valueReader) (*Message, error) {
 	create := &Create{Seed: values.unsigned()}
 	text := values.rest()
 	if err := values.end(); err != nil {
 		return nil, fmt.Errorf("create: %w", err)
 	}
-	if d.current == noInstance {
+	if d.currentInstance == noInstance {
 		return nil, errNoCurrentInstance
 	}
 	var err error
 	if create.Settings, err = DecodeSettings(text); err != nil {
 		return nil, fmt.Errorf("create: %w", err)
 	}
-	d.instances[d.current] = newInstance(create.Settings)
+	d.instances[d.currentInstance] = newInstance(create.Settings)
 	return &Message{Create: create}, nil
 }
 
--- a/internal/protocol/simulator/decoder_test.go
+++ b/internal/protocol/simulator/decoder_test.go
@@ -20,26 +20,26 @@
 	` "Permissions": {"Cancel": true, "Probing": true, "MaxAttempts": 8, "MaxRetryAfterMs": 500, "RetryAfter": true},` +
 	` "Rules": {"DrainGraceMs": 250, "ColdFrom": 0.25, "ColdMs": 16000, "TipMultiple": 2.5}}`
 
-const opening = "begin_batch 2000\nswitch_to 3\ncreate 42 " + profileText + "\n"
+const createInput = "begin_batch 2000\nswitch_to 3\ncreate 42 " + profileText + "\n"
 
 func decodeAll(t *testing.T, input string) ([]Message, error) {
 	t.Helper()
 	d := NewDecoder(strings.NewReader(input))
 	var all []Message
 	for {
-		b, err := d.Next()
+		batch, err := d.Next()
 		if errors.Is(err, io.EOF) {
 			return all, nil
 		}
 		if err != nil {
 			return all, err
 		}
-		all = append(all, b.Messages...)
+		all = append(all, batch.Messages...)
 	}
 }
 
 func TestDecodeEvents(t *testing.T) {
-	got, err := decodeAll(t, opening+`sheet 0 2
+	got, err := decodeAll(t, createInput+`sheet 0 2
 member 10.18.74.7:9003 rennes-a std4 1 11 1 1 -
 member 10.144.17.242:9044 rennes-b std4 0 11 2 1.5 6100.0
 view 41 0 2
@@ -96,66 +96,66 @@
 	}
 }
 
-func TestBadInputIsNamedWithItsLine(t *testing.T) {
+func TestDecodeErrorsHaveTheLineNumber(t *testing.T) {
 	for name, test := range map[string]struct{ input, want string }{
 		"no batch": {
 			"hello\n",
 			"line 1: expected begin_batch",
 		},
 		"unknown message": {
-			opening + "jump 1\nyour_turn\n",
+			createInput + "jump 1\nyour_turn\n",
 			`line 4: unknown message "jump"`,
 		},
 		"bad number": {
-			opening + "demand 1 t read 1 - - - soon 0\nyour_turn\n",
+			createInput + "demand 1 t read 1 - - - soon 0\nyour_turn\n",
 			`line 4: demand: "soon" is not a number`,
 		},
 		"id out of range": {
-			opening + "cancelled_by_client 4503599627370496\nyour_turn\n",
+			createInput + "cancelled_by_client 4503599627370496\nyour_turn\n",
 			"line 4: cancelled_by_client: request id",
 		},
 		"slot out of range": {
-			opening + "sheet 16 0\nyour_turn\n",
+			createInput + "sheet 16 0\nyour_turn\n",
 			`line 4: sheet: "16" is not a whole number from 0 to 15`,
 		},
-		"slot never filled": {
-			opening + "view 1 5 1\nyour_turn\n",
-			"line 4: view: sheet 5 was never filled",
+		"slot without a list": {
+			createInput + "view 1 5 1\nyour_turn\n",
+			`line 4: view: sheet slot "5" has no list`,
 		},
 		"no such instance": {
 			"begin_batch 1\nswitch_to 9\nwake 1\nyour_turn\n",
-			"line 3: wake: instance 9 was not created",
+			"line 3: wake: instance 9 doesn't exist",
 		},
 		"killed instance": {
-			opening + "kill\nwake 1\nyour_turn\n",
-			"line 5: wake: instance 3 was not created",
+			createInput + "kill\nwake 1\nyour_turn\n",
+			"line 5: wake: instance 3 doesn't exist",
 		},
-		"cut batch": {
-			opening + "wake 1\n",
+		"truncated batch": {
+			createInput + "wake 1\n",
 			"line 5: the input ends inside a batch",
 		},
-		"cut sheet": {
-			opening + "sheet 0 2\n",
-			"sheet: the input ends inside it",
+		"truncated sheet": {
+			createInput + "sheet 0 2\n",
+			"sheet: the input ends before its last member",
 		},
 		"too few values": {
-			opening + "wake\nyour_turn\n",
+			createInput + "wake\nyour_turn\n",
 			"line 4: wake: too few values",
 		},
 		"too many values": {
-			opening + "wake 1 2\nyour_turn\n",
+			createInput + "wake 1 2\nyour_turn\n",
 			"line 4: wake: too many values",
 		},
 		"unknown class": {
-			opening + "demand 1 t lead 1 - - - 10 0\nyour_turn\n",
+			createInput + "demand 1 t lead 1 - - - 10 0\nyour_turn\n",
 			`line 4: demand: unknown class "lead"`,
 		},
 		"unknown outcome": {
-			opening + "result 1 0 m 299 1 0 0 -\nyour_turn\n",
+			createInput + "result 1 0 m 299 1 0 0 -\nyour_turn\n",
 			`line 4: result: unknown outcome "299"`,
 		},
 		"bad report": {
-			opening + "sampled 1 m 200 x0\nyour_turn\n",
+			createInput + "sampled 1 m 200 x0\nyour_turn\n",
 			`line 4: sampled: report value "x0"`,
 		},
 		"missing settings": {
@@ -166,17 +166,17 @@
 			"begin_batch 1\nswitch_to 0\ncreate 1 {\nyour_turn\n",
 			"line 3: create: settings:",
 		},
-		"unknown word": {
-			strings.Replace(opening, `"refuse"`, `"argue"`, 1) + "your_turn\n",
-			`unknown word "argue"`,
+		"unknown value of a setting": {
+			strings.Replace(createInput, `"refuse"`, `"argue"`, 1) + "your_turn\n",
+			`unknown value "argue"`,
 		},
-		"create to nobody": {
+		"create without switch_to": {
 			"begin_batch 1\ncreate 1 {}\nyour_turn\n",
 			"line 2: create: no switch_to",
 		},
-		"negative time mark": {
-			opening + "result 1 0 m 200 1 0 -4 -\nyour_turn\n",
-			"line 4: result: a mark below 0",
+		"negative mark": {
+			createInput + "result 1 0 m 200 1 0 -4 -\nyour_turn\n",
+			"line 4: result: the mark is negative",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -186,16 +186,16 @@
 			}
 			var lineError *LineError
 			if !errors.As(err, &lineError) {
-				t.Errorf("%v is no LineError", err)
+				t.Errorf("%v is not a LineError", err)
 			}
 		})
 	}
 }
 
-// FuzzDecode feeds the decoder anything: it must return batches or an error, and never panic.
+// FuzzDecode guards against panics: the decoder must return a batch or an error for any input.
 func FuzzDecode(f *testing.F) {
-	f.Add(opening + "sheet 0 1\nmember a:1 z k 0 1 1 1 -\nview 1 0 1\ndemand 1 t read 1 - - - 10 0\nyour_turn\n")
-	f.Add(opening + "result 1 0 a:1 204 1 0 8 x0:1\nkill\nyour_turn\n")
+	f.Add(createInput + "sheet 0 1\nmember a:1 z k 0 1 1 1 -\nview 1 0 1\ndemand 1 t read 1 - - - 10 0\nyour_turn\n")
+	f.Add(createInput + "result 1 0 a:1 204 1 0 8 x0:1\nkill\nyour_turn\n")
 	f.Add("begin_batch 1\nyour_turn\n")
 	f.Fuzz(func(_ *testing.T, input string) {
 		d := NewDecoder(strings.NewReader(input))
--- a/internal/protocol/simulator/encoder.go
+++ b/internal/protocol/simulator/encoder.go
@@ -15,16 +15,16 @@
 
 // Encoder encodes replies to batches.
 type Encoder struct {
-	writer  *bufio.Writer
-	current int // the instance of the actions that follow
+	writer          *bufio.Writer
+	currentInstance int // the instance that the next actions of the reply belong to
 }
 
 // NewEncoder returns an Encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder {
-	return &Encoder{writer: bufio.NewWriterSize(w, outputBufferBytes), current: noInstance}
+	return &Encoder{writer: bufio.NewWriterSize(w, outputBufferBytes), currentInstance: noInstance}
 }
 
-// WriteActions writes the actions of one instance.
+// WriteActions writes a line for each action of an instance.
 func (e *Encoder) WriteActions(instance int, actions []routing.Action) {
 	for _, action := range actions {
 		e.switchTo(instance)
@@ -32,22 +32,22 @@
 	}
 }
 
-// WriteInternalError reports that an instance has panicked. The simulator ends its day.
+// WriteInternalError writes that an instance has panicked. The simulator then ends the simulated day.
 func (e *Encoder) WriteInternalError(instance int, text string) {
 	e.switchTo(instance)
 	e.line("internal_error", singleLine(text))
 }
 
-// EndReply ends the reply and sends it. It returns the first error of the reply's writes.
+// EndReply writes the line that ends a reply, and flushes the buffer. It returns the first write error of the reply.
 func (e *Encoder) EndReply() error {
-	e.current = noInstance
+	e.currentInstance = noInstance
 	e.line("yield")
 	return e.writer.Flush()
 }
 
 func (e *Encoder) switchTo(instance int) {
-	if e.current != instance {
-		e.current = instance
+	if e.currentInstance != instance {
+		e.currentInstance = instance
 		e.line("from", strconv.Itoa(instance))
 	}
 }
@@ -62,13 +62,13 @@
 	e.write("\n")
 }
 
-// write drops the error, because a bufio.Writer returns its first error from Flush too.
+// write ignores the write error: a bufio.Writer keeps its first error and returns it from Flush.
 func (e *Encoder) write(text string) { _, _ = e.writer.WriteString(text) }
 
-// encodeAction returns the values of an action's line.
+// encodeAction returns the values of the line that encodes an action.
 func encodeAction(action routing.Action) []string {
 	switch action := action.(type) {
-	case routing.Attempt: // package routing leaves GiveUpAt at 0: the attempt ends when the client gives up
+	case routing.Attempt: // package routing sets GiveUpAt to 0, which lets the attempt last until the client gives up
 		return []string{"attempt", encodeID(action.Request), action.Host, encodeMilliseconds(action.GiveUpAt)}
 	case routing.CancelAttempt:
 		return []string{"drop_attempt", encodeID(action.Request), strconv.Itoa(action.Attempt)}
@@ -90,10 +90,10 @@
 
 func encodeID(id uint64) string { return strconv.FormatUint(id, 10) }
 
-// encodeMilliseconds has microseconds as fractions.
+// encodeMilliseconds encodes a duration as a decimal number of milliseconds, with a fraction for the microseconds.
 func encodeMilliseconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d.Microseconds())/1000, 'f', -1, 64)
 }
 
-// singleLine replaces all white space by single spaces.
+// singleLine replaces each sequence of white space, line breaks included, by one space.
 func singleLine(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/internal/protocol/simulator/event.go
+++ b/internal/protocol/simulator/event.go
@@ -8,38 +8,39 @@
 	"merlinjunction/routing"
 )
 
-// Scopes of a view event.
+// Values of the scope in a view event.
 const (
-	scopeDelta  = 0 // only the endpoints that have changed
-	scopeFull   = 1
-	scopeCached = 2 // the full list as the instance last had it
-	scopeFailed = 3 // a poll has failed: there is no list
+	scopeDelta  = 0 // the list has only the endpoints that have changed
+	scopeFull   = 1 // the list has all endpoints
+	scopeCached = 2 // the full list that the instance last received
+	scopeFailed = 3 // a poll has failed; the event has no list
 	maxScope    = scopeFailed
 )
 
-// clientRetryAttribute is a bit in the attributes of a demand event.
+// clientRetryAttribute is the bit in the attributes of a demand event that marks a retry by the client.
 const clientRetryAttribute = 2
 
-// noTenant is the tenant in a demand event of a site without tenants.
+// noTenant is the tenant value of a demand event in a deployment without tenants.
 const noTenant = "0"
 
-// The mark of a result is markRoles times the position in milliseconds, plus the role.
+// A result event has one number, the mark, for the position and the role of the host: markPositionUnit times the position
+// in milliseconds, plus the role.
 const (
-	markRoles       = 4
-	markRolePrimary = 1
-	markRoleReplica = 2
+	markPositionUnit = 4
+	markRolePrimary  = 1
+	markRoleReplica  = 2
 )
 
-// Names in a load report.
+// Names of the values of a load report that are used.
 const (
-	reportPosition = "x0" // in seconds
+	reportPosition = "x0" // the position in seconds
 	reportPrimary  = "x1" // 1 at the primary
 )
 
-// eventDecoder decodes the values of an event. Errors are kept in the fields. A nil event is skipped.
-type eventDecoder func(*Decoder, *instance, *fields) routing.Event
+// eventDecoder decodes the values of an event. The valueReader keeps the first error. A nil event is skipped.
+type eventDecoder func(*Decoder, *instance, *valueReader) routing.Event
 
-// eventDecoders are the events for an instance, by the protocol's names.
+// eventDecoders has the decoder of each event for an instance, by the event's name in the protocol.
 var eventDecoders = map[string]eventDecoder{
 	"view":                decodeEndpointUpdate,
 	"demand":              decodeRequest,
@@ -51,9 +52,9 @@
 	"datagram":            skipDatagram,
 }
 
-func decodeEndpointUpdate(d *Decoder, _ *instance, values *fields) routing.Event {
+func decodeEndpointUpdate(d *Decoder, _ *instance, values *valueReader) routing.Event {
 	values.unsigned() // revision
-	slot := values.optional()
+	slot := values.optionalText()
 	scope := values.integer(maxScope)
 	if scope == scopeFailed {
 		return routing.EndpointUpdate{Failed: true}
@@ -66,34 +67,34 @@
 	return routing.EndpointUpdate{Full: scope == scopeFull || scope == scopeCached, Endpoints: endpoints}
 }
 
-func decodeRequest(_ *Decoder, target *instance, values *fields) routing.Event {
+func decodeRequest(_ *Decoder, target *instance, values *valueReader) routing.Event {
 	request := routing.Request{ID: values.requestID(), Tenant: -1}
-	if tenant := values.optional(); tenant != "" && tenant != noTenant {
-		request.Tenant = values.lookup(target.tenantIndexes, "tenant", tenant)
+	if tenant := values.optionalText(); tenant != "" && tenant != noTenant {
+		request.Tenant = values.lookupIndex(target.tenantIndexes, "tenant", tenant)
 	}
-	request.Class = values.lookup(target.classIndexes, "class", values.text())
+	request.Class = values.lookupIndex(target.classIndexes, "class", values.requiredText())
 	request.Group = values.integer(math.MaxInt32)
-	values.milliseconds() // the expected cost, which routing doesn't use
+	values.milliseconds() // the expected cost, which package routing doesn't use
 	request.SinceLastWrite = values.milliseconds()
-	request.Session = values.optional()
+	request.Session = values.optionalText()
 	request.TimeLeft = values.milliseconds()
 	request.ClientRetry = values.integer(math.MaxInt32)&clientRetryAttribute != 0
 	return request
 }
 
-// lookup returns the index of a class or tenant by its name.
-func (f *fields) lookup(indexes map[string]int, kind, name string) int {
+// lookupIndex returns the index of the class or tenant with the given name. An unknown name is an error.
+func (r *valueReader) lookupIndex(indexes map[string]int, kind, name string) int {
 	index, known := indexes[name]
 	if !known {
-		f.fail(fmt.Errorf("unknown %s %q", kind, name))
+		r.fail(fmt.Errorf("unknown %s %q", kind, name))
 	}
 	return index
 }
 
-func decodeAttemptResult(_ *Decoder, _ *instance, values *fields) routing.Event {
+func decodeAttemptResult(_ *Decoder, _ *instance, values *valueReader) routing.Event {
 	result := routing.AttemptResult{Request: values.requestID()}
 	result.Attempt = values.integer(math.MaxInt32)
-	result.Host = values.text()
+	result.Host = values.requiredText()
 	result.Outcome = values.outcome()
 	values.milliseconds() // time since the attempt
 	result.RequestDone = values.flag()
@@ -107,10 +108,10 @@
 	return result
 }
 
-// splitMark splits the mark of a result into a host's role and position.
+// splitMark splits the mark of a result into the role and the position of the host.
 func splitMark(mark int64) (routing.Role, time.Duration) {
-	position := time.Duration(mark/markRoles) * time.Millisecond
-	switch mark % markRoles {
+	position := time.Duration(mark/markPositionUnit) * time.Millisecond
+	switch mark % markPositionUnit {
 	case markRolePrimary:
 		return routing.RolePrimary, position
 	case markRoleReplica:
@@ -119,9 +120,9 @@
 	return routing.RoleUnknown, position
 }
 
-func decodeHealthCheckResult(_ *Decoder, _ *instance, values *fields) routing.Event {
+func decodeHealthCheckResult(_ *Decoder, _ *instance, values *valueReader) routing.Event {
 	values.milliseconds() // time since the health check
-	result := routing.HealthCheckResult{Host: values.text()}
+	result := routing.HealthCheckResult{Host: values.requiredText()}
 	result.Outcome = values.outcome()
 	report := values.loadReport()
 	if seconds, ok := report[reportPosition]; ok {
@@ -136,26 +137,26 @@
 	return result
 }
 
-func decodeStreamStarted(_ *Decoder, _ *instance, values *fields) routing.Event {
+func decodeStreamStarted(_ *Decoder, _ *instance, values *valueReader) routing.Event {
 	event := routing.StreamStarted{Request: values.requestID()}
 	values.milliseconds()         // time since the attempt
-	values.text()                 // host
+	values.requiredText()         // host
 	values.integer(math.MaxInt32) // attempt
 	return event
 }
 
-func decodeClientGone(_ *Decoder, _ *instance, values *fields) routing.Event {
+func decodeClientGone(_ *Decoder, _ *instance, values *valueReader) routing.Event {
 	return routing.ClientGone{Request: values.requestID()}
 }
 
-func decodeTimerFired(_ *Decoder, _ *instance, values *fields) routing.Event {
-	values.unsigned() // the timer's mark: an instance has one timer
+func decodeTimerFired(_ *Decoder, _ *instance, values *valueReader) routing.Event {
+	values.unsigned() // the number of the timer, which is not needed: an instance has only one timer
 	return routing.TimerFired{}
 }
 
-// skipDatagram skips a message of another gateway. The simulated gateways exchange none.
-func skipDatagram(_ *Decoder, _ *instance, values *fields) routing.Event {
+// skipDatagram skips a datagram from another gateway. The simulated gateways send each other no datagrams.
+func skipDatagram(_ *Decoder, _ *instance, values *valueReader) routing.Event {
 	values.unsigned()
-	values.optional()
+	values.optionalText()
 	return nil
 }
--- a/internal/protocol/simulator/line_reader.go
+++ b/internal/protocol/simulator/line_reader.go
@@ -10,10 +10,10 @@
 	maxLineBytes     = 64 << 20
 )
 
-// lineReader reads lines and counts them.
+// lineReader reads lines and counts them, so that errors can be reported with a line number.
 type lineReader struct {
 	scanner *bufio.Scanner
-	number  int // of the last line, from 1
+	number  int // the number of the line read last, counted from 1
 }
 
 func newLineReader(r io.Reader) lineReader {
@@ -34,5 +34,5 @@
 	return l.scanner.Text(), nil
 }
 
-// fault returns a LineError for the last line.
-func (l *lineReader) fault(err error) error { return &LineError{Line: l.number, Err: err} }
+// wrapError returns a *LineError for the line read last.
+func (l *lineReader) wrapError(err error) error { return &LineError{Line: l.number, Err: err} }
--- a/internal/protocol/simulator/profile.go
+++ b/internal/protocol/simulator/profile.go
@@ -1,14 +1,14 @@
 package simulator
 
-// profile is the platform's settings object, which is part of a create line and of a gateway's configuration. Its tags
-// have the platform's names. Other keys are ignored. A pointer is nil when a required key is absent.
+// profile is the platform's settings object, which is part of a create line and of a gateway's configuration. The JSON
+// keys are the platform's names of the settings. Unknown keys are ignored. A pointer is nil when its key is absent.
 type profile struct {
 	GatewayCount *int `json:"Balancers"`
-	GatewayIndex *int `json:"Index"` // from 0
+	GatewayIndex *int `json:"Index"` // counted from 0
 	Classes      []struct {
 		Name               string
-		Idempotency        string  `json:"Effect"` // see idempotencies
-		IdempotencyScope   string  `json:"Group"`  // the hosts that share idempotency keys: "all", or fewer
+		Idempotency        string  `json:"Effect"` // a key of idempotencies
+		IdempotencyScope   string  `json:"Group"`  // "all" if all hosts share idempotency keys; any other word if fewer do
 		LatencyObjectiveMs float64 `json:"AimMs"`
 		DeadlineMs         float64 `json:"HardLimitMs"`
 		DedupWindowMs      float64
@@ -22,13 +22,13 @@
 	OverQuotaWeightShare float64 `json:"OverShareWorth"`
 	Zone                 string
 	TickIntervalMs       float64 `json:"TickMs"`
-	EndpointListMode     string  `json:"MembershipMode"` // see endpointListModes
+	EndpointListMode     string  `json:"MembershipMode"` // a key of endpointListModes
 	Consistency          *struct {
-		StalenessCheck  string    `json:"ServerChecks"` // see stalenessChecks
-		SessionTokens   string    `json:"Tokens"`       // see sessionTokens
+		StalenessCheck  string    `json:"ServerChecks"` // a key of stalenessChecks
+		SessionTokens   string    `json:"Tokens"`       // a key of sessionTokens
 		PositionEpochMs float64   `json:"CountedFromMs"`
-		Levels          []string  `json:"NeedsByClass"` // by class; see consistencies
-		MaxStalenessMs  []float64 `json:"MaxAgeMs"`     // by class
+		Levels          []string  `json:"NeedsByClass"` // one for each entry of Classes, a key of consistencies
+		MaxStalenessMs  []float64 `json:"MaxAgeMs"`     // one for each entry of Classes
 	} `json:"FamilyInfo"`
 	Permissions *struct {
 		Cancel          bool
--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -10,7 +10,7 @@
 	"merlinjunction/routing"
 )
 
-// The platform's words for values of its settings.
+// These maps translate the words that the platform's settings have as values.
 var (
 	consistencies = map[string]routing.Consistency{
 		"any":     routing.ConsistencyAny,
@@ -29,35 +29,35 @@
 		"refuse": routing.StalenessCheckReject,
 		"wait":   routing.StalenessCheckWait,
 	}
-	// endpointListModes maps to whether the gateway subscribes to endpoint updates.
+	// endpointListModes has true for the modes in which the gateway subscribes to endpoint updates.
 	endpointListModes = map[string]bool{"automatic": false, "subscribe": true}
-	// sessionTokens maps to whether requests carry the session's last write.
+	// sessionTokens has true for the word that makes requests carry the session's last write.
 	sessionTokens = map[string]bool{"remembered": false, "carried": true}
 )
 
 // scopeAllHosts is the idempotency scope of a class whose keys all hosts share.
 const scopeAllHosts = "all"
 
-// SettingError is an invalid value of a platform setting.
+// SettingError reports an invalid value of a platform setting.
 type SettingError struct {
-	Key    string // the platform's key
+	Key    string // the key in the platform's settings object
 	Reason string
 }
 
 func (e *SettingError) Error() string { return fmt.Sprintf("setting %s: %s", e.Key, e.Reason) }
 
-// MissingSettingsError is the absence of required platform settings.
+// MissingSettingsError reports that required platform settings are absent.
 type MissingSettingsError struct{ Keys []string }
 
 func (e *MissingSettingsError) Error() string { return "settings lack " + strings.Join(e.Keys, ", ") }
 
-// ErrClassListLength is returned when the settings by class have no value, or more than one, for some class.
+// ErrClassListLength is returned when a list of settings by class doesn't have as many values as there are classes.
 var ErrClassListLength = errors.New(
-	"settings: FamilyInfo.NeedsByClass or FamilyInfo.MaxAgeMs doesn't name each class")
+	"settings: FamilyInfo.NeedsByClass and FamilyInfo.MaxAgeMs must have one value for each entry of Services")
 
-// DecodeSettings decodes the platform's settings object, which a create line and a gateway's configuration have. An
-// error is one line that names the key: a *SettingError, *MissingSettingsError, ErrClassListLength or an error of
-// package json.
+// DecodeSettings decodes the platform's settings object, which is part of a create line and of a gateway's configuration.
+// The error is a *SettingError, a *MissingSettingsError, ErrClassListLength or a wrapped error of package json. Its text
+// is one line that names the key.
 func DecodeSettings(text string) (routing.Settings, error) {
 	var source profile
 	var settings routing.Settings
@@ -86,15 +86,15 @@
 
 func (p *profile) decodeModes(settings *routing.Settings) error {
 	var err error
-	settings.StalenessCheck, err = lookup(stalenessChecks, p.Consistency.StalenessCheck, "FamilyInfo.ServerChecks")
+	settings.StalenessCheck, err = lookupValue(stalenessChecks, p.Consistency.StalenessCheck, "FamilyInfo.ServerChecks")
 	if err != nil {
 		return err
 	}
-	settings.SessionTokensCarried, err = lookup(sessionTokens, p.Consistency.SessionTokens, "FamilyInfo.Tokens")
+	settings.SessionTokensCarried, err = lookupValue(sessionTokens, p.Consistency.SessionTokens, "FamilyInfo.Tokens")
 	if err != nil {
 		return err
 	}
-	settings.SubscribeToEndpoints, err = lookup(endpointListModes, p.EndpointListMode, "MembershipMode")
+	settings.SubscribeToEndpoints, err = lookupValue(endpointListModes, p.EndpointListMode, "MembershipMode")
 	return err
 }
 
@@ -116,9 +116,9 @@
 func (p *profile) decodeClass(index int) (routing.Class, error) {
 	entry := p.Classes[index]
 	positive := entry.DeadlineMs > 0 && entry.LatencyObjectiveMs > 0
-	if !positive { // NaN isn't either
+	if !positive { // rejects NaN too
 		return routing.Class{}, &SettingError{
-			Key: fmt.Sprintf("Services[] %q", entry.Name), Reason: "HardLimitMs or AimMs is not above 0",
+			Key: fmt.Sprintf("Services[] %q", entry.Name), Reason: "HardLimitMs and AimMs must be above 0",
 		}
 	}
 	class := routing.Class{
@@ -132,11 +132,11 @@
 		LateWeightShare:     entry.LateWeightShare,
 	}
 	var err error
-	class.Consistency, err = lookup(consistencies, p.Consistency.Levels[index], "FamilyInfo.NeedsByClass")
+	class.Consistency, err = lookupValue(consistencies, p.Consistency.Levels[index], "FamilyInfo.NeedsByClass")
 	if err != nil {
 		return routing.Class{}, err
 	}
-	class.Idempotency, err = lookup(idempotencies, entry.Idempotency, "Services[].Effect")
+	class.Idempotency, err = lookupValue(idempotencies, entry.Idempotency, "Services[].Effect")
 	return class, err
 }
 
@@ -179,19 +179,19 @@
 	settings.OverloadWindow = duration(p.Rules.OverloadWindowMs)
 }
 
-// lookup returns the value for the platform's word in a setting.
-func lookup[V any](values map[string]V, name, key string) (V, error) {
-	value, known := values[name]
+// lookupValue returns the value that a word of the platform stands for. The key of the setting is for the error.
+func lookupValue[V any](values map[string]V, word, key string) (V, error) {
+	value, known := values[word]
 	if !known {
-		return value, &SettingError{Key: key, Reason: fmt.Sprintf("unknown word %q", name)}
+		return value, &SettingError{Key: key, Reason: fmt.Sprintf("unknown value %q", word)}
 	}
 	return value, nil
 }
 
-// registerName returns an error for a name that is empty or registered already.
+// registerName adds a name to the set of names. It returns an error if the name is empty or in the set already.
 func registerName(names map[string]bool, name, key string) error {
 	if name == "" || names[name] {
-		return &SettingError{Key: key, Reason: fmt.Sprintf("%q is empty or stands there twice", name)}
+		return &SettingError{Key: key, Reason: fmt.Sprintf("%q is empty or a duplicate", name)}
 	}
 	names[name] = true
 	return nil
--- a/internal/protocol/simulator/settings_test.go
+++ b/internal/protocol/simulator/settings_test.go
@@ -15,7 +15,7 @@
 
 const deploymentFile = "../../server/testdata/deployments/short.json"
 
-// readDeployment decodes a deployment file into a value of the test's choice.
+// readDeployment decodes the deployment file into the value that file points to.
 func readDeployment(t *testing.T, file any) {
 	t.Helper()
 	text, err := os.ReadFile(deploymentFile)
@@ -27,8 +27,8 @@
 	}
 }
 
-// Each bad settings object gets one line that names the key.
-func TestBadSettingsAreNamed(t *testing.T) {
+// The error for an invalid settings object must be one line that names the key.
+func TestSettingsErrorsNameTheKey(t *testing.T) {
 	var file struct{ Settings json.RawMessage }
 	readDeployment(t, &file)
 	good := string(file.Settings)
@@ -36,20 +36,20 @@
 		t.Fatal(err)
 	}
 	for _, test := range []struct{ old, new, want string }{
-		{`"Effect": "non_idempotent"`, `"Effect": "undoable"`, `setting Services[].Effect: unknown word "undoable"`},
-		{`"Name": "audit"`, `"Name": "archive"`, `setting Services[].Name: "archive" is empty or stands there twice`},
-		{`"Name": "audit"`, `"Name": ""`, `setting Services[].Name: "" is empty or stands there twice`},
-		{`"HardLimitMs": 250`, `"HardLimitMs": 0`, `setting Services[] "tank-level": HardLimitMs or AimMs is not above 0`},
-		{`"AimMs": 60`, `"AimMs": -1`, `setting Services[] "tank-level": HardLimitMs or AimMs is not above 0`},
+		{`"Effect": "non_idempotent"`, `"Effect": "undoable"`, `setting Services[].Effect: unknown value "undoable"`},
+		{`"Name": "audit"`, `"Name": "archive"`, `setting Services[].Name: "archive" is empty or a duplicate`},
+		{`"Name": "audit"`, `"Name": ""`, `setting Services[].Name: "" is empty or a duplicate`},
+		{`"HardLimitMs": 250`, `"HardLimitMs": 0`, `setting Services[] "tank-level": HardLimitMs and AimMs must be above 0`},
+		{`"AimMs": 60`, `"AimMs": -1`, `setting Services[] "tank-level": HardLimitMs and AimMs must be above 0`},
 		{`"Balancers": 6`, `"Balancers": 6, "Tenants": [{"Name": "x"}, {"Name": "x"}]`,
-			`setting Tenants[].Name: "x" is empty or stands there twice`},
+			`setting Tenants[].Name: "x" is empty or a duplicate`},
 		{`"session", "bounded"]`, `"session"]`, `FamilyInfo.NeedsByClass`},
-		{`"ServerChecks": "refuse"`, `"ServerChecks": "maybe"`, `setting FamilyInfo.ServerChecks: unknown word "maybe"`},
+		{`"ServerChecks": "refuse"`, `"ServerChecks": "maybe"`, `setting FamilyInfo.ServerChecks: unknown value "maybe"`},
 	} {
 		t.Run(test.new, func(t *testing.T) {
 			bad := strings.Replace(good, test.old, test.new, 1)
 			if bad == good {
-				t.Fatalf("%s is not there", test.old)
+				t.Fatalf("the deployment file lacks %s", test.old)
 			}
 			_, err := DecodeSettings(bad)
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
@@ -63,28 +63,28 @@
 	var settingError *SettingError
 	_, err := DecodeSettings(strings.Replace(profileText, `"refuse"`, `"maybe"`, 1))
 	if !errors.As(err, &settingError) || settingError.Key != "FamilyInfo.ServerChecks" {
-		t.Errorf("an unknown word gives %v", err)
+		t.Errorf("unknown value: got %v", err)
 	}
 	var missing *MissingSettingsError
 	_, err = DecodeSettings(strings.Replace(profileText, `"ColdMs"`, `"Other"`, 1))
 	if !errors.As(err, &missing) || !slices.Equal(missing.Keys, []string{"Rules.ColdMs"}) {
-		t.Errorf("an absent key gives %v", err)
+		t.Errorf("absent key: got %v", err)
 	}
 	_, err = DecodeSettings(strings.Replace(profileText, `[200, 0]`, `[200]`, 1))
 	if !errors.Is(err, ErrClassListLength) {
-		t.Errorf("a short list gives %v", err)
+		t.Errorf("too few values by class: got %v", err)
 	}
-	// The texts of package json name the key by the type of the settings object.
+	// Errors of package json name the key together with the Go type of the settings object.
 	_, err = DecodeSettings(strings.Replace(profileText, `"TickMs": 5`, `"TickMs": "5"`, 1))
 	const want = "settings: json: cannot unmarshal string into Go struct field profile.TickMs of type float64"
 	if err == nil || err.Error() != want {
-		t.Errorf("a value of the wrong type gives %v", err)
+		t.Errorf("value of the wrong type: got %v", err)
 	}
 }
 
-// A class has settings in two places of the object, in one of them by its position. In whatever order the classes are
-// listed, each gets its own consistency, staleness, idempotency and times.
-func TestClassesGoByNameInAnyOrder(t *testing.T) {
+// A class has settings in the Services list and, at the same index, in two lists of FamilyInfo. Whatever the order of the
+// classes, each class must get its own consistency, staleness, idempotency and times.
+func TestClassOrderDoesNotMatter(t *testing.T) {
 	var file struct{ Settings map[string]any }
 	readDeployment(t, &file)
 	consistency := file.Settings["FamilyInfo"].(map[string]any)
@@ -110,7 +110,7 @@
 	}
 	want := decode()
 	if len(want) != 4 {
-		t.Fatalf("%d classes, 4 expected", len(want))
+		t.Fatalf("got %d classes, want 4", len(want))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 24 {
@@ -119,7 +119,7 @@
 			list[i], list[j] = list[j], list[i]
 		}
 		if got := decode(); !maps.Equal(got, want) {
-			t.Fatalf("classes in another order are %v, not %v", got, want)
+			t.Fatalf("classes in another order: got %v, want %v", got, want)
 		}
 	}
 }
