--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter lets the simulator drive package routing: it reads batches of events from standard input and
-// writes a reply to each to standard output, with one routing.Router for each instance.
+// Command simadapter connects package routing to the simulator. It reads batches of events from standard input and writes
+// a reply to each batch to standard output. Each instance, which is a simulated gateway, has its own routing.Router.
 package main
 
 import (
@@ -20,12 +20,12 @@
 	}
 }
 
-// run answers batches until the input ends. It returns an error when a line can't be decoded, an instance can't be
-// created, or a reply can't be written.
+// run reads batches and writes their replies until the input ends. It returns an error when a line can't be decoded, an
+// instance can't be created, or a reply can't be written.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simulator.NewDecoder(in)
 	encoder := simulator.NewEncoder(out)
-	instances := adapter{encoder: encoder, routers: map[int]*routing.Router{}}
+	routers := adapter{encoder: encoder, routers: map[int]*routing.Router{}}
 	for {
 		batch, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
@@ -34,7 +34,7 @@
 		if err != nil {
 			return err
 		}
-		if err := instances.process(batch); err != nil {
+		if err := routers.process(batch); err != nil {
 			return err
 		}
 		if err := encoder.EndReply(); err != nil {
@@ -43,13 +43,14 @@
 	}
 }
 
-// adapter holds the routers of this process. They share nothing.
+// adapter holds the routers of all instances. The routers share no state.
 type adapter struct {
 	encoder *simulator.Encoder
 	routers map[int]*routing.Router // by instance
 }
 
-// process gives each instance its events, in the order in which the instances first appear in the batch.
+// process passes the events of a batch to the routers. The instances are processed in the order in which they first
+// appear in the batch.
 func (a *adapter) process(batch *simulator.Batch) error {
 	var order []int
 	events := map[int][]routing.Event{}
@@ -60,7 +61,7 @@
 			events[instance] = nil
 		}
 		switch {
-		case message.Kill: // its earlier events of this batch are void
+		case message.Kill: // discards the earlier events of the instance in this batch
 			delete(a.routers, instance)
 			events[instance] = nil
 		case message.Create != nil:
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// step runs one step of a router and writes its actions. A panic becomes an internal error on the wire.
+// step runs one step of a router and writes its actions. A panic of the router is written as an internal_error line.
 func (a *adapter) step(instance int, router *routing.Router, now time.Duration, events []routing.Event) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// createLine creates an instance with one class of reads.
+// createLine creates an instance whose only class is a class of reads.
 const createLine = `create 1 {"Balancers": 1, "Services": [{"Name": "read", "Effect": "read_like", "Group": "all",` +
 	` "AimMs": 500, "HardLimitMs": 2000}], "MembershipMode": "automatic", "FamilyInfo": {"ServerChecks": "refuse",` +
 	` "Tokens": "remembered", "NeedsByClass": ["any"], "MaxAgeMs": [0]}, "Permissions": {"MaxAttempts": 8},` +
@@ -15,7 +15,7 @@
 // endpointLines give the instance one host.
 const endpointLines = "sheet 0 1\nmember a:1 z k 0 1 1 1 -\nview 1 0 2\n"
 
-// runAdapter answers an input of whole batches.
+// runAdapter runs the adapter on an input and returns its output.
 func runAdapter(t *testing.T, input string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -23,20 +23,20 @@
 	return out.String(), err
 }
 
-func TestEmptyBatchAndCleanEnd(t *testing.T) {
+func TestEmptyBatch(t *testing.T) {
 	out, err := runAdapter(t, "begin_batch 1\nyour_turn\n")
 	if err != nil || out != "yield\n" {
 		t.Fatalf("got %q, %v", out, err)
 	}
 }
 
-func TestInputThatEndsInsideABatchIsAnError(t *testing.T) {
+func TestTruncatedBatchIsAnError(t *testing.T) {
 	if _, err := runAdapter(t, "begin_batch 1\n"); err == nil {
 		t.Fatal("no error")
 	}
 }
 
-func TestBadSettingIsNamed(t *testing.T) {
+func TestInvalidSettingIsNamedInTheError(t *testing.T) {
 	bad := strings.Replace(createLine, `"MaxAttempts": 8`, `"MaxAttempts": 0`, 1)
 	if _, err := runAdapter(t, "begin_batch 1\nswitch_to 0\n"+bad+"your_turn\n"); err == nil ||
 		!strings.Contains(err.Error(), "MaxAttempts") {
@@ -46,17 +46,17 @@
 
 func TestKillAndCreateInOneBatch(t *testing.T) {
 	start := "begin_batch 1000\nswitch_to 0\n" + createLine + endpointLines + "your_turn\n"
-	again := "begin_batch 1010\nswitch_to 0\ndemand 7 - read 1 - - - 900 0\nkill\n" + createLine + endpointLines +
+	restart := "begin_batch 1010\nswitch_to 0\ndemand 7 - read 1 - - - 900 0\nkill\n" + createLine + endpointLines +
 		"demand 8 - read 1 - - - 900 0\nyour_turn\n"
-	out, err := runAdapter(t, start+again)
+	out, err := runAdapter(t, start+restart)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if strings.Contains(out, "attempt 7") || !strings.Contains(out, "attempt 8 a:1") {
-		t.Fatalf("the new instance answers for its own request only, got %q", out)
+		t.Fatalf("want an attempt for request 8 of the new instance only, got %q", out)
 	}
 	out, err = runAdapter(t, start+"begin_batch 1010\nswitch_to 0\nkill\nyour_turn\n")
 	if err != nil || !strings.HasSuffix(out, "yield\nyield\n") {
-		t.Fatalf("a killed instance says nothing, got %q, %v", out, err)
+		t.Fatalf("want no action of a killed instance, got %q, %v", out, err)
 	}
 }
