--- a/internal/frontend/extended/close.go
+++ b/internal/frontend/extended/close.go
@@ -4,7 +4,7 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// Kinds of objects in Describe and Close messages.
+// The kinds of objects that a Describe or Close message can name.
 const (
 	kindStatement = 'S'
 	kindPortal    = 'P'
@@ -12,7 +12,8 @@
 
 func isObjectKind(kind byte) bool { return kind == kindStatement || kind == kindPortal }
 
-// handleClose handles Close: the kind of object, its name. Closing an unknown name is no error.
+// handleClose handles a Close message, whose fields are the kind and the name of the object. As in PostgreSQL, closing an
+// object that doesn't exist is not an error.
 func (s *session) handleClose(fields *pg.FieldReader) error {
 	kind, name := fields.Byte(), fields.Text()
 	if !fields.AtEnd() || !isObjectKind(kind) {
--- a/internal/frontend/extended/deallocate_test.go
+++ b/internal/frontend/extended/deallocate_test.go
@@ -6,7 +6,7 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// DEALLOCATE names one statement, or all. PostgreSQL answers a text without a name, or with several, with a syntax error.
+// DEALLOCATE must name exactly one statement, or ALL. As in PostgreSQL, no name or several names are a syntax error.
 func TestDeallocateNamesOneStatement(t *testing.T) {
 	for text, want := range map[string]string{
 		"DEALLOCATE":                pg.StateSyntax,
--- a/internal/frontend/extended/describe.go
+++ b/internal/frontend/extended/describe.go
@@ -6,15 +6,15 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// Sizes in a RowDescription message, in bytes.
+// Sizes of fields in a RowDescription message, in bytes.
 const (
-	columnCountSize    = 2
-	formatCodeSize     = 2 // the format code is the last field of a column
-	columnFieldsBefore = pg.ColumnFieldsSize - formatCodeSize
+	columnCountSize      = 2
+	formatCodeSize       = 2 // the format code is the last field of a column
+	sizeBeforeFormatCode = pg.ColumnFieldsSize - formatCodeSize
 )
 
-// handleDescribe handles Describe: the kind of object, its name. A statement is described by a host once; its
-// description is cached with it.
+// handleDescribe handles a Describe message, whose fields are the kind and the name of the object. The first Describe of a
+// statement is sent to a host. The description is cached in the statement and answers later ones.
 func (s *session) handleDescribe(fields *pg.FieldReader) error {
 	kind, name := fields.Byte(), fields.Text()
 	if !fields.AtEnd() || !isObjectKind(kind) {
@@ -50,24 +50,24 @@
 	return nil
 }
 
-// emptyDescription describes a statement without parameters and columns.
+// emptyDescription returns the description of a statement that has no parameters and returns no rows.
 func emptyDescription() []byte {
 	return pg.AppendMessage(pg.AppendMessage(nil, pg.MsgParameterDescription, 0, 0), pg.MsgNoData)
 }
 
-// sendDescription answers Describe from a statement's description. A portal has no ParameterDescription, and its
-// columns have the formats that were bound.
+// sendDescription answers a Describe message from the description of its statement. The answer for a portal has no
+// ParameterDescription, and its RowDescription has the result-column format codes of the Bind message.
 func (s *session) sendDescription(statement *preparedStatement, objectKind byte, portal *portal) {
 	for rest := statement.description; len(rest) > 0; {
-		kind, body, size, err := pg.SplitMessage(rest, pg.MaxMessage)
+		messageType, body, size, err := pg.SplitMessage(rest, pg.MaxMessage)
 		if err != nil || size == 0 {
 			s.fail(pg.UnknownOutcomeResponse())
 			return
 		}
 		switch {
-		case objectKind == kindPortal && kind == pg.MsgParameterDescription:
-		case objectKind == kindPortal && kind == pg.MsgRowDescription:
-			s.output = pg.AppendMessage(s.output, kind, withFormatCodes(body, portal.resultFormats)...)
+		case objectKind == kindPortal && messageType == pg.MsgParameterDescription:
+		case objectKind == kindPortal && messageType == pg.MsgRowDescription:
+			s.output = pg.AppendMessage(s.output, messageType, withFormatCodes(body, portal.resultFormats)...)
 		default:
 			s.output = append(s.output, rest[:size]...)
 		}
@@ -75,14 +75,14 @@
 	}
 }
 
-// withFormatCodes returns the body of a RowDescription with the format codes that a Bind has set.
+// withFormatCodes returns a copy of the body of a RowDescription with the format codes of a Bind message.
 func withFormatCodes(body []byte, codes []uint16) []byte {
 	fields := pg.NewFieldReader(body)
 	out := append([]byte(nil), body...)
 	columnEnd := columnCountSize
 	for i := range fields.Int16() {
 		name := fields.Text()
-		fields.Bytes(columnFieldsBefore)
+		fields.Bytes(sizeBeforeFormatCode)
 		if fields.Malformed {
 			return body
 		}
@@ -93,7 +93,7 @@
 	return out
 }
 
-// formatCodeOf is the format of a column: one code applies to all columns, none means text.
+// formatCodeOf returns the format code of a column. A single code applies to all columns. Without codes the format is text.
 func formatCodeOf(column int, codes []uint16) uint16 {
 	switch {
 	case len(codes) == 1:
--- a/internal/frontend/extended/execute.go
+++ b/internal/frontend/extended/execute.go
@@ -8,8 +8,8 @@
 
 const millisecondsPerSecond = 1000
 
-// handleExecute handles Execute: portal name, row limit (0 for none). The first Execute of a portal runs its
-// statement; later ones fetch the rows that the row limit has left.
+// handleExecute handles an Execute message, whose fields are the portal name and the maximum number of rows (0 for no
+// limit). The first Execute of a portal runs its statement. Later ones fetch the rows that exceeded the earlier limits.
 func (s *session) handleExecute(fields *pg.FieldReader) error {
 	name, maxRows := fields.Text(), fields.Int32()
 	if !fields.AtEnd() {
@@ -19,7 +19,7 @@
 	switch {
 	case portal == nil:
 		s.fail(unknownPortal(name))
-	case portal.lastMessage != nil:
+	case portal.finalMessage != nil:
 		s.sendBufferedRows(portal, maxRows)
 	case portal.executed:
 		s.fail(portalAlreadyExecuted(name))
@@ -31,15 +31,15 @@
 	default:
 		portal.executed = true
 		s.rowLimited = maxRows > 0
-		s.run(portal.statement, portal.parameters, executeCommand{portal}, func(answer []byte) {
-			s.handleRows(portal, answer, maxRows)
+		s.runOnHost(portal.statement, portal.parameters, executeCommand{portal}, func(answer []byte) {
+			s.handleExecuteAnswer(portal, answer, maxRows)
 		})
 	}
 	return nil
 }
 
-// handleRows handles the answer to an Execute.
-func (s *session) handleRows(portal *portal, answer []byte, maxRows int) {
+// handleExecuteAnswer handles the answer of a host to an Execute.
+func (s *session) handleExecuteAnswer(portal *portal, answer []byte, maxRows int) {
 	if maxRows <= 0 {
 		s.output = append(s.output, answer...)
 		return
@@ -47,13 +47,13 @@
 	s.bufferAnswer(portal, answer, maxRows)
 }
 
-// handleQuery handles a simple query.
+// handleQuery handles a Query message, which is a simple query.
 func (s *session) handleQuery(fields *pg.FieldReader) error {
 	text := fields.Text()
 	if !fields.AtEnd() {
 		return pg.ErrMalformed
 	}
-	s.dropStatement("") // PostgreSQL's protocol: a simple query closes the unnamed statement and portal
+	s.dropStatement("") // in PostgreSQL, a simple query destroys the unnamed statement and portal
 	s.dropPortal("")
 	statement, rejection := s.prepare(text)
 	switch {
@@ -63,7 +63,7 @@
 		s.runLocalCommand(statement)
 	case statement.rule != nil:
 		s.rowLimited = false
-		s.run(statement, nil, queryCommand(text), func(answer []byte) {
+		s.runOnHost(statement, nil, queryCommand(text), func(answer []byte) {
 			s.output = append(s.output, answer...)
 			s.finishSimpleQuery()
 		})
@@ -76,10 +76,11 @@
 	return nil
 }
 
-// run submits a statement as one request, with the session and the idempotency key that its rule finds in it.
-func (s *session) run(statement *preparedStatement, parameters [][]byte, command any, onSuccess func(answer []byte)) {
+// runOnHost submits a statement as one request to the proxy core, with the session and the idempotency key that its rule
+// extracts.
+func (s *session) runOnHost(statement *preparedStatement, parameters [][]byte, command any, onSuccess func(answer []byte)) {
 	class := s.frontend.Rules.Classes[statement.rule.Class]
-	sessionName, key := statement.rule.sessionAndKey(statement.bare, parameters, s.id)
+	sessionName, key := statement.rule.sessionAndKey(statement.strippedText, parameters, s.id)
 	if class.Idempotency == routing.IdempotentWithKey && key == "" {
 		s.fail(idempotencyKeyNeeded(class.Name))
 		return
@@ -90,7 +91,7 @@
 	s.submit(statement.rule.Class, sessionName, command, onSuccess)
 }
 
-// submit hands a request to the core. The core calls the session's responder methods with its answer.
+// submit submits a request to the proxy core. The core answers it by calling the session's proxy.Responder methods.
 func (s *session) submit(class int, sessionName string, command any, onSuccess func(answer []byte)) {
 	request := proxy.Request{
 		Class: class, Tenant: -1, Group: s.group, Session: sessionName, Command: command, Responder: s,
--- a/internal/frontend/extended/frontend.go
+++ b/internal/frontend/extended/frontend.go
@@ -1,7 +1,7 @@
-// Package extended is the frontend for clients of the extended query protocol, and of plain simple queries.
+// Package extended is the frontend for clients that use the extended query protocol, or simple queries without annotations.
 //
-// A prepared statement and its parameters stay in the gateway until Execute, which is one request to the proxy core:
-// only then is a host chosen. Each statement of a pipeline commits on its own; explicit transactions are rejected.
+// The gateway stores prepared statements and bound parameters itself. An Execute becomes one request to the proxy core, and
+// no host is chosen before that. Each statement of a pipeline commits on its own. Explicit transactions are rejected.
 package extended
 
 import (
@@ -9,20 +9,21 @@
 	"merlinjunction/internal/proxy"
 )
 
-// Frontend turns executes and simple queries into requests to the proxy core.
+// Frontend turns Execute messages and simple queries into requests to the proxy core.
 type Frontend struct {
 	Core  *proxy.Core
 	Rules *Rules
 	// Ready reports whether clients can be served.
 	Ready func() bool
-	// MaxReservedBytes bounds the statements, portals and rows that all sessions buffer together.
+	// MaxReservedBytes limits the total memory of the statements, portals and rows that the sessions keep.
 	MaxReservedBytes int
 
-	sessionsOpened uint64 // gives each session an ID of its own
-	reservedBytes  int    // by all sessions together, at most MaxReservedBytes
+	sessionsOpened uint64 // the number of sessions so far, from which each session gets a unique ID
+	reservedBytes  int    // total of all sessions, at most MaxReservedBytes
 }
 
-// NewSession starts the session of a client. It closes the connection of a client that names an unknown database.
+// NewSession starts the session of a client. A client that names an unknown database gets an error, and its connection
+// is closed.
 func (f *Frontend) NewSession(client *pg.Client) pg.Session {
 	f.sessionsOpened++
 	s := &session{
--- a/internal/frontend/extended/keywordless_test.go
+++ b/internal/frontend/extended/keywordless_test.go
@@ -6,7 +6,7 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// A statement without any keyword is rejected like any other that no rule maps to a class.
+// A statement that has no keyword must be rejected like any statement without a matching rule, and must not cause a panic.
 func TestStatementWithoutKeywordIsRejected(t *testing.T) {
 	for _, text := range []string{"=", " = ;", "=="} {
 		t.Run(text, func(t *testing.T) {
--- a/internal/frontend/extended/local_command.go
+++ b/internal/frontend/extended/local_command.go
@@ -7,21 +7,21 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// localCommand is a statement that the gateway answers itself. It returns nil on success.
+// localCommand executes a statement that the gateway answers itself. It returns nil on success.
 type localCommand func() *pg.ErrorResponse
 
-// ignoredSettings are the settings that drivers change on their own, and that change nothing here.
+// ignoredSettings has the settings that drivers set on their own. The gateway accepts a SET of them without any effect.
 var ignoredSettings = map[string]bool{"APPLICATION_NAME": true, "EXTRA_FLOAT_DIGITS": true}
 
-// maxCommandKeywords is how many keywords identify a local command, as in SET name value.
+// maxCommandKeywords is the number of leading keywords that identify a local command, as in SET name value.
 const maxCommandKeywords = 3
 
-// prepareLocalCommand sets the local command of a statement that the gateway answers itself. It rejects statements
-// whose effect would be tied to one connection to a host.
+// prepareLocalCommand sets localCommand and commandTag of a statement that the gateway answers itself. It rejects statements
+// whose effect depends on a single connection to a host, such as transactions and cursors.
 func (s *session) prepareLocalCommand(statement *preparedStatement) *pg.ErrorResponse {
-	keywords := leadingKeywords(statement.bare, maxCommandKeywords)
+	keywords := leadingKeywords(statement.strippedText, maxCommandKeywords)
 	if len(keywords) == 0 {
-		return nil // no local command has a text like "="
+		return nil // the text has only separators, such as "="
 	}
 	switch keywords[0] {
 	case "BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT", "SAVEPOINT", "RELEASE":
@@ -30,7 +30,7 @@
 		rejection := dedicatedHostNeeded(keywords[0])
 		return &rejection
 	case "SET":
-		if !isIgnoredSetting(keywords, statement.bare) {
+		if !isIgnoredSetting(keywords, statement.strippedText) {
 			return &settingNotSupported
 		}
 		statement.commandTag, statement.localCommand = "SET", doNothing
@@ -43,17 +43,18 @@
 		}
 	case "DEALLOCATE":
 		statement.commandTag = "DEALLOCATE"
-		statement.localCommand = func() *pg.ErrorResponse { return s.deallocate(statement.bare) }
+		statement.localCommand = func() *pg.ErrorResponse { return s.deallocate(statement.strippedText) }
 	}
 	return nil
 }
 
-// isIgnoredSetting reports whether a SET changes nothing here: an ignored setting, or the client encoding UTF8.
-func isIgnoredSetting(keywords []string, bare string) bool {
+// isIgnoredSetting reports whether a SET has no effect in the gateway: it sets one of ignoredSettings, or sets the client
+// encoding to UTF8.
+func isIgnoredSetting(keywords []string, strippedText string) bool {
 	if len(keywords) < maxCommandKeywords {
 		return false
 	}
-	utf8 := keywords[1] == "CLIENT_ENCODING" && strings.Contains(strings.ToUpper(bare), "UTF8")
+	utf8 := keywords[1] == "CLIENT_ENCODING" && strings.Contains(strings.ToUpper(strippedText), "UTF8")
 	return ignoredSettings[keywords[1]] || utf8
 }
 
@@ -64,9 +65,9 @@
 	return nil
 }
 
-// deallocate closes the statement that a DEALLOCATE [PREPARE] names, or all.
-func (s *session) deallocate(bare string) *pg.ErrorResponse {
-	_, name := cutWord(bare)
+// deallocate closes the statement that a DEALLOCATE [PREPARE] names, or all statements for ALL.
+func (s *session) deallocate(strippedText string) *pg.ErrorResponse {
+	_, name := cutWord(strippedText)
 	if first, rest := cutWord(name); strings.EqualFold(first, "PREPARE") {
 		name = rest
 	}
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// cutWord splits a text after its first word, without the white space around the two.
+// cutWord returns the first word of a text and the rest of the text, both without surrounding white space.
 func cutWord(text string) (word, rest string) {
 	text = strings.TrimSpace(text)
 	end := strings.IndexFunc(text, unicode.IsSpace)
@@ -97,7 +98,7 @@
 	return text[:end], strings.TrimSpace(text[end:])
 }
 
-// runLocalCommand answers a statement that no host is needed for.
+// runLocalCommand executes a local command and sends its answer.
 func (s *session) runLocalCommand(statement *preparedStatement) {
 	if rejection := statement.localCommand(); rejection != nil {
 		s.fail(*rejection)
--- a/internal/frontend/extended/memory.go
+++ b/internal/frontend/extended/memory.go
@@ -1,15 +1,16 @@
 package extended
 
 const (
-	// maxSessionBytes bounds the statements, portals and rows that one session buffers.
+	// maxSessionBytes limits the memory of the statements, portals and rows that one session keeps.
 	maxSessionBytes = 1 << 20
-	// maxNames bounds the prepared statements of one session, and its portals.
-	maxNames = 1000
-	// overheadBytes is what a statement or portal is counted for beyond its text.
+	// maxObjectsPerKind limits the number of prepared statements of one session, and the number of its portals.
+	maxObjectsPerKind = 1000
+	// overheadBytes is the memory that is counted for each statement or portal in addition to its content.
 	overheadBytes = 200
 )
 
-// reserve counts memory that the session is about to keep. It returns false when that would exceed a limit.
+// reserve counts memory that the session is about to keep. It counts nothing and returns false when that would exceed the
+// limit of the session or of the frontend.
 func (s *session) reserve(bytes int) bool {
 	if bytes <= 0 {
 		return true
@@ -22,7 +23,7 @@
 	return true
 }
 
-// release returns memory that was reserved.
+// release subtracts memory that was reserved and is no longer kept.
 func (s *session) release(bytes int) {
 	s.reservedBytes -= bytes
 	s.frontend.reservedBytes -= bytes
--- a/internal/frontend/extended/portal.go
+++ b/internal/frontend/extended/portal.go
@@ -4,26 +4,27 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// maxFormatCode is the binary format; 0 is text.
+// maxFormatCode is the highest valid format code, which is binary. The code of text is 0.
 const maxFormatCode = 1
 
-// portal is a statement with its parameters.
+// portal is a prepared statement with bound parameters.
 type portal struct {
 	statement     *preparedStatement
 	parameters    [][]byte // nil for NULL
-	bindFields    []byte   // formats, parameters and result formats, as encoded in the Bind message
+	bindFields    []byte   // the format codes, parameters and result format codes, as encoded in the Bind message
 	resultFormats []uint16
-	executed      bool // a portal runs once: a second run could repeat a write
+	executed      bool // a portal is executed only once, because a second execution could repeat a write
 
-	bufferedRows  [][]byte // DataRow messages of the answer that the client hasn't fetched yet
-	lastMessage   []byte   // of the buffered answer, after its rows; nil when nothing is buffered
+	bufferedRows  [][]byte // DataRow messages of the answer that have not been sent to the client
+	finalMessage  []byte   // the message after the rows of a buffered answer; nil when no answer is buffered
 	reservedBytes int
 }
 
-// handleBind handles Bind: portal name, statement name, parameter formats, parameters, result formats.
+// handleBind handles a Bind message, whose fields are the portal name, the statement name, the parameter format codes, the
+// parameters and the result-column format codes.
 func (s *session) handleBind(fields *pg.FieldReader, body []byte) error {
 	name, statementName := fields.Text(), fields.Text()
-	namesSize := len(name) + len(statementName) + 2 // two terminators
+	namesSize := len(name) + len(statementName) + 2 // two terminating zero bytes
 	newPortal, ok := readBindFields(fields)
 	if !ok {
 		return pg.ErrMalformed
@@ -38,7 +39,7 @@
 		s.fail(unknownStatement(statementName))
 	case s.portals[name] != nil:
 		s.fail(duplicatePortal(name))
-	case len(s.portals) >= maxNames || !s.reserve(newPortal.reservedBytes):
+	case len(s.portals) >= maxObjectsPerKind || !s.reserve(newPortal.reservedBytes):
 		s.fail(memoryLimitExceeded)
 	default:
 		newPortal.bindFields = append([]byte(nil), body[namesSize:]...)
@@ -49,14 +50,15 @@
 	return nil
 }
 
-// readBindFields reads what follows the names in a Bind message. The parameters of the portal refer to the message.
+// readBindFields reads the fields that follow the names in a Bind message. The parameters of the returned portal are slices
+// of the message buffer.
 func readBindFields(fields *pg.FieldReader) (parsed *portal, ok bool) {
 	formats, ok := readFormatCodes(fields)
 	if !ok {
 		return nil, false
 	}
 	count := fields.Int16()
-	parameters := make([][]byte, 0, min(count, 1<<10)) // the count isn't validated yet
+	parameters := make([][]byte, 0, min(count, 1<<10)) // the count is not validated yet
 	for range count {
 		parameters = append(parameters, fields.Value())
 		if fields.Malformed {
@@ -70,7 +72,7 @@
 	return &portal{parameters: parameters, resultFormats: resultFormats}, true
 }
 
-// readFormatCodes reads a count and as many format codes.
+// readFormatCodes reads the number of format codes and then the codes.
 func readFormatCodes(fields *pg.FieldReader) (codes []uint16, ok bool) {
 	count := fields.Int16()
 	for range count {
@@ -83,7 +85,7 @@
 	return codes, !fields.Malformed
 }
 
-// copyParameters detaches the parameters from the message, whose buffer is reused.
+// copyParameters copies the parameters, because the buffer of the Bind message is reused.
 func (p *portal) copyParameters() {
 	for i, value := range p.parameters {
 		if value != nil {
@@ -92,7 +94,7 @@
 	}
 }
 
-// dropPortal removes a portal and releases its memory. An unknown name is ignored.
+// dropPortal removes a portal and releases its memory. It does nothing if no portal has the name.
 func (s *session) dropPortal(name string) {
 	if dropped := s.portals[name]; dropped != nil {
 		s.release(dropped.reservedBytes)
@@ -100,23 +102,23 @@
 	}
 }
 
-// bufferAnswer keeps a complete answer in the portal, and sends the rows of the first Execute.
+// bufferAnswer stores a complete answer in the portal and sends the rows that the first Execute asks for.
 func (s *session) bufferAnswer(portal *portal, answer []byte, maxRows int) {
 	for rest := answer; len(rest) > 0; {
-		kind, _, size, err := pg.SplitMessage(rest, pg.MaxMessage)
+		messageType, _, size, err := pg.SplitMessage(rest, pg.MaxMessage)
 		if err != nil || size == 0 {
 			s.fail(pg.UnknownOutcomeResponse())
 			return
 		}
-		if kind == pg.MsgDataRow {
+		if messageType == pg.MsgDataRow {
 			portal.bufferedRows = append(portal.bufferedRows, rest[:size])
 		} else {
-			portal.lastMessage = rest[:size]
+			portal.finalMessage = rest[:size]
 		}
 		rest = rest[size:]
 	}
 	if !s.reserve(len(answer)) {
-		portal.bufferedRows, portal.lastMessage = nil, nil
+		portal.bufferedRows, portal.finalMessage = nil, nil
 		s.fail(memoryLimitExceeded)
 		return
 	}
@@ -124,8 +126,8 @@
 	s.sendBufferedRows(portal, maxRows)
 }
 
-// sendBufferedRows sends up to maxRows rows of a buffered answer, 0 for all. The portal is suspended while some are
-// left.
+// sendBufferedRows sends up to maxRows rows of a buffered answer, or all rows if maxRows is 0. If rows remain, it sends
+// PortalSuspended, else the final message of the answer.
 func (s *session) sendBufferedRows(portal *portal, maxRows int) {
 	count := len(portal.bufferedRows)
 	if maxRows > 0 {
@@ -139,6 +141,6 @@
 		s.output = pg.AppendMessage(s.output, pg.MsgPortalSuspended)
 		return
 	}
-	s.output = append(s.output, portal.lastMessage...)
-	portal.lastMessage = nil
+	s.output = append(s.output, portal.finalMessage...)
+	portal.finalMessage = nil
 }
--- a/internal/frontend/extended/responder.go
+++ b/internal/frontend/extended/responder.go
@@ -10,7 +10,7 @@
 	_ proxy.Streamer  = (*session)(nil)
 )
 
-// Succeed handles the answer of a host.
+// Succeed handles the complete answer of a host, or the part that follows the streamed part.
 func (s *session) Succeed(answer []byte) {
 	s.inFlight, s.resumeStream = false, nil
 	s.onSuccess(answer)
@@ -18,19 +18,19 @@
 	s.client.Resume()
 }
 
-// Reject responds that there is no answer and that the client may retry safely (see pg.RejectionResponse).
+// Reject responds that the request was not answered and that the client may retry it safely. See pg.RejectionResponse.
 func (s *session) Reject(retryAfterMs float64) {
 	s.Fail(pg.RejectionResponse(retryAfterMs).AppendTo(nil))
 }
 
-// Fail forwards the error of a host; without one the outcome of the statement is unknown.
+// Fail forwards the error of a host. Without such an error it responds that the outcome of the statement is unknown.
 func (s *session) Fail(hostError []byte) {
 	s.inFlight = false
 	s.failWith(pg.FailureBody(hostError))
 	s.client.Resume()
 }
 
-// BeginStream accepts an answer as a stream unless its rows are buffered for a portal.
+// BeginStream accepts an answer as a stream, unless a row limit requires that its rows are buffered in a portal.
 func (s *session) BeginStream(resume func()) bool {
 	if s.rowLimited {
 		return false
@@ -39,8 +39,8 @@
 	return true
 }
 
-// StreamPart forwards as much as the client's window allows, after the output of earlier statements. It returns the
-// number of bytes that were forwarded.
+// StreamPart sends the output of earlier statements, then as much of the part as the client's window allows. It returns the
+// number of bytes of the part that were sent.
 func (s *session) StreamPart(part []byte) int {
 	if !s.inFlight {
 		return 0
@@ -56,13 +56,15 @@
 	}
 }
 
-// AbortStream closes the connection: an error in the middle of a row could not be distinguished from the row's data.
+// AbortStream closes the connection. The client could not distinguish an error message in the middle of a row from the data
+// of the row.
 func (s *session) AbortStream() {
 	s.inFlight, s.resumeStream = false, nil
 	s.client.Abort()
 }
 
-// Cancel cancels the request in flight. Whether its statement has run is unknown.
+// Cancel cancels the request in flight. Its statement may have run. A streamed answer is aborted; otherwise the client gets
+// an error.
 func (s *session) Cancel() {
 	s.frontend.Core.CancelRequest(s.requestID)
 	if s.resumeStream != nil {
--- a/internal/frontend/extended/rules.go
+++ b/internal/frontend/extended/rules.go
@@ -8,28 +8,28 @@
 	"merlinjunction/routing"
 )
 
-// Names of the pattern groups that hold the session and the idempotency key.
+// Names of the capturing groups of a pattern that match the session name and the idempotency key.
 const (
 	sessionGroup = "session"
 	keyGroup     = "key"
 )
 
-// Prefixes that keep the names of sessions apart: a client can't name the session of a connection.
+// Prefixes of session names. They prevent a client from naming the session that belongs to a connection.
 const (
 	namedSessionPrefix      = "s:"
 	connectionSessionPrefix = "c:"
 )
 
-// Rule maps statements to a class. The first rule whose pattern matches applies.
+// Rule maps statements to a class. The first rule whose pattern matches a statement applies.
 type Rule struct {
-	// Pattern matches the statement without comments. Its groups "session" and "key" hold the session's name and the
-	// idempotency key where no parameter does.
+	// Pattern is matched against the statement without comments. Its groups "session" and "key" match the session name and
+	// the idempotency key of a statement that doesn't have them in parameters.
 	Pattern *regexp.Regexp
 	Class   int
-	// SessionParam is the number, from 1, of the parameter with the session's name; 0 for none. A statement that
-	// names no session belongs to its connection's.
+	// SessionParam is the number of the parameter that has the session name, counted from 1, or 0 for none. A statement that
+	// names no session belongs to the session of its connection.
 	SessionParam int
-	// KeyParam is the number, from 1, of the parameter with the idempotency key; 0 for none.
+	// KeyParam is the number of the parameter that has the idempotency key, counted from 1, or 0 for none.
 	KeyParam int
 }
 
@@ -37,29 +37,29 @@
 type Rules struct {
 	Classes       []routing.Class
 	Rules         []Rule
-	DescribeClass int            // the class of Describe: idempotent, and served by any host
-	Databases     map[string]int // group of hosts by database name
-	Tenants       map[string]int // tenant by user name
+	DescribeClass int            // the class of Describe requests; it must be idempotent, and any host may serve it
+	Databases     map[string]int // number of the host group, by database name
+	Tenants       map[string]int // index of the tenant, by user name
 }
 
-// match returns the rule for a statement without comments, or nil.
-func (r *Rules) match(bare string) *Rule {
+// match returns the first rule whose pattern matches a statement without comments, or nil.
+func (r *Rules) match(strippedText string) *Rule {
 	for i := range r.Rules {
-		if r.Rules[i].Pattern.MatchString(bare) {
+		if r.Rules[i].Pattern.MatchString(strippedText) {
 			return &r.Rules[i]
 		}
 	}
 	return nil
 }
 
-// Validate returns an error that names the first key of the operator's file that is wrong.
+// Validate returns an error for the first invalid key of the operator's file. The error names the key.
 func (r *Rules) Validate() error {
 	if len(r.Databases) == 0 {
-		return fmt.Errorf("database: none is named")
+		return fmt.Errorf("database: at least one is required")
 	}
 	describe := r.Classes[r.DescribeClass]
 	if describe.Idempotency != routing.Idempotent || describe.Consistency != routing.ConsistencyAny {
-		return fmt.Errorf("describe_class: %q is not a safe class that any host may answer", describe.Name)
+		return fmt.Errorf("describe_class: class %q must have effect \"safe\" and need \"any\"", describe.Name)
 	}
 	for i := range r.Rules {
 		if err := r.Rules[i].validate(r.Classes); err != nil {
@@ -73,26 +73,27 @@
 	class := classes[r.Class]
 	hasKey := r.KeyParam != 0 || r.Pattern.SubexpIndex(keyGroup) >= 0
 	if class.Idempotency == routing.IdempotentWithKey && !hasKey {
-		return fmt.Errorf("class %q needs key_param, or a group named key", class.Name)
+		return fmt.Errorf("class %q needs key_param, or a group named key in the pattern", class.Name)
 	}
 	if r.KeyParam < 0 || r.SessionParam < 0 {
-		return fmt.Errorf("key_param and session_param count from 1")
+		return fmt.Errorf("key_param and session_param must be 1 or more")
 	}
 	return nil
 }
 
-// sessionAndKey returns the name of a statement's session, and its idempotency key or "".
-func (r *Rule) sessionAndKey(bare string, parameters [][]byte, connection uint64) (session, key string) {
-	session = r.value(r.SessionParam, sessionGroup, bare, parameters)
-	key = r.value(r.KeyParam, keyGroup, bare, parameters)
+// sessionAndKey returns the session name and the idempotency key of a statement. The key is "" if the statement has none.
+func (r *Rule) sessionAndKey(strippedText string, parameters [][]byte, connectionID uint64) (session, key string) {
+	session = r.parameterOrGroup(r.SessionParam, sessionGroup, strippedText, parameters)
+	key = r.parameterOrGroup(r.KeyParam, keyGroup, strippedText, parameters)
 	if session != "" {
 		return namedSessionPrefix + session, key
 	}
-	return connectionSessionPrefix + strconv.FormatUint(connection, 10), key
+	return connectionSessionPrefix + strconv.FormatUint(connectionID, 10), key
 }
 
-// value returns a parameter by its number from 1, else what the pattern's group matches in the text, else "".
-func (r *Rule) value(parameter int, group, bare string, parameters [][]byte) string {
+// parameterOrGroup returns the parameter with the given number, counted from 1. Without such a parameter it returns what
+// the group of the pattern matches in the text, or "".
+func (r *Rule) parameterOrGroup(parameter int, group, strippedText string, parameters [][]byte) string {
 	if parameter > 0 && parameter <= len(parameters) {
 		return string(parameters[parameter-1])
 	}
@@ -100,7 +101,7 @@
 	if index < 0 {
 		return ""
 	}
-	if match := r.Pattern.FindStringSubmatch(bare); match != nil {
+	if match := r.Pattern.FindStringSubmatch(strippedText); match != nil {
 		return match[index]
 	}
 	return ""
--- a/internal/frontend/extended/rules_test.go
+++ b/internal/frontend/extended/rules_test.go
@@ -32,18 +32,18 @@
 	}{
 		"valid":          {func(*Rules) {}, ""},
 		"key in a group": {func(r *Rules) { r.Rules[1] = Rule{Pattern: regexp.MustCompile("(?P<key>x)"), Class: write} }, ""},
-		"no database":    {func(r *Rules) { r.Databases = nil }, "database: none is named"},
+		"no database":    {func(r *Rules) { r.Databases = nil }, "database: at least one is required"},
 		"describe class": {
 			func(r *Rules) { r.DescribeClass = write },
-			`describe_class: "write" is not a safe class that any host may answer`,
+			`describe_class: class "write" must have effect "safe" and need "any"`,
 		},
 		"no key": {
 			func(r *Rules) { r.Rules[1].KeyParam = 0 },
-			`statement 2: class "write" needs key_param, or a group named key`,
+			`statement 2: class "write" needs key_param, or a group named key in the pattern`,
 		},
 		"parameter below 1": {
 			func(r *Rules) { r.Rules[0].SessionParam = -1 },
-			"statement 1: key_param and session_param count from 1",
+			"statement 1: key_param and session_param must be 1 or more",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/frontend/extended/scanner.go
+++ b/internal/frontend/extended/scanner.go
@@ -2,11 +2,11 @@
 
 import "strings"
 
-// scan returns SQL text without comments, each replaced by a space, and the number of statements in it. Semicolons in
-// quoted strings and names, dollar quotes and nested comments don't end a statement.
-func scan(text string) (bare string, statements int) {
+// scan returns SQL text with each comment replaced by a space, and the number of statements in the text. A semicolon in a
+// string, a quoted identifier, a dollar-quoted string or a comment, which may be nested, doesn't end a statement.
+func scan(text string) (strippedText string, statements int) {
 	var out strings.Builder
-	empty := true // the current statement has nothing but white space so far
+	empty := true // the current statement has only white space and comments so far
 	for i := 0; i < len(text); {
 		if length := commentLen(text[i:]); length > 0 {
 			out.WriteByte(' ')
@@ -27,7 +27,7 @@
 	return strings.Trim(out.String(), " \t\r\n;"), statements
 }
 
-// commentLen is the length of the comment that a text begins with, 0 when it begins with none.
+// commentLen returns the length of the comment at the start of a text, or 0 if the text doesn't start with a comment.
 func commentLen(text string) int {
 	switch {
 	case strings.HasPrefix(text, "--"):
@@ -41,7 +41,8 @@
 	return 0
 }
 
-// blockCommentLen is the length of a comment that may have others in it. One that isn't closed extends to the end.
+// blockCommentLen returns the length of the block comment at the start of a text. Block comments can be nested. A comment
+// that isn't closed extends to the end of the text.
 func blockCommentLen(text string) int {
 	depth := 0
 	for i := 0; i+1 < len(text); i++ {
@@ -60,7 +61,7 @@
 	return len(text)
 }
 
-// tokenLen is the length of the quoted text at an offset, 1 for any other character.
+// tokenLen returns the length of the quoted text that starts at an offset, or 1 for any other character.
 func tokenLen(text string, offset int) int {
 	rest := text[offset:]
 	switch text[offset] {
@@ -76,7 +77,7 @@
 	return 1
 }
 
-// hasEscapePrefix reports whether the quote at an offset opens an escape string, as in E'...'.
+// hasEscapePrefix reports whether the quote at an offset opens an escape string such as E'...'.
 func hasEscapePrefix(text string, quote int) bool {
 	if quote == 0 || text[quote-1] != 'E' && text[quote-1] != 'e' {
 		return false
@@ -84,13 +85,13 @@
 	return quote == 1 || !isNameByte(text[quote-2])
 }
 
-// isNameByte reports whether a byte can be part of an unquoted name.
+// isNameByte reports whether a byte can be part of an unquoted identifier.
 func isNameByte(c byte) bool {
 	return c == '_' || c == '$' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
 }
 
-// quotedLen is the length of the quoted text that a text begins with. A doubled quote doesn't end it, nor in an escape
-// string does one after a backslash.
+// quotedLen returns the length of the quoted text at the start of a text. A doubled quote doesn't end the quoted text. In an
+// escape string, a quote after a backslash doesn't end it either.
 func quotedLen(text string, quote byte, escapes bool) int {
 	for i := 1; i < len(text); i++ {
 		switch {
@@ -105,8 +106,8 @@
 	return len(text)
 }
 
-// dollarQuotedLen is the length of a dollar-quoted string such as $tag$...$tag$, and 1 for a dollar that begins none,
-// as in $1.
+// dollarQuotedLen returns the length of the dollar-quoted string, such as $tag$...$tag$, at the start of a text. It returns
+// 1 for a dollar sign that doesn't start such a string, as in $1.
 func dollarQuotedLen(text string) int {
 	tagEnd := strings.IndexByte(text[1:], '$')
 	if tagEnd < 0 {
@@ -124,9 +125,9 @@
 	return len(text)
 }
 
-// leadingKeywords returns up to limit words from the start of SQL without comments, in capitals.
-func leadingKeywords(bare string, limit int) []string {
-	keywords := strings.FieldsFunc(bare, func(c rune) bool { return strings.ContainsRune(" \t\r\n=;", c) })
+// leadingKeywords returns up to limit words from the start of SQL text without comments, in upper case.
+func leadingKeywords(strippedText string, limit int) []string {
+	keywords := strings.FieldsFunc(strippedText, func(c rune) bool { return strings.ContainsRune(" \t\r\n=;", c) })
 	keywords = keywords[:min(len(keywords), limit)]
 	for i := range keywords {
 		keywords[i] = strings.ToUpper(keywords[i])
--- a/internal/frontend/extended/scanner_test.go
+++ b/internal/frontend/extended/scanner_test.go
@@ -4,8 +4,8 @@
 
 func TestScan(t *testing.T) {
 	for _, test := range []struct {
-		text, bare string
-		statements int
+		text, strippedText string
+		statements         int
 	}{
 		{"", "", 0},
 		{" ;; -- nothing\n /* or /* nested */ ; */ ;", "", 0},
@@ -19,8 +19,8 @@
 		{"SELECT 'open; SELECT 2", "SELECT 'open; SELECT 2", 1},
 		{"SELECT a$1$b;SELECT 2", "SELECT a$1$b;SELECT 2", 2},
 	} {
-		if bare, statements := scan(test.text); bare != test.bare || statements != test.statements {
-			t.Errorf("%q: got %q, %d", test.text, bare, statements)
+		if strippedText, statements := scan(test.text); strippedText != test.strippedText || statements != test.statements {
+			t.Errorf("%q: got %q, %d", test.text, strippedText, statements)
 		}
 	}
 }
--- a/internal/frontend/extended/session.go
+++ b/internal/frontend/extended/session.go
@@ -6,8 +6,8 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// flushAboveBytes is how much output is collected before it is sent without a Flush or Sync. It bounds the memory for
-// a client that never asks for its answers.
+// flushAboveBytes is the size of the collected output above which it is sent without a Flush or Sync. It limits the memory
+// for a client that never sends Flush or Sync.
 const flushAboveBytes = 8 << 10
 
 var (
@@ -16,27 +16,28 @@
 	_ pg.Flusher  = (*session)(nil)
 )
 
-// session is the state of one client. It handles one message at a time, so that a pipeline stays in order.
+// session is the state of one client. It handles one message at a time, so that the messages of a pipeline take effect in
+// order.
 type session struct {
 	frontend *Frontend
 	client   *pg.Client
-	id       uint64
-	group    int // of hosts, by the client's database
+	id       uint64 // unique among all sessions of the frontend
+	group    int    // number of the host group of the client's database
 
 	statements    map[string]*preparedStatement
 	portals       map[string]*portal
-	reservedBytes int // counted in frontend.reservedBytes too
+	reservedBytes int // also counted in frontend.reservedBytes
 
-	output           []byte // not yet sent to the client
-	simpleQuery      bool   // the current message is a simple query, or answered like one: ReadyForQuery follows
-	inPipeline       bool   // a message of the extended protocol was received, and no Sync since
-	discardUntilSync bool   // an error was reported in this pipeline
+	output           []byte // messages that have not been sent to the client
+	simpleQuery      bool   // the current message is a Query or FunctionCall, whose answer ends with ReadyForQuery
+	inPipeline       bool   // a message of the extended query protocol was received, and no Sync since then
+	discardUntilSync bool   // the current pipeline has an error; messages are discarded until Sync
 
-	inFlight     bool // a request is in the core
+	inFlight     bool // the proxy core has an unanswered request of this session
 	requestID    uint64
 	onSuccess    func(answer []byte)
-	rowLimited   bool   // the rows of the request in flight are buffered for a portal that is read in parts
-	resumeStream func() // asks the core for more of a streamed answer; nil when none is being streamed
+	rowLimited   bool   // the request in flight is an Execute with a row limit, so its rows are buffered in the portal
+	resumeStream func() // asks the proxy core for more of a streamed answer; nil when no answer is being streamed
 }
 
 // Busy reports whether a request is in flight.
@@ -45,10 +46,10 @@
 // Accepts reports whether the next message can be handled now.
 func (s *session) Accepts(byte) bool { return !s.inFlight }
 
-// InPipeline reports whether a pipeline has begun whose Sync hasn't been received.
+// InPipeline reports whether a pipeline has begun and its Sync has not been received.
 func (s *session) InPipeline() bool { return s.inPipeline }
 
-// ClientGone releases the session's memory and cancels its request.
+// ClientGone releases the session's memory and cancels its request in flight.
 func (s *session) ClientGone() {
 	s.release(s.reservedBytes)
 	if s.inFlight {
@@ -58,35 +59,35 @@
 }
 
 // HandleMessage handles one message of the client.
-func (s *session) HandleMessage(kind byte, body []byte) {
-	s.simpleQuery = kind == pg.MsgQuery
+func (s *session) HandleMessage(messageType byte, body []byte) {
+	s.simpleQuery = messageType == pg.MsgQuery
 	switch {
-	case isExtendedQuery(kind):
+	case isExtendedQuery(messageType):
 		s.inPipeline = true
-	case kind == pg.MsgSync:
+	case messageType == pg.MsgSync:
 		s.inPipeline = false
 	}
-	if s.discardUntilSync && kind != pg.MsgSync {
-		if !isKnownMessage(kind) {
-			s.client.FatalUnknownMessage(kind)
+	if s.discardUntilSync && messageType != pg.MsgSync {
+		if !isKnownMessage(messageType) {
+			s.client.FatalUnknownMessage(messageType)
 		}
 		return
 	}
-	err := s.callHandler(kind, body)
+	err := s.callHandler(messageType, body)
 	if len(s.output) > flushAboveBytes {
 		s.flush()
 	}
 	if err != nil {
 		s.flush()
-		s.client.Fatal(pg.StateProtocol, fmt.Sprintf("malformed message of type %q", kind))
+		s.client.Fatal(pg.StateProtocol, fmt.Sprintf("malformed message of type %q", messageType))
 	}
 }
 
-// callHandler calls the handler for a message's type. The error is pg.ErrMalformed or nil; errors of a statement are
-// responses.
-func (s *session) callHandler(kind byte, body []byte) error {
+// callHandler calls the handler for the type of a message. It returns pg.ErrMalformed for a malformed message. Errors of a
+// statement are not returned but sent to the client.
+func (s *session) callHandler(messageType byte, body []byte) error {
 	fields := pg.NewFieldReader(body)
-	switch kind {
+	switch messageType {
 	case pg.MsgQuery:
 		return s.handleQuery(fields)
 	case pg.MsgParse:
@@ -106,32 +107,32 @@
 	case pg.MsgFunctionCall:
 		s.simpleQuery = true
 		s.fail(functionCallsNotSupported)
-	case pg.MsgCopyData, pg.MsgCopyDone, pg.MsgCopyFail: // sent before the client has seen that its COPY was rejected
+	case pg.MsgCopyData, pg.MsgCopyDone, pg.MsgCopyFail: // sent before the client has received the rejection of its COPY
 	default:
-		s.client.FatalUnknownMessage(kind)
+		s.client.FatalUnknownMessage(messageType)
 	}
 	return nil
 }
 
-// isExtendedQuery reports whether a message type belongs to the extended query protocol, apart from Sync.
-func isExtendedQuery(kind byte) bool {
-	switch kind {
+// isExtendedQuery reports whether a message type belongs to the extended query protocol. Sync is not included.
+func isExtendedQuery(messageType byte) bool {
+	switch messageType {
 	case pg.MsgParse, pg.MsgBind, pg.MsgDescribe, pg.MsgExecute, pg.MsgClose, pg.MsgFlush:
 		return true
 	}
 	return false
 }
 
-// isKnownMessage reports whether a client may send a message type, apart from Sync and Terminate.
-func isKnownMessage(kind byte) bool {
-	switch kind {
+// isKnownMessage reports whether a client may send messages of a type. Sync and Terminate are not included.
+func isKnownMessage(messageType byte) bool {
+	switch messageType {
 	case pg.MsgQuery, pg.MsgFunctionCall, pg.MsgCopyData, pg.MsgCopyDone, pg.MsgCopyFail:
 		return true
 	}
-	return isExtendedQuery(kind)
+	return isExtendedQuery(messageType)
 }
 
-// handleFlush handles Flush, which has no fields.
+// handleFlush handles a Flush message, which has no fields.
 func (s *session) handleFlush(fields *pg.FieldReader) error {
 	if !fields.AtEnd() {
 		return pg.ErrMalformed
@@ -140,7 +141,8 @@
 	return nil
 }
 
-// handleSync ends a pipeline: it closes all portals and forgets the pipeline's error.
+// handleSync handles a Sync message, which has no fields and ends a pipeline. It closes all portals and clears the error
+// state of the pipeline.
 func (s *session) handleSync(fields *pg.FieldReader) error {
 	if !fields.AtEnd() {
 		return pg.ErrMalformed
@@ -154,11 +156,11 @@
 	return nil
 }
 
-// fail reports an error to the client. The rest of the pipeline is discarded, so that no host sees what follows a
-// failed statement.
+// fail sends an error to the client. The rest of the pipeline is discarded, so that no host receives the statements after a
+// failed one.
 func (s *session) fail(response pg.ErrorResponse) { s.failWith(response.AppendTo(nil)) }
 
-// failWith is fail for an ErrorResponse message that is already encoded.
+// failWith does the same as fail for an ErrorResponse message that is already encoded.
 func (s *session) failWith(errorMessage []byte) {
 	s.output = append(s.output, errorMessage...)
 	if s.simpleQuery {
@@ -169,7 +171,8 @@
 	s.flush()
 }
 
-// finishSimpleQuery sends the answer to a simple query. The answer to an Execute waits for Flush or Sync.
+// finishSimpleQuery ends the answer to a simple query with ReadyForQuery and sends it. It does nothing for an Execute, whose
+// answer is sent at the next Flush or Sync.
 func (s *session) finishSimpleQuery() {
 	if s.simpleQuery {
 		s.output = pg.AppendReadyForQuery(s.output)
--- a/internal/frontend/extended/statement.go
+++ b/internal/frontend/extended/statement.go
@@ -4,26 +4,28 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// preparedStatement is a statement that was parsed here. No host knows it: each request carries its text.
+// preparedStatement is a statement that the gateway has prepared. It is not prepared on any host: each request includes its
+// text.
 type preparedStatement struct {
 	text           string
-	bare           string // the text without comments
-	parameterTypes []byte // OIDs, as encoded in the Parse message
-	rule           *Rule  // nil for an empty statement, and for one that the gateway answers itself
+	strippedText   string // the text without comments
+	parameterTypes []byte // OIDs of the types, as encoded in the Parse message
+	rule           *Rule  // nil for an empty statement and for a statement that the gateway answers itself
 
 	// localCommand and commandTag are set for a statement that the gateway answers itself.
 	localCommand localCommand
 	commandTag   string
 
-	named         bool   // it is in session.statements: its memory is reserved
-	description   []byte // ParameterDescription, and RowDescription or NoData; nil until a host has described it
+	named         bool   // the statement is in session.statements, and its memory is reserved
+	description   []byte // ParameterDescription, then RowDescription or NoData; nil until a host has sent them
 	reservedBytes int
 }
 
-// prepare classifies a statement: empty, answered by the gateway itself, or with the rule that applies to it.
+// prepare returns a prepared statement, or the error to send to the client. The statement is empty, has a localCommand, or
+// has the rule that applies to it.
 func (s *session) prepare(text string) (*preparedStatement, *pg.ErrorResponse) {
-	bare, count := scan(text)
-	statement := &preparedStatement{text: text, bare: bare, reservedBytes: len(text) + len(bare) + overheadBytes}
+	stripped, count := scan(text)
+	statement := &preparedStatement{text: text, strippedText: stripped, reservedBytes: len(text) + len(stripped) + overheadBytes}
 	if count > 1 {
 		return nil, &multipleStatements
 	}
@@ -33,13 +35,13 @@
 	if rejection := s.prepareLocalCommand(statement); rejection != nil || statement.localCommand != nil {
 		return statement, rejection
 	}
-	if statement.rule = s.frontend.Rules.match(bare); statement.rule == nil {
+	if statement.rule = s.frontend.Rules.match(stripped); statement.rule == nil {
 		return nil, &noMatchingRule
 	}
 	return statement, nil
 }
 
-// handleParse handles Parse: statement name, text, parameter types.
+// handleParse handles a Parse message, whose fields are the statement name, the text and the parameter types.
 func (s *session) handleParse(fields *pg.FieldReader) error {
 	name, text := fields.Text(), fields.Text()
 	parameterTypes := fields.Bytes(pg.ParameterTypeSize * fields.Int16())
@@ -55,7 +57,7 @@
 		s.fail(duplicateStatement(name))
 	case rejection != nil:
 		s.fail(*rejection)
-	case len(s.statements) >= maxNames || !s.reserve(statement.reservedBytes):
+	case len(s.statements) >= maxObjectsPerKind || !s.reserve(statement.reservedBytes):
 		s.fail(memoryLimitExceeded)
 	default:
 		statement.parameterTypes = append([]byte(nil), parameterTypes...)
@@ -66,7 +68,8 @@
 	return nil
 }
 
-// dropStatement removes a statement's name. Portals bound to it stay usable.
+// dropStatement removes a statement from session.statements and releases its memory. Portals that were created from it
+// remain usable.
 func (s *session) dropStatement(name string) *preparedStatement {
 	statement := s.statements[name]
 	if statement != nil {
@@ -77,7 +80,7 @@
 	return statement
 }
 
-// closeStatement removes a statement, and the portals bound to it.
+// closeStatement removes a statement and the portals that were created from it.
 func (s *session) closeStatement(name string) {
 	statement := s.dropStatement(name)
 	if statement == nil {
@@ -90,7 +93,7 @@
 	}
 }
 
-// closeAllStatements removes all statements, and the portals bound to them.
+// closeAllStatements removes all statements and the portals that were created from them.
 func (s *session) closeAllStatements() {
 	for name := range s.statements {
 		s.closeStatement(name)
