--- a/internal/frontend/extended/statement.go
+++ b/internal/frontend/extended/statement.go
@@ -16,7 +16,7 @@
 	localCommand localCommand
 	commandTag   string
 
-	named         bool   // the statement is in session.statements, and its memory is reserved
+	named         bool   // the statement is in session.statements and its memory is reserved
 	description   []byte // ParameterDescription, then RowDescription or NoData; nil until a host has sent them
 	reservedBytes int
 }
--- a/internal/frontend/platform/annotation.go
+++ b/internal/frontend/platform/annotation.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// Names in an annotation. Hosts read further names, which the gateway forwards unseen.
+// Names of the values in an annotation. The gateway ignores other names, which hosts may read, and forwards them unchanged.
 const (
 	annotationRequestID      = "id"
 	annotationIdempotencyKey = "k"
 	annotationClass          = "c"
 	annotationTenant         = "t"
-	annotationClientRetry    = "r" // "1" for a retry
+	annotationClientRetry    = "r" // "1" if the request is a retry by the client
 	annotationGroup          = "cluster"
-	annotationTimeLeft       = "d" // in milliseconds
+	annotationTimeLeft       = "d" // milliseconds until the client gives up
 )
 
 const (
-	maxTokenLen = 64 // of a request ID or idempotency key, in bytes
+	maxTokenLen = 64 // the maximum length of a request ID or an idempotency key, in bytes
 	noGroup     = -1 // the annotation has no group
 )
 
-// annotation is the metadata of a request.
+// annotation is the metadata of a request, parsed from the trailing comment of the query.
 type annotation struct {
 	id             string
 	class, tenant  string
@@ -32,12 +32,12 @@
 	clientRetry    bool
 }
 
-// hasRequiredValues reports whether all required values are set.
+// hasRequiredValues reports whether the ID, class, group and time left are set.
 func (a *annotation) hasRequiredValues() bool {
 	return a.id != "" && a.class != "" && a.group >= 0 && a.timeLeftMs != 0
 }
 
-// setValue stores one value and returns false if it is invalid. Unknown names are ignored.
+// setValue stores the value of a name. It returns false if the value is invalid. Unknown names are ignored.
 func (a *annotation) setValue(name, value string) bool {
 	switch name {
 	case annotationRequestID:
@@ -62,7 +62,7 @@
 	return true
 }
 
-// setTimeLeft accepts a positive decimal number without sign or exponent.
+// setTimeLeft stores the time left. It returns false unless the value is a positive decimal number without sign or exponent.
 func (a *annotation) setTimeLeft(value string) bool {
 	timeLeftMs, err := strconv.ParseFloat(value, 64)
 	a.timeLeftMs = timeLeftMs
@@ -70,12 +70,13 @@
 	return err == nil && decimal && timeLeftMs > 0 && timeLeftMs <= math.MaxInt32
 }
 
-// isToken reports whether a text can be a request ID or an idempotency key: letters, digits, "-" and "_".
+// isToken reports whether a text is a valid request ID or idempotency key. Valid are 1 to maxTokenLen ASCII letters, digits,
+// "-" and "_".
 func isToken(text string) bool {
-	return text != "" && len(text) <= maxTokenLen && strings.IndexFunc(text, isNoTokenRune) < 0
+	return text != "" && len(text) <= maxTokenLen && strings.IndexFunc(text, isNonTokenRune) < 0
 }
 
-func isNoTokenRune(r rune) bool {
+func isNonTokenRune(r rune) bool {
 	switch {
 	case r >= '0' && r <= '9', r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r == '-', r == '_':
 		return false
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -1,5 +1,5 @@
-// Package platform is the frontend for the platform's own protocol: simple queries whose trailing comment, the
-// annotation, carries the request's metadata.
+// Package platform is the frontend for clients of the platform. They send simple queries that end with a comment, called the
+// annotation, which has the metadata of the request.
 package platform
 
 import (
@@ -10,16 +10,16 @@
 	"merlinjunction/routing"
 )
 
-// Frontend turns queries into requests to the proxy core.
+// Frontend turns simple queries into requests to the proxy core.
 type Frontend struct {
 	Core *proxy.Core
 	// Ready reports whether clients can be served.
 	Ready func() bool
 
 	classes       []routing.Class
-	classIndexes  map[string]int      // by class name, into classes
-	tenantIndexes map[string]int      // by tenant name, into the tenants of the settings
-	openRequests  map[string]struct{} // IDs of the requests that have no final answer yet
+	classIndexes  map[string]int      // index in classes, by class name
+	tenantIndexes map[string]int      // index in the tenants of the settings, by tenant name
+	openRequests  map[string]struct{} // IDs of the requests that have no final answer
 }
 
 // New returns a Frontend for the classes and tenants of the settings.
@@ -46,10 +46,10 @@
 	return &session{frontend: f, client: client}
 }
 
-// newRequest validates a statement against the settings and returns the request to the core.
+// newRequest validates a statement against the settings and returns the request to submit to the core.
 //
-// It rejects what a host would answer with SQLSTATE 08P01 or by closing the connection. It also rejects an ID that is
-// already open: the answers to the two requests could be confused.
+// It rejects a statement that a host would answer with SQLSTATE 08P01 or by closing the connection. It also rejects an ID
+// that an open request has, because the answers to the two requests could be confused.
 func (f *Frontend) newRequest(parsed *statement) (proxy.Request, error) {
 	classIndex, classKnown := f.classIndexes[parsed.class]
 	tenantIndex, tenantKnown := f.tenantIndexes[parsed.tenant]
@@ -79,7 +79,8 @@
 	return request, nil
 }
 
-// validateClass returns an error when a statement doesn't have the form or the idempotency key that its class needs.
+// validateClass returns an error if the statement is a write and its class is not, or the reverse, or if it lacks the
+// idempotency key that its class needs.
 func validateClass(class routing.Class, parsed *statement) error {
 	if parsed.write != (class.Consistency == routing.ConsistencyWrite) {
 		return fmt.Errorf("class %q takes no statement of this form", parsed.class)
--- a/internal/frontend/platform/fuzz_test.go
+++ b/internal/frontend/platform/fuzz_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Any text is refused, or a statement with its required values, whose time left stands where it says.
+// For any text the parser must return an error, or a statement that has the required values and whose timeLeftStart and
+// timeLeftEnd enclose its time left.
 func FuzzParseStatement(f *testing.F) {
 	for _, seed := range []string{
 		"SELECT v FROM records WHERE k = 'a' /* id=1,c=read,d=100,cluster=0 */",
@@ -17,11 +18,11 @@
 			return
 		}
 		if !parsed.hasRequiredValues() || parsed.key == "" {
-			t.Errorf("%q gives %+v", text, parsed)
+			t.Errorf("%q: got %+v, which lacks a required value or the key", text, parsed)
 		}
 		var timeLeft annotation
-		if !timeLeft.setTimeLeft(text[parsed.deadlineStart:parsed.deadlineEnd]) || timeLeft.timeLeftMs != parsed.timeLeftMs {
-			t.Errorf("%q has the time left %q", text, text[parsed.deadlineStart:parsed.deadlineEnd])
+		if !timeLeft.setTimeLeft(text[parsed.timeLeftStart:parsed.timeLeftEnd]) || timeLeft.timeLeftMs != parsed.timeLeftMs {
+			t.Errorf("%q: got %q as the text of the time left", text, text[parsed.timeLeftStart:parsed.timeLeftEnd])
 		}
 	})
 }
--- a/internal/frontend/platform/pending_response.go
+++ b/internal/frontend/platform/pending_response.go
@@ -10,24 +10,24 @@
 	_ proxy.Streamer  = (*pendingResponse)(nil)
 )
 
-// pendingResponse is an entry of a session's response queue, and the responder of its request. Requests may complete in
-// any order; the entry at the head of the queue is the only one whose body or stream is sent to the client.
+// pendingResponse is an entry of a session's response queue, and the proxy.Responder of its request. Requests may complete
+// in any order, but only the entry at the head of the queue is sent to the client.
 type pendingResponse struct {
 	session   *session
-	statement *statement // nil when the gateway answers without a host
+	statement *statement // nil when the gateway itself answers the message
 
 	request      proxy.Request
 	receivedAtMs float64
-	requestID    uint64 // in the core, valid once submitted
+	requestID    uint64 // the ID that the core has assigned; valid once submitted is true
 	submitted    bool
 
-	body         []byte // nil until complete; of a streamed answer it is only what follows the streamed part
-	resumeStream func() // asks the core for more of a streamed answer; nil when the answer isn't streamed
+	body         []byte // nil until complete; for a streamed answer, only the messages after the streamed part
+	resumeStream func() // asks the core for more of a streamed answer; nil if the answer is not streamed
 }
 
-// blockedBy reports whether an earlier query has to be answered first, so that queries for one key take effect in the
-// order of their arrival: a read sees the writes that its own connection has requested before it. A response whose body
-// is nil always has a statement.
+// blockedBy reports whether an earlier query must be answered before this one is submitted. This is so if both have the same
+// key and at least one of them is a write. Queries for one key thus take effect in the order of their arrival, and a
+// read sees the earlier writes of its own connection. A response whose body is nil always has a statement.
 func (r *pendingResponse) blockedBy(earlier []*pendingResponse) bool {
 	for _, other := range earlier {
 		if other.body != nil || other.statement.key != r.statement.key {
@@ -40,7 +40,7 @@
 	return false
 }
 
-// submit hands the request to the core. The time that it was blocked counts against its deadline.
+// submit submits the request to the core. The time for which the request was blocked is subtracted from its time left.
 func (r *pendingResponse) submit() {
 	core := r.session.frontend.Core
 	r.submitted = true
@@ -52,18 +52,18 @@
 	}
 }
 
-// complete sets the body and closes the request ID.
+// complete sets the body, which ends with ReadyForQuery, and closes the request ID.
 func (r *pendingResponse) complete(body []byte) {
 	r.closeRequestID()
 	r.body = pg.AppendReadyForQuery(body)
 }
 
-// closeRequestID makes the ID available to other requests.
+// closeRequestID allows other requests to use the request ID.
 func (r *pendingResponse) closeRequestID() {
 	delete(r.session.frontend.openRequests, r.statement.id)
 }
 
-// clientGone cancels the request if it has no answer yet.
+// clientGone cancels the request if it has no answer.
 func (r *pendingResponse) clientGone() {
 	if r.statement == nil || r.body != nil {
 		return
@@ -80,8 +80,8 @@
 	return true
 }
 
-// StreamPart forwards as much as the client's window allows, once all earlier responses are sent. It returns the number
-// of bytes that were forwarded.
+// StreamPart sends as much of the part as the client's window allows, and nothing while earlier responses are pending. It
+// returns the number of bytes that were sent.
 func (r *pendingResponse) StreamPart(part []byte) int {
 	s := r.session
 	if len(s.responses) == 0 || s.responses[0] != r {
@@ -90,24 +90,24 @@
 	return s.client.SendPart(part)
 }
 
-// AbortStream closes the connection: otherwise the client could not distinguish a truncated answer from a complete one.
+// AbortStream closes the connection, because the client could not distinguish a truncated answer from a complete one.
 func (r *pendingResponse) AbortStream() {
 	r.closeRequestID()
 	r.session.client.Abort()
 }
 
-// Succeed forwards the answer of a host.
+// Succeed completes the response with the answer of a host.
 func (r *pendingResponse) Succeed(body []byte) {
 	r.complete(body)
 	r.session.advance()
 }
 
-// Reject responds that there is no answer and that the client may retry safely (see pg.RejectionResponse).
+// Reject responds that the request was not answered and that the client may retry it safely. See pg.RejectionResponse.
 func (r *pendingResponse) Reject(retryAfterMs float64) {
 	r.Succeed(pg.RejectionResponse(retryAfterMs).AppendTo(nil))
 }
 
-// Fail forwards the error of a host; without one the outcome of the statement is unknown.
+// Fail forwards the error of a host. Without such an error it responds that the outcome of the statement is unknown.
 func (r *pendingResponse) Fail(hostError []byte) {
 	r.Succeed(pg.FailureBody(hostError))
 }
--- a/internal/frontend/platform/session.go
+++ b/internal/frontend/platform/session.go
@@ -6,7 +6,7 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// maxPipelinedQueries is how many queries of one client are accepted before the first of them is answered.
+// maxPipelinedQueries is the number of queries of one client that can be pending at the same time.
 const maxPipelinedQueries = 32
 
 var (
@@ -14,27 +14,27 @@
 	_ pg.Flusher = (*session)(nil)
 )
 
-// session is the state of one client. Its queries run concurrently and are answered in the order of their arrival. A
-// query is delayed only by an earlier one of the same key when either of the two is a write.
+// session is the state of one client. Its queries run concurrently and are answered in the order of their arrival. A query
+// is delayed only while an earlier query for the same key is pending and at least one of the two is a write.
 type session struct {
 	frontend         *Frontend
 	client           *pg.Client
-	responses        []*pendingResponse // in the order in which the client expects them
-	discardUntilSync bool               // a message of the extended protocol was rejected
+	responses        []*pendingResponse // the response queue, in the order of the messages that are answered
+	discardUntilSync bool               // an extended query was rejected; its messages are discarded until Sync
 }
 
-// Busy reports whether responses are outstanding.
+// Busy reports whether responses are pending.
 func (s *session) Busy() bool { return len(s.responses) > 0 }
 
-// Accepts allows pipelined queries up to a limit. Every other message waits until nothing is outstanding.
-func (s *session) Accepts(kind byte) bool {
-	return len(s.responses) == 0 || kind == pg.MsgQuery && len(s.responses) < maxPipelinedQueries
+// Accepts allows up to maxPipelinedQueries pending queries. Messages of other types wait until no response is pending.
+func (s *session) Accepts(messageType byte) bool {
+	return len(s.responses) == 0 || messageType == pg.MsgQuery && len(s.responses) < maxPipelinedQueries
 }
 
-// InPipeline is always false: each query is complete in itself.
+// InPipeline always returns false: a simple query is not part of a pipeline that a Sync ends.
 func (s *session) InPipeline() bool { return false }
 
-// ClientGone cancels the requests that have no answer yet.
+// ClientGone cancels the requests that have no answer.
 func (s *session) ClientGone() {
 	responses := s.responses
 	s.responses = nil
@@ -43,7 +43,7 @@
 	}
 }
 
-// Flushed resumes a streamed answer at the head of the response queue.
+// Flushed resumes the answer at the head of the response queue if it is being streamed.
 func (s *session) Flushed() {
 	if len(s.responses) == 0 {
 		return
@@ -55,8 +55,8 @@
 }
 
 // HandleMessage handles one message of the client.
-func (s *session) HandleMessage(kind byte, body []byte) {
-	switch kind {
+func (s *session) HandleMessage(messageType byte, body []byte) {
+	switch messageType {
 	case pg.MsgQuery:
 		s.handleQuery(body)
 	case pg.MsgSync:
@@ -64,14 +64,14 @@
 		s.respond(pg.AppendReadyForQuery(nil))
 	case pg.MsgParse, pg.MsgBind, pg.MsgDescribe, pg.MsgExecute, pg.MsgClose, pg.MsgFlush:
 		s.rejectExtendedQuery()
-	case pg.MsgCopyData, pg.MsgCopyDone, pg.MsgCopyFail: // sent before the client has seen that its COPY was rejected
+	case pg.MsgCopyData, pg.MsgCopyDone, pg.MsgCopyFail: // sent before the client has received the rejection of its COPY
 	default:
-		s.client.FatalUnknownMessage(kind)
+		s.client.FatalUnknownMessage(messageType)
 	}
 }
 
-// rejectExtendedQuery answers the first message of an extended query. The messages after it are discarded up to Sync,
-// which alone is answered with ReadyForQuery.
+// rejectExtendedQuery answers the first message of the extended query protocol with an error. The following messages are
+// discarded until Sync, which is answered with ReadyForQuery.
 func (s *session) rejectExtendedQuery() {
 	if s.discardUntilSync {
 		return
@@ -81,7 +81,8 @@
 	s.respond(rejection.AppendTo(nil))
 }
 
-// handleQuery handles a simple query. What needs no host is answered at once; everything else becomes a request.
+// handleQuery handles a Query message. Empty queries, session commands and invalid queries are answered without a host.
+// Every other query becomes a request.
 func (s *session) handleQuery(body []byte) {
 	fields := pg.NewFieldReader(body)
 	text := fields.Text()
@@ -93,7 +94,7 @@
 		s.respondToEmptyQuery()
 		return
 	}
-	if tag, ok := connectionCommand(text); ok {
+	if tag, ok := sessionCommandTag(text); ok {
 		s.respond(pg.AppendReadyForQuery(pg.AppendStrings(nil, pg.MsgCommandComplete, tag)))
 		return
 	}
@@ -113,7 +114,7 @@
 	s.enqueue(response)
 }
 
-// respondToEmptyQuery answers an empty query, which clients and load balancers use as a health check of the gateway.
+// respondToEmptyQuery answers an empty query. Clients and load balancers use empty queries as health checks of the gateway.
 func (s *session) respondToEmptyQuery() {
 	if !s.frontend.Ready() {
 		s.respondWithError(pg.StateCannotConnectNow, "no clients are taken now")
@@ -122,9 +123,9 @@
 	s.respond(pg.AppendReadyForQuery(pg.AppendMessage(nil, pg.MsgEmptyQueryResponse)))
 }
 
-// connectionCommand recognizes the commands that only change the connection. The gateway answers them itself, with the
-// command tag.
-func connectionCommand(text string) (tag string, ok bool) {
+// sessionCommandTag returns the command tag of a command that only changes the state of the PostgreSQL session. The gateway
+// answers such a command itself.
+func sessionCommandTag(text string) (tag string, ok bool) {
 	first, _, _ := strings.Cut(strings.TrimRight(strings.TrimSpace(text), ";"), " ")
 	switch tag = strings.ToUpper(first); tag {
 	case "SET", "RESET", "DISCARD":
@@ -133,7 +134,7 @@
 	return "", false
 }
 
-// respondWithError enqueues an ErrorResponse and ReadyForQuery.
+// respondWithError enqueues a response of ErrorResponse and ReadyForQuery.
 func (s *session) respondWithError(sqlstate, text string) {
 	s.respond(pg.AppendReadyForQuery(pg.ErrorResponse{SQLState: sqlstate, Message: text}.AppendTo(nil)))
 }
@@ -143,14 +144,14 @@
 	s.enqueue(&pendingResponse{session: s, body: body})
 }
 
-// enqueue appends a response to the queue. It is sent once it is complete and all earlier ones are sent.
+// enqueue appends a response to the queue. The response is sent when it is complete and all earlier responses are sent.
 func (s *session) enqueue(response *pendingResponse) {
 	s.responses = append(s.responses, response)
 	s.advance()
 }
 
-// advance submits the queries that no earlier one blocks any more, and sends the complete responses at the head of the
-// queue.
+// advance submits the queries that no earlier query blocks, and sends the complete responses at the head of the queue. If
+// the new head is a streamed answer, it is resumed.
 func (s *session) advance() {
 	for i, response := range s.responses {
 		if !response.submitted && response.body == nil && !response.blockedBy(s.responses[:i]) {
--- a/internal/frontend/platform/statement.go
+++ b/internal/frontend/platform/statement.go
@@ -15,18 +15,18 @@
 	errAnnotationIncomplete = errors.New("the comment lacks id, c, cluster or d")
 )
 
-// statement is a query and the metadata of its annotation.
+// statement is a parsed query with its annotation.
 type statement struct {
 	text  string // as the client sent it
-	key   string // of the record
-	write bool
+	key   string // the key of the record that the query reads or writes
+	write bool   // true for an INSERT, false for a SELECT
 	annotation
 
-	// text[deadlineStart:deadlineEnd] is the annotation's time left, which changes from attempt to attempt.
-	deadlineStart, deadlineEnd int
+	// text[timeLeftStart:timeLeftEnd] is the time left in the annotation, which is replaced for each attempt.
+	timeLeftStart, timeLeftEnd int
 }
 
-// parseStatement parses a query of one of the two forms that hosts accept, and its annotation.
+// parseStatement parses a query with its annotation. The query must have one of the two forms that hosts accept.
 func parseStatement(text string) (*statement, error) {
 	sql, comment, ok := splitAnnotation(text)
 	if !ok {
@@ -45,7 +45,8 @@
 	return st, nil
 }
 
-// parseAnnotation parses the comma-separated name=value pairs of a comment that begins at an offset of the text.
+// parseAnnotation parses the comma-separated name=value pairs of a comment. The offset is the position of the first pair in
+// the text of the query.
 func (st *statement) parseAnnotation(comment string, offset int) error {
 	seen := map[string]bool{}
 	for pair := range strings.SplitSeq(comment, ",") {
@@ -57,8 +58,8 @@
 		seen[name] = true
 		if name == annotationTimeLeft {
 			leadingSpaces := len(pair) - len(trimmed)
-			st.deadlineStart = offset + leadingSpaces + len(annotationTimeLeft+"=")
-			st.deadlineEnd = st.deadlineStart + len(value)
+			st.timeLeftStart = offset + leadingSpaces + len(annotationTimeLeft+"=")
+			st.timeLeftEnd = st.timeLeftStart + len(value)
 		}
 		if !st.setValue(name, value) {
 			return fmt.Errorf("the comment's %s has the value %q", name, value)
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// splitAnnotation splits a query into its SQL and the text of the comment that it ends in.
+// splitAnnotation splits a query into its SQL and the content of its trailing comment.
 func splitAnnotation(text string) (sql, comment string, ok bool) {
 	start := strings.LastIndex(text, "/*")
 	if start < 0 {
@@ -78,7 +79,7 @@
 	return text[:start], comment, closed && strings.Trim(rest, whitespaceAndSemicolon) == ""
 }
 
-// parseForm parses a statement without its annotation into the key of its record, and whether it is a write.
+// parseForm parses a query without its annotation. It returns the key of the record and whether the query is a write.
 func parseForm(sql string) (key string, write, ok bool) {
 	if rest, found := strings.CutPrefix(sql, "SELECT v FROM records WHERE k = '"); found {
 		key, ok = parseSelect(rest)
@@ -91,13 +92,13 @@
 	return "", false, false
 }
 
-// parseSelect parses what follows the opening quote of the key in a SELECT.
+// parseSelect parses the part of a SELECT after the opening quote of the key.
 func parseSelect(rest string) (key string, ok bool) {
 	key, rest, closed := strings.Cut(rest, "'")
 	return key, closed && rest == "" && key != ""
 }
 
-// parseInsert parses what follows the opening quote of the key in an INSERT.
+// parseInsert parses the part of an INSERT after the opening quote of the key.
 func parseInsert(rest string) (key string, ok bool) {
 	key, rest, keyClosed := strings.Cut(rest, "', '\\x")
 	value, rest, valueClosed := strings.Cut(rest, "'")
--- a/internal/frontend/platform/statement_test.go
+++ b/internal/frontend/platform/statement_test.go
@@ -37,11 +37,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if deadline := test.text[got.deadlineStart-2 : got.deadlineEnd]; !strings.HasPrefix(deadline, "d=") {
-				t.Errorf("the time left is taken to be at %q", deadline)
+			if timeLeft := test.text[got.timeLeftStart-2 : got.timeLeftEnd]; !strings.HasPrefix(timeLeft, "d=") {
+				t.Errorf("got the time left %q, want the value of d", timeLeft)
 			}
 			want := test.want
-			want.text, want.deadlineStart, want.deadlineEnd = test.text, got.deadlineStart, got.deadlineEnd
+			want.text, want.timeLeftStart, want.timeLeftEnd = test.text, got.timeLeftStart, got.timeLeftEnd
 			if *got != want {
 				t.Errorf("got %+v, want %+v", *got, want)
 			}
@@ -52,11 +52,11 @@
 func TestParseStatementRejects(t *testing.T) {
 	for name, test := range map[string]struct{ text, want string }{
 		"no annotation":      {readSQL, "the query ends in no comment that says what it is"},
-		"text after it":      {readSQL + "/*id=1*/ x", "the query ends in no comment that says what it is"},
-		"another form":       {"SELECT 1 /*id=1*/", "only SELECT v FROM records"},
+		"text after comment": {readSQL + "/*id=1*/ x", "the query ends in no comment that says what it is"},
+		"unknown form":       {"SELECT 1 /*id=1*/", "only SELECT v FROM records"},
 		"no key":             {"SELECT v FROM records WHERE k = '' /*id=1*/", "only SELECT v FROM records"},
 		"odd hexadecimal":    {strings.Replace(writeSQL, "0a", "0", 1) + "/*id=1*/", "only SELECT v FROM records"},
-		"a name twice":       {readSQL + "/*id=1,id=2*/", "the comment has two values of id"},
+		"duplicate name":     {readSQL + "/*id=1,id=2*/", "the comment has two values of id"},
 		"ID too long":        {readSQL + "/*id=" + strings.Repeat("x", 65) + "*/", `the comment's id has the value "xxx`},
 		"ID with a quote":    {readSQL + "/*id=a'b*/", `the comment's id has the value "a'b"`},
 		"no idempotency key": {readSQL + "/*id=1,k=*/", `the comment's k has the value ""`},
@@ -74,8 +74,8 @@
 	}
 }
 
-// The query is forwarded unchanged except for the time that is left.
-func TestStatementIsForwardedWithItsTimeLeft(t *testing.T) {
+// A query must be forwarded unchanged except for its time left.
+func TestAppendToReplacesOnlyTheTimeLeft(t *testing.T) {
 	st, err := parseStatement(readSQL + "/*id=1,c=read,cluster=0, d=250.5 ,x=y*/")
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	for timeLeftMs, want := range map[float64]string{99.9: "d=99", 0.2: "d=1"} {
 		message := string(st.AppendTo(nil, timeLeftMs))
 		if text := readSQL + "/*id=1,c=read,cluster=0, " + want + " ,x=y*/\x00"; message[5:] != text {
-			t.Errorf("%v ms are left: got %q, want %q", timeLeftMs, message[5:], text)
+			t.Errorf("%v ms left: got %q, want %q", timeLeftMs, message[5:], text)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		"read after read":           {response("a", false, nil), response("a", false, nil), false},
 		"another key":               {response("a", true, nil), response("b", true, nil), false},
 		"after an answered write":   {response("a", true, []byte("Z")), response("a", false, nil), false},
-		"after a response of ours":  {&pendingResponse{body: []byte("Z")}, response("a", true, nil), false},
+		"after a gateway's answer":  {&pendingResponse{body: []byte("Z")}, response("a", true, nil), false},
 		"write that is not blocked": {response("b", false, nil), response("a", true, nil), false},
 	} {
 		t.Run(name, func(t *testing.T) {
