--- a/internal/frontend/management/management.go
+++ b/internal/frontend/management/management.go
@@ -1,6 +1,6 @@
-// Package management serves the operators' calls over HTTP: they read readiness, telemetry and the fleet's members,
-// take database hosts out of use, and evacuate the gateway. It decides nothing: each call becomes one method call of
-// Gateway.
+// Package management serves the management calls of operators over HTTP. The calls report readiness, telemetry and the
+// members of the fleet, exclude and include database hosts, and evacuate the gateway. The package makes no decisions: each
+// call becomes one method call of Gateway.
 package management
 
 import (
@@ -16,27 +16,27 @@
 	"merlinjunction/internal/proxy"
 )
 
-// prometheusTextType is the content type of Prometheus's text format.
+// prometheusTextType is the content type of the Prometheus text format.
 const prometheusTextType = "text/plain; version=0.0.4"
 
-// Gateway is what the calls act on.
+// Gateway is the gateway that the calls read or change.
 type Gateway interface {
-	// AcceptsClients reports whether clients are accepted now and can be served.
+	// AcceptsClients reports whether the gateway currently accepts clients and can serve them.
 	AcceptsClients() bool
-	// Telemetry is what has been counted since the process started.
+	// Telemetry returns the counters since the start of the process.
 	Telemetry() Telemetry
-	// Exclude takes a database host out of use; false where no such host is known.
+	// Exclude excludes a database host from use. It returns false if no host has the ID.
 	Exclude(id string) bool
-	// Include uses a database host again; false where no such host is known.
+	// Include ends the exclusion of a database host. It returns false if no host has the ID.
 	Include(id string) bool
-	// Evacuate makes the gateway not ready, and disconnects clients as they become idle. The listener stays open: new
-	// clients are still accepted and are disconnected in the same way.
+	// Evacuate makes the gateway not ready, and disconnects each client when it is idle. The listener stays open: new clients
+	// are still accepted and are disconnected in the same way.
 	Evacuate()
-	// Rejoin ends an evacuation: the gateway is ready again where it can serve, and clients stay connected.
+	// Rejoin ends an evacuation. The gateway becomes ready if it can serve clients, and clients stay connected when idle.
 	Rejoin()
-	// Fleet is the gateway's view of its fleet; nil without one.
+	// Fleet returns the gateway's view of its fleet, or nil without a fleet.
 	Fleet() *Fleet
-	// FleetMetrics are the fleet's metrics in the text format of Prometheus; "" without a fleet.
+	// FleetMetrics returns the metrics of the fleet in the Prometheus text format, or "" without a fleet.
 	FleetMetrics() string
 }
 
@@ -44,17 +44,17 @@
 type Fleet struct {
 	Name        string   `json:"fleet"`
 	Self        string   `json:"self"`
-	Status      string   `json:"standing"` // of the gateway itself
+	Status      string   `json:"standing"` // status of the gateway itself
 	Partial     bool     `json:"part"`     // the gateway reaches only a part of the fleet
-	Alive       int      `json:"alive"`    // members, itself included
+	Alive       int      `json:"alive"`    // number of alive members, including the gateway itself
 	Suspect     int      `json:"suspect"`
 	Unreachable int      `json:"unreachable"`
 	Dead        int      `json:"dead"`
 	Left        int      `json:"left"`
-	Health      int      `json:"health"` // 0 is healthy, 8 the worst
-	Loss        float64  `json:"loss"`   // share of answered pings that needed a retry
+	Health      int      `json:"health"` // from 0, healthy, to 8, the worst
+	Loss        float64  `json:"loss"`   // share of the answered pings that needed a retry
 	RoundTripMs float64  `json:"round_trip_ms"`
-	Members     []Member `json:"members,omitempty"` // by name
+	Members     []Member `json:"members,omitempty"` // sorted by name
 }
 
 // Member is one gateway of a fleet.
@@ -64,11 +64,11 @@
 	Zone        string  `json:"zone"`
 	State       string  `json:"state"`
 	Incarnation uint64  `json:"incarnation"`
-	Version     int     `json:"version"` // of the message format
-	StateAgeMs  float64 `json:"for_ms"`  // since the last change of state
+	Version     int     `json:"version"` // version of the message format
+	StateAgeMs  float64 `json:"for_ms"`  // time since the last change of state
 }
 
-// Telemetry is what a gateway has counted.
+// Telemetry holds the counters of a gateway and its view of the fleet.
 type Telemetry struct {
 	Replies map[string]proxy.ReplyCounts `json:"replies"` // by class
 	proxy.Stats
@@ -77,7 +77,7 @@
 	Fleet         *Fleet `json:"fleet,omitempty"` // without its members
 }
 
-// Serve serves the calls that come to an address. onAcceptError is called when no connection can be accepted.
+// Serve serves management calls at an address. It calls onAcceptError when a connection can't be accepted.
 func Serve(
 	loop *eventloop.Loop, address string, gateway Gateway, onAcceptError func(error),
 ) (*eventloop.Listener, error) {
@@ -85,13 +85,13 @@
 	return httpd.Serve(loop, address, handler, onAcceptError)
 }
 
-// call is one of the operators' calls.
-type call struct {
+// route is the HTTP method and the handler of a path.
+type route struct {
 	method  string
-	respond func(Gateway, httpd.Request) httpd.Response
+	handler func(Gateway, httpd.Request) httpd.Response
 }
 
-var calls = map[string]call{
+var routes = map[string]route{
 	"/api/ready":     {http.MethodGet, ready},
 	"/api/telemetry": {http.MethodGet, telemetry},
 	"/api/members":   {http.MethodGet, members},
@@ -102,29 +102,29 @@
 	"/api/rejoin":    {http.MethodPut, rejoin},
 }
 
-// done is the response to a call that was carried out.
-var done = httpd.Response{Status: http.StatusOK, Body: "yes\n"}
+// doneResponse is the response to a successful call that returns no data.
+var doneResponse = httpd.Response{Status: http.StatusOK, Body: "yes\n"}
 
-// respond carries out the call that the path names, or responds with 404 or 405.
+// respond performs the call that the path names. It responds with 404 to an unknown path and with 405 to a wrong method.
 func respond(gateway Gateway, r httpd.Request) httpd.Response {
-	called, known := calls[r.Path]
+	matched, known := routes[r.Path]
 	if !known {
 		return httpd.Response{Status: http.StatusNotFound, Body: "no such call\n"}
 	}
-	if r.Method != called.method {
+	if r.Method != matched.method {
 		return httpd.Response{
-			Status: http.StatusMethodNotAllowed, Body: "this call is a " + called.method + "\n", Allow: called.method,
+			Status: http.StatusMethodNotAllowed, Body: "this call is a " + matched.method + "\n", Allow: matched.method,
 		}
 	}
-	return called.respond(gateway, r)
+	return matched.handler(gateway, r)
 }
 
-// ready responds with 200 while clients are accepted and can be served, else with 503.
+// ready responds with 200 if the gateway accepts clients and can serve them, else with 503.
 func ready(gateway Gateway, _ httpd.Request) httpd.Response {
 	if !gateway.AcceptsClients() {
 		return httpd.Response{Status: http.StatusServiceUnavailable, Body: "no clients are taken\n"}
 	}
-	return done
+	return doneResponse
 }
 
 // telemetry responds with the gateway's counters as JSON.
@@ -132,7 +132,7 @@
 	return jsonResponse(gateway.Telemetry())
 }
 
-// members responds with the gateway's view of its fleet as JSON; 404 without a fleet.
+// members responds with the gateway's view of its fleet as JSON, or with 404 without a fleet.
 func members(gateway Gateway, _ httpd.Request) httpd.Response {
 	fleet := gateway.Fleet()
 	if fleet == nil {
@@ -141,31 +141,31 @@
 	return jsonResponse(fleet)
 }
 
-// metrics responds with the fleet's metrics as Prometheus's text; the body is empty without a fleet.
+// metrics responds with the metrics of the fleet in the Prometheus text format. Without a fleet the body is empty.
 func metrics(gateway Gateway, _ httpd.Request) httpd.Response {
 	return httpd.Response{Status: http.StatusOK, ContentType: prometheusTextType, Body: gateway.FleetMetrics()}
 }
 
-// exclude takes the database host that the body names out of use.
+// exclude excludes the database host that the body names.
 func exclude(gateway Gateway, r httpd.Request) httpd.Response {
-	return callWithHost(r.Body, gateway.Exclude)
+	return applyToHost(r.Body, gateway.Exclude)
 }
 
-// include uses the database host that the body names again.
+// include ends the exclusion of the database host that the body names.
 func include(gateway Gateway, r httpd.Request) httpd.Response {
-	return callWithHost(r.Body, gateway.Include)
+	return applyToHost(r.Body, gateway.Include)
 }
 
-// evacuate starts an evacuation of the gateway; it returns before the clients have left.
+// evacuate starts an evacuation of the gateway. It responds before the clients are disconnected.
 func evacuate(gateway Gateway, _ httpd.Request) httpd.Response {
 	gateway.Evacuate()
-	return done
+	return doneResponse
 }
 
 // rejoin ends an evacuation.
 func rejoin(gateway Gateway, _ httpd.Request) httpd.Response {
 	gateway.Rejoin()
-	return done
+	return doneResponse
 }
 
 // jsonResponse responds with a value as JSON.
@@ -177,19 +177,19 @@
 	return httpd.Response{Status: http.StatusOK, ContentType: "application/json", Body: string(text) + "\n"}
 }
 
-// callWithHost carries out a call whose body names a database host.
-func callWithHost(body []byte, carryOut func(id string) bool) httpd.Response {
+// applyToHost performs an operation on the database host that the body of a call names.
+func applyToHost(body []byte, operation func(id string) bool) httpd.Response {
 	id, ok := parseHostID(body)
 	if !ok {
 		return httpd.Response{Status: http.StatusBadRequest, Body: `the body has to be {"id":"ID"}` + "\n"}
 	}
-	if !carryOut(id) {
+	if !operation(id) {
 		return httpd.Response{Status: http.StatusNotFound, Body: fmt.Sprintf("no database host %q is known\n", id)}
 	}
-	return done
+	return doneResponse
 }
 
-// parseHostID reads a body that is one JSON object with an id and nothing behind it.
+// parseHostID returns the id of a body that is exactly one JSON object with a non-empty id.
 func parseHostID(body []byte) (id string, ok bool) {
 	var request struct {
 		ID string `json:"id"`
--- a/internal/frontend/management/management_test.go
+++ b/internal/frontend/management/management_test.go
@@ -10,7 +10,7 @@
 	"merlinjunction/internal/proxy"
 )
 
-// stubGateway records the calls that reach it, and knows one host, "a".
+// stubGateway records the method calls that change it. It has one host, "a".
 type stubGateway struct {
 	accepts bool
 	fleet   *Fleet
@@ -48,7 +48,7 @@
 		gateway                  stubGateway
 		status                   int
 		want                     string
-		call                     string // that reached the gateway; "": none
+		call                     string // the recorded method call of the gateway; "" for none
 	}{
 		{name: "ready", method: "GET", path: "/api/ready", gateway: stubGateway{accepts: true}, status: 200, want: "yes"},
 		{name: "not ready", method: "GET", path: "/api/ready", status: 503, want: "no clients are taken"},
@@ -66,16 +66,16 @@
 		{name: "two objects", method: "PUT", path: "/api/include", body: `{"id":"a"}{}`, status: 400, want: badBody},
 		{name: "evacuate", method: "PUT", path: "/api/evacuate", status: 200, want: "yes", call: "evacuate"},
 		{name: "rejoin", method: "PUT", path: "/api/rejoin", status: 200, want: "yes", call: "rejoin"},
-		{name: "method", method: "GET", path: "/api/exclude", body: `{"id":"a"}`, status: 405, want: "this call is a PUT"},
-		{name: "path", method: "GET", path: "/api", status: 404, want: "no such call"},
+		{name: "wrong method", method: "GET", path: "/api/exclude", body: `{"id":"a"}`, status: 405, want: "this call is a PUT"},
+		{name: "unknown path", method: "GET", path: "/api", status: 404, want: "no such call"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := respond(&c.gateway, httpd.Request{Method: c.method, Path: c.path, Body: []byte(c.body)})
 			if r.Status != c.status || r.Body != c.want+"\n" {
-				t.Errorf("%d %q", r.Status, r.Body)
+				t.Errorf("got status %d and body %q", r.Status, r.Body)
 			}
 			if calls := strings.Join(c.gateway.calls, ", "); calls != c.call {
-				t.Errorf("calls %q", calls)
+				t.Errorf("got the calls %q, want %q", calls, c.call)
 			}
 			if allowed := r.Allow != ""; allowed != (c.status == http.StatusMethodNotAllowed) {
 				t.Errorf("Allow: %q", r.Allow)
@@ -84,7 +84,7 @@
 	}
 }
 
-// Scripts and dashboards read these objects: their keys are pinned.
+// Operators' scripts and dashboards depend on the keys of these JSON objects, so the keys must not change.
 func TestJSONKeys(t *testing.T) {
 	members := []Member{{Name: "a", StateAgeMs: 2}}
 	g := &stubGateway{fleet: &Fleet{Name: "f", Self: "a", Status: "fine", Alive: 1, Members: members}}
@@ -97,7 +97,7 @@
 	} {
 		r := respond(g, httpd.Request{Method: "GET", Path: path})
 		if r.Body != want+"\n" || r.ContentType != "application/json" || !json.Valid([]byte(r.Body)) {
-			t.Errorf("%s: %s %s", path, r.ContentType, r.Body)
+			t.Errorf("%s: got content type %s and body %s", path, r.ContentType, r.Body)
 		}
 	}
 }
