--- a/internal/frontend/extended/describe.go
+++ b/internal/frontend/extended/describe.go
@@ -14,7 +14,8 @@
 )
 
 // handleDescribe handles a Describe message, whose fields are the kind and the name of the object. The first Describe of a
-// statement is sent to a host. The description is cached in the statement and answers later ones.
+// statement is sent to a host. The description is cached in the statement, unless that exceeds a memory limit, and answers
+// later ones.
 func (s *session) handleDescribe(fields *pg.FieldReader) error {
 	kind, name := fields.Byte(), fields.Text()
 	if !fields.AtEnd() || !isObjectKind(kind) {
--- a/internal/frontend/extended/scanner.go
+++ b/internal/frontend/extended/scanner.go
@@ -70,7 +70,7 @@
 	case '"':
 		return quotedLen(rest, '"', false)
 	case '$':
-		if offset == 0 || !isNameByte(text[offset-1]) {
+		if offset == 0 || !isIdentifierByte(text[offset-1]) {
 			return dollarQuotedLen(rest)
 		}
 	}
@@ -82,11 +82,11 @@
 	if quote == 0 || text[quote-1] != 'E' && text[quote-1] != 'e' {
 		return false
 	}
-	return quote == 1 || !isNameByte(text[quote-2])
+	return quote == 1 || !isIdentifierByte(text[quote-2])
 }
 
-// isNameByte reports whether a byte can be part of an unquoted identifier.
-func isNameByte(c byte) bool {
+// isIdentifierByte reports whether a byte can be part of an unquoted identifier.
+func isIdentifierByte(c byte) bool {
 	return c == '_' || c == '$' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
 }
 
@@ -115,7 +115,7 @@
 	}
 	delimiter := text[:tagEnd+2]
 	for i, c := range []byte(delimiter[1 : len(delimiter)-1]) {
-		if !isNameByte(c) || c == '$' || i == 0 && c >= '0' && c <= '9' {
+		if !isIdentifierByte(c) || c == '$' || i == 0 && c >= '0' && c <= '9' {
 			return 1
 		}
 	}
--- a/internal/protocol/simulator/decoder.go
+++ b/internal/protocol/simulator/decoder.go
@@ -12,7 +12,7 @@
 	"merlinjunction/routing"
 )
 
-// noInstance is the current instance before the first switch_to line of a batch.
+// noInstance is the current instance before the first switch_to line of a batch or the first from line of a reply.
 const noInstance = -1
 
 var (
--- a/internal/protocol/simulator/encoder.go
+++ b/internal/protocol/simulator/encoder.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// WriteInternalError writes that an instance has panicked. The simulator then ends the simulated day.
+// WriteInternalError writes the line that reports a panic of an instance. The simulator then ends the simulated day.
 func (e *Encoder) WriteInternalError(instance int, text string) {
 	e.switchTo(instance)
 	e.line("internal_error", singleLine(text))
--- a/internal/protocol/simulator/event.go
+++ b/internal/protocol/simulator/event.go
@@ -31,10 +31,10 @@
 	markRoleReplica  = 2
 )
 
-// Names of the values of a load report that are used.
+// Names of the load report values that package routing uses.
 const (
 	reportPosition = "x0" // the position in seconds
-	reportPrimary  = "x1" // 1 at the primary
+	reportPrimary  = "x1" // 1 if the host is the primary
 )
 
 // eventDecoder decodes the values of an event. The valueReader keeps the first error. A nil event is skipped.
