--- a/internal/protocol/simulator/value_reader.go
+++ b/internal/protocol/simulator/value_reader.go
@@ -139,7 +139,7 @@
 func (r *valueReader) requestID() uint64 {
 	id := r.unsigned()
 	if id >= requestIDLimit {
-		r.fail(fmt.Errorf("request id %d is out of range, 0 to %d", id, requestIDLimit-1))
+		r.fail(fmt.Errorf("request id %d is out of range, 0 to %d", id, uint64(requestIDLimit-1)))
 	}
 	return id
 }
