--- a/internal/protocol/simulator/encoder_test.go
+++ b/internal/protocol/simulator/encoder_test.go
@@ -11,7 +11,7 @@
 func TestEncodeActions(t *testing.T) {
 	var out bytes.Buffer
 	encoder := NewEncoder(&out)
-	encoder.Actions(3, []routing.Action{
+	encoder.WriteActions(3, []routing.Action{
 		routing.Attempt{Request: 1, Host: "m:1", GiveUpAt: 8492250 * time.Microsecond},
 		routing.CancelAttempt{Request: 1},
 		routing.Reject{Request: 2, RetryAfter: 250 * time.Millisecond},
@@ -21,8 +21,8 @@
 		routing.SetTimer{After: 500 * time.Microsecond},
 		routing.Log{Text: "two\nlines"},
 	})
-	encoder.InternalError(5, "broke\nhere")
-	if err := encoder.Flush(); err != nil {
+	encoder.WriteInternalError(5, "broke\nhere")
+	if err := encoder.EndReply(); err != nil {
 		t.Fatal(err)
 	}
 	want := "from 3\nattempt 1 m:1 8492.25\ndrop_attempt 1 0\nrefuse 2 250\nlose 3\ntouch m:1\nlisten 1\nsleep 0.5 0\n" +
