--- a/internal/stubserver/listener.go
+++ b/internal/stubserver/listener.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Listener accepts connections on a TCP address, serves each in a goroutine of its own and can end them all. After
-// Close it can be opened again at the same address, like a host that restarts.
+// Listener accepts connections on a TCP address, serves each in a goroutine of its own, and can close or reset all of them.
+// After Close it can be opened again at the same address, like a host that restarts.
 type Listener struct {
 	serve func(net.Conn)
 
@@ -16,13 +16,13 @@
 	conns    map[net.Conn]bool
 }
 
-// NewListener returns a closed Listener. serve is called for each connection and ends it by returning.
+// NewListener returns a closed Listener. It calls serve for each connection, and closes the connection when serve returns.
 func NewListener(serve func(net.Conn)) *Listener {
 	return &Listener{serve: serve, address: "127.0.0.1:0", conns: map[net.Conn]bool{}}
 }
 
-// Open begins to accept connections: on a free port the first time, later on the same port. It fails if another process
-// uses that port.
+// Open starts to accept connections, the first time on a free port and later on the same port. It fails if that port is in
+// use.
 func (l *Listener) Open() error {
 	listener, err := net.Listen("tcp4", l.Address())
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// serveConn serves a connection and closes it.
+// serveConn calls serve for a connection and then closes it.
 func (l *Listener) serveConn(conn net.Conn) {
 	l.serve(conn)
 	CloseQuietly(conn)
@@ -57,14 +57,14 @@
 	delete(l.conns, conn)
 }
 
-// Address is the address that it listens on, or listened on last.
+// Address returns the address that the Listener listens on or, while it is closed, the one that it listened on last.
 func (l *Listener) Address() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.address
 }
 
-// Close stops accepting connections; open ones stay open. On a closed Listener it does nothing.
+// Close stops accepting connections. Connections that are open stay open. On a closed Listener it has no effect.
 func (l *Listener) Close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -74,16 +74,17 @@
 	}
 }
 
-// CloseConns closes all connections, as a host does with idle ones.
+// CloseConns closes all connections in an orderly way, as a host closes idle ones.
 func (l *Listener) CloseConns() {
 	l.eachConn(CloseQuietly[net.Conn])
 }
 
-// ResetConns resets all connections, as the end of a process may.
+// ResetConns closes all connections with a TCP reset, as may happen when a host's process ends.
 func (l *Listener) ResetConns() {
 	l.eachConn(Reset)
 }
 
+// eachConn calls end for each open connection and removes it from conns.
 func (l *Listener) eachConn(end func(net.Conn)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -93,16 +94,16 @@
 	clear(l.conns)
 }
 
-// Reset ends a TCP connection with a reset in place of an orderly close.
+// Reset closes a TCP connection with a reset (RST) in place of an orderly close.
 func Reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // an error means that the connection is gone already
+		_ = tcp.SetLinger(0) // an error means that the connection is already closed
 	}
 	CloseQuietly(conn)
 }
 
-// CloseQuietly closes what a test or an experiment no longer needs. The error is dropped: nothing depends on it, and
-// the other side notices the end either way.
+// CloseQuietly closes a resource that a test or an experiment no longer needs. It ignores the error, because nothing depends
+// on it and the peer notices the close in either case.
 func CloseQuietly[T interface{ Close() error }](closer T) {
 	_ = closer.Close()
 }
--- a/internal/stubserver/message.go
+++ b/internal/stubserver/message.go
@@ -1,7 +1,7 @@
-// Package stubserver holds what the stub database hosts and the stub discovery of the tests and of the fault simulator
-// have in common: messages of the PostgreSQL wire protocol, a listener that tracks its connections, the statement that
-// a connection executes, and the endpoint list. Its calls block; the gateway's side of the protocols is
-// internal/protocol.
+// Package stubserver holds the code that the stub database hosts and the stub discovery services of the tests and of the
+// fault simulator share: messages of the PostgreSQL wire protocol, a listener that tracks its connections, the statement
+// that a connection executes, and the endpoint list. Its functions block. The gateway's implementation of the protocols is
+// in internal/protocol.
 package stubserver
 
 import (
@@ -12,24 +12,24 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// The description of a column that AppendColumnDescription appends.
+// The layout of the column description that AppendColumnDescription appends.
 const (
 	textTypeOID    = 25 // PostgreSQL's object ID of the type text
 	typeOIDAt      = 13 // offset of the type's last byte in the whole description
-	columnTailSize = 18 // bytes of a column's description after its name
+	columnTailSize = 18 // number of bytes after the column's name
 )
 
-// Sizes in the framing of messages, bytes.
+// The sizes of the header fields of a message, in bytes.
 const (
-	lengthSize        = 4 // the length counts itself
+	lengthSize        = 4 // the length field counts itself, but not the type byte
 	messageHeaderSize = 1 + lengthSize
 )
 
-// StateReadOnly is the SQLSTATE of a write at a replica (read_only_sql_transaction).
+// StateReadOnly is the SQLSTATE with which a replica rejects a write (read_only_sql_transaction).
 const StateReadOnly = "25006"
 
-// ReadMessage reads one message of the PostgreSQL wire protocol. An error is one of reading, or says that the body is
-// longer than maxBody bytes.
+// ReadMessage reads one message of the PostgreSQL wire protocol. It returns an error if reading fails, the length field
+// is invalid or the body is longer than maxBody bytes.
 func ReadMessage(r io.Reader, maxBody int) (kind byte, body []byte, err error) {
 	var header [messageHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -37,14 +37,14 @@
 	}
 	size := int(binary.BigEndian.Uint32(header[1:])) - lengthSize
 	if size < 0 || size > maxBody {
-		return 0, nil, fmt.Errorf("a message of %d bytes", size)
+		return 0, nil, fmt.Errorf("message body of %d bytes is outside the range 0 to %d", size, maxBody)
 	}
 	body = make([]byte, size)
 	_, err = io.ReadFull(r, body)
 	return header[0], body, err
 }
 
-// ReadSQLState returns the SQLSTATE of the body of an ErrorResponse; empty if it has none.
+// ReadSQLState returns the SQLSTATE in the body of an ErrorResponse, or "" if the body has none.
 func ReadSQLState(body []byte) (sqlstate string) {
 	const sqlStateField = 'C'
 	fields := pg.NewFieldReader(body)
@@ -56,7 +56,8 @@
 	return sqlstate
 }
 
-// AcceptStartup reads a client's startup message and returns the beginning of the answer, which requests no password.
+// AcceptStartup reads a client's startup message and returns the first message of the answer, which accepts the client
+// without a password.
 func AcceptStartup(r io.Reader) ([]byte, error) {
 	var length [lengthSize]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -68,14 +69,14 @@
 	return pg.AppendMessage(nil, pg.MsgAuthentication, 0, 0, 0, 0), nil
 }
 
-// AppendColumnDescription appends the description of a row with one column of text.
+// AppendColumnDescription appends the RowDescription of a row with one column of type text.
 func AppendColumnDescription(out []byte) []byte {
 	column := append([]byte{0, 1, 'v', 0}, make([]byte, columnTailSize)...)
 	column[typeOIDAt] = textTypeOID
 	return pg.AppendMessage(out, pg.MsgRowDescription, column...)
 }
 
-// AppendRow appends a row of one value of at most 255 bytes.
+// AppendRow appends the DataRow of a row with one value of at most 255 bytes.
 func AppendRow(out []byte, value string) []byte {
 	return pg.AppendMessage(out, pg.MsgDataRow, append([]byte{0, 1, 0, 0, 0, byte(len(value))}, value...)...)
 }
--- a/internal/stubserver/statement.go
+++ b/internal/stubserver/statement.go
@@ -8,13 +8,13 @@
 
 var quotedLiteral = regexp.MustCompile(`'([^']*)'`)
 
-// Statement is the unnamed statement of a stub host's connection, with its values.
+// Statement is the unnamed statement of a connection to a stub host, with its parameter values.
 type Statement struct {
 	Text   string
 	Values []string
 }
 
-// ReadQuery reads the body of a Query. The values are the quoted literals of its text.
+// ReadQuery reads the body of a Query message. The values are the quoted literals of its text.
 func (s *Statement) ReadQuery(body []byte) {
 	s.Text, s.Values = pg.NewFieldReader(body).Text(), nil
 	for _, match := range quotedLiteral.FindAllStringSubmatch(s.Text, -1) {
@@ -22,14 +22,14 @@
 	}
 }
 
-// ReadParse reads the body of a Parse. The values stay until the next Bind.
+// ReadParse reads the text from the body of a Parse message. The values stay until the next Bind message.
 func (s *Statement) ReadParse(body []byte) {
 	fields := pg.NewFieldReader(body)
 	fields.Text() // the statement's name
 	s.Text = fields.Text()
 }
 
-// ReadBind reads the values of a Bind.
+// ReadBind reads the values from the body of a Bind message.
 func (s *Statement) ReadBind(body []byte) {
 	const formatCodeSize = 2
 	fields := pg.NewFieldReader(body)
