--- a/internal/faultsim/soak/client.go
+++ b/internal/faultsim/soak/client.go
@@ -11,57 +11,69 @@
 )
 
 const (
-	// startupLimit is how long a client waits for the answer to its startup message.
-	startupLimit = 2 * time.Second
-	// firstRequestLimit is how soon a request has to follow its connection for the gateway to have to wait for it.
-	firstRequestLimit = 100 * time.Millisecond
+	// startupTimeout is how long a client waits for the answer to a startup message that it sent along with a request.
+	startupTimeout = 2 * time.Second
+	// firstRequestWindow is how long the gateway must wait at least for the first request of a new connection.
+	firstRequestWindow = 100 * time.Millisecond
 )
 
 const (
-	// maxPipeline is how many requests a client sends at once at most.
+	// maxPipeline is the largest number of requests that a client sends in one write.
 	maxPipeline = 4
-	// maxOverlap is how many requests a client sends before the first one is answered, at most.
+	// maxOverlap is the largest number of requests that a client sends one by one without waiting for answers.
 	maxOverlap = 10
 )
 
-// clientHabit is what a client does besides sending one request after another.
-type clientHabit string
+// clientBehavior is how a client sends its requests.
+type clientBehavior string
 
 const (
-	steady       clientHabit = "steady"
-	saysOdd      clientHabit = "says-odd"      // texts that are no request, now and then
-	pipelines    clientHabit = "pipelines"     // sends several requests at once
-	leaves       clientHabit = "leaves"        // closes with requests in flight, now and then
-	halfCloses   clientHabit = "half-closes"   // ends its sending behind a request, and reads the answer
-	sendsHalf    clientHabit = "sends-half"    // a part of a message, the rest later
-	reconnects   clientHabit = "reconnects"    // a new connection for each request
-	overlaps     clientHabit = "overlaps"      // sends on while answers are outstanding
-	fillsAndGoes clientHabit = "abandons-half" // half a message, then it closes
+	// clientSteady sends one request after another and reads the answer to each.
+	clientSteady clientBehavior = "steady"
+	// clientSendsNonRequests is clientSteady, but sends a query of nonRequestQueries in place of some requests.
+	clientSendsNonRequests clientBehavior = "says-odd"
+	// clientPipelines sends up to maxPipeline requests in one write.
+	clientPipelines clientBehavior = "pipelines"
+	// clientAbandons closes some connections while a request is in flight.
+	clientAbandons clientBehavior = "leaves"
+	// clientHalfCloses closes its sending side after a request, and then reads the answer.
+	clientHalfCloses clientBehavior = "half-closes"
+	// clientSplitsMessages sends the first half of a request's messages, pauses, and sends the rest.
+	clientSplitsMessages clientBehavior = "sends-half"
+	// clientReconnects opens a new connection for each request.
+	clientReconnects clientBehavior = "reconnects"
+	// clientOverlaps sends up to maxOverlap requests at intervals without waiting for the answers.
+	clientOverlaps clientBehavior = "overlaps"
+	// clientAbandonsMessage is clientSplitsMessages, but closes some connections in place of sending the rest.
+	clientAbandonsMessage clientBehavior = "abandons-half"
 )
 
-var clientHabits = []clientHabit{steady, steady, saysOdd, pipelines, leaves, halfCloses, overlaps, overlaps, sendsHalf, reconnects, fillsAndGoes}
+var clientBehaviors = []clientBehavior{clientSteady, clientSteady, clientSendsNonRequests, clientPipelines,
+	clientAbandons, clientHalfCloses, clientOverlaps, clientOverlaps, clientSplitsMessages, clientReconnects,
+	clientAbandonsMessage}
 
-// client sends requests on one connection after another, until the gateway's process has ended.
+// client sends requests on one connection at a time until the gateway's process has ended.
 type client struct {
-	run      *run
-	draw     draw
-	number   int
-	habit    clientHabit
-	group    int
-	sessions []string
-	counter  int // of requests
-
-	conn      net.Conn
-	connected time.Time // when conn was established
-	answered  time.Time // when the last answer came
-	firstSent bool      // a request was sent on the connection
-	prepared  bool      // the connection's named statement, of preparedClass, exists
-	// preparedClass is drawn for each connection; all use one name.
+	run          *run
+	draw         draw
+	number       int
+	behavior     clientBehavior
+	group        int
+	sessions     []string
+	requestCount int // number of requests that were created
+
+	conn         net.Conn
+	connectedAt  time.Time // when conn was established
+	lastAnswerAt time.Time // when the last answer was received
+	firstSent    bool      // whether a request was sent on conn
+	prepared     bool      // whether the named statement for preparedClass exists on conn
+	// preparedClass is the class whose requests use a named prepared statement. It is drawn anew for each connection. All
+	// connections use the same statement name.
 	preparedClass *class
 }
 
-// play sends requests until stop is closed or the gateway accepts no connection any more.
-func (c *client) play(stop <-chan struct{}) {
+// sendLoop sends requests until stop is closed or the gateway's process has ended.
+func (c *client) sendLoop(stop <-chan struct{}) {
 	defer c.disconnect()
 	for {
 		select {
@@ -72,44 +84,45 @@
 		if c.conn == nil && !c.connect() {
 			return
 		}
-		c.round()
+		c.sendRound()
 		c.pause(c.draw.between(0, 2*c.run.deployment.ThinkTimeMs))
 	}
 }
 
-// surge sends requests at once, on a new connection each, and reads the answers behind.
-func (c *client) surge(count int) {
-	var reading sync.WaitGroup
+// sendSurge sends each request on a new connection, right after the startup message, and reads the answers concurrently.
+func (c *client) sendSurge(count int) {
+	var readers sync.WaitGroup
 	for range count {
 		conn, err := net.DialTimeout("tcp4", c.run.gateway.address, time.Second)
 		if err != nil { // the listener is closed
 			break
 		}
-		c.use(conn)
+		c.startConn(conn)
 		sent := c.newRequest(nil)
 		if !c.send([]*request{sent}, c.appendRequest(c.startupMessage(), sent)) {
 			continue
 		}
 		reader := *c
-		reading.Go(func() {
+		readers.Go(func() {
 			defer reader.disconnect()
 			reader.receiveFirst([]*request{sent})
 		})
 		c.pause(surgePauseMs)
 	}
 	c.conn = nil // the readers close the connections
-	reading.Wait()
+	readers.Wait()
 }
 
 func (c *client) pause(ms float64) { time.Sleep(time.Duration(ms * float64(time.Millisecond))) }
 
-// connect opens a connection and starts a session; false where the gateway accepts none.
+// connect opens a connection and, unless the client reconnects for each request, starts a session. It retries until it
+// succeeds, and returns false once the gateway's process has ended.
 func (c *client) connect() bool {
-	for c.run.gateway.accepting() {
+	for c.run.gateway.running() {
 		conn, err := net.DialTimeout("tcp4", c.run.gateway.address, time.Second)
 		if err == nil {
-			c.use(conn)
-			if c.habit == reconnects || c.startSession() == nil {
+			c.startConn(conn)
+			if c.behavior == clientReconnects || c.startSession() == nil {
 				return true
 			}
 			c.disconnect()
@@ -119,9 +132,9 @@
 	return false
 }
 
-// use begins to use a new connection.
-func (c *client) use(conn net.Conn) {
-	c.conn, c.connected, c.firstSent, c.prepared = conn, time.Now(), false, false
+// startConn makes conn the client's connection and resets the state that belongs to a connection.
+func (c *client) startConn(conn net.Conn) {
+	c.conn, c.connectedAt, c.firstSent, c.prepared = conn, time.Now(), false, false
 	c.preparedClass = &c.run.deployment.Classes[c.draw.IntN(len(c.run.deployment.Classes))]
 }
 
@@ -132,7 +145,7 @@
 	}
 }
 
-// startupMessage is the startup message of the client.
+// startupMessage returns the client's startup message.
 func (c *client) startupMessage() []byte {
 	out, mark := pg.BeginMessage(nil, 0)
 	out = binary.BigEndian.AppendUint32(out, pg.Version3)
@@ -142,7 +155,7 @@
 	return pg.EndMessage(out, mark)
 }
 
-// startSession sends the startup message and waits until the gateway is ready.
+// startSession sends the startup message and waits until the gateway is ready for a query.
 func (c *client) startSession() error {
 	if _, err := c.conn.Write(c.startupMessage()); err != nil {
 		return err
--- a/internal/faultsim/soak/client_message.go
+++ b/internal/faultsim/soak/client_message.go
@@ -11,14 +11,15 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// result is a gateway's answer to one request.
+// result is the gateway's answer to one request.
 type result struct {
-	sqlstate  string // of an error; empty: none
-	answer    string
-	completed bool
+	sqlstate  string // of the error; empty: no error
+	answer    string // the value of the row; empty: no row
+	completed bool   // whether CommandComplete was received
 }
 
-// readResult reads up to ReadyForQuery. The end of the connection is an error, unless a fatal error came before it.
+// readResult reads messages up to ReadyForQuery. If the connection ends or times out before that, it returns an error,
+// unless an ErrorResponse was read: a fatal one is not followed by ReadyForQuery.
 func (c *client) readResult() (read result, err error) {
 	for {
 		kind, body, err := stubserver.ReadMessage(c.conn, maxMessageBody)
@@ -26,7 +27,7 @@
 			if read.sqlstate != "" {
 				return read, nil
 			}
-			return read, fmt.Errorf("reading an answer: %w", err)
+			return read, fmt.Errorf("reading the gateway's answer: %w", err)
 		}
 		switch kind {
 		case pg.MsgReadyForQuery:
@@ -43,7 +44,7 @@
 	}
 }
 
-// record notes the answer to a request.
+// record stores the result and its outcome in the request that it answers.
 func (r *result) record(answered *request, at time.Time) {
 	answered.answeredAt, answered.sqlstate, answered.answer = at, r.sqlstate, r.answer
 	switch {
@@ -62,12 +63,12 @@
 		return pg.AppendStrings(out, pg.MsgQuery, c.platformQuery(sent))
 	}
 	if c.draw.chance(0.3) {
-		return pg.AppendStrings(out, pg.MsgQuery, extendedText(sent, "'"+sent.session+"'", "'k"+sent.id+"'", "'"+sent.id+"'"))
+		return pg.AppendStrings(out, pg.MsgQuery, extendedStatement(sent, "'"+sent.session+"'", "'k"+sent.id+"'", "'"+sent.id+"'"))
 	}
 	return c.appendExtended(out, sent)
 }
 
-// platformQuery is the text of a request on the platform.
+// platformQuery returns the query text of a request for the platform's frontend.
 func (c *client) platformQuery(sent *request) string {
 	annotation := fmt.Sprintf("/* id=%s,c=%s,d=%.0f,cluster=%d", sent.id, sent.class.Name, sent.class.DeadlineMs, sent.group)
 	if sent.class.Idempotency == idempotentWithKey {
@@ -80,16 +81,17 @@
 	return fmt.Sprintf("SELECT v FROM records WHERE k = '%s' %s */", sent.session, annotation)
 }
 
-// extendedText is the text of a request on the extended frontend, with its values or their placeholders.
-func extendedText(sent *request, session, key, id string) string {
+// extendedStatement returns the statement text of a request for the extended frontend. session, key and id are literals
+// or placeholders.
+func extendedStatement(sent *request, session, key, id string) string {
 	if sent.class.isWrite() {
 		return fmt.Sprintf("INSERT INTO %s VALUES (%s, %s, %s)", sent.class.Name, session, key, id)
 	}
 	return fmt.Sprintf("SELECT v FROM %s WHERE k = %s AND id = %s", sent.class.Name, session, id)
 }
 
-// appendExtended appends Parse, Bind, Execute and Sync. A request of the connection's prepared class uses its named
-// statement; all connections use the same name.
+// appendExtended appends the Parse, Bind, Execute and Sync messages of a request. A request of the connection's prepared
+// class uses the named statement and sends Parse only if that does not exist yet.
 func (c *client) appendExtended(out []byte, sent *request) []byte {
 	const preparedName = "prepared"
 	values := []string{sent.session, sent.id}
@@ -101,9 +103,9 @@
 		name = preparedName
 	}
 	if name == "" || !c.prepared {
-		text := extendedText(sent, "$1", "$2", "$"+strconv.Itoa(len(values)))
+		text := extendedStatement(sent, "$1", "$2", "$"+strconv.Itoa(len(values)))
 		if !sent.class.isWrite() {
-			text = extendedText(sent, "$1", "", "$2")
+			text = extendedStatement(sent, "$1", "", "$2")
 		}
 		var mark int
 		out, mark = pg.BeginMessage(out, pg.MsgParse)
@@ -121,8 +123,8 @@
 	return pg.AppendMessage(out, pg.MsgSync)
 }
 
-// hasValue returns the value of an answer; false where it is not one of this request.
-func (r *request) hasValue() (int, bool) {
+// answerValue returns the value in the answer. It returns false if the row does not name this request and its session.
+func (r *request) answerValue() (int, bool) {
 	rest, ok := strings.CutPrefix(r.answer, fmt.Sprintf("%s|%s|", r.id, r.session))
 	if !ok {
 		return 0, false
--- a/internal/faultsim/soak/client_requests.go
+++ b/internal/faultsim/soak/client_requests.go
@@ -10,12 +10,13 @@
 	"merlinjunction/internal/protocol/pg"
 )
 
-// oddTexts are queries that are no request. The gateway answers each, with an error or without.
-var oddTexts = []string{"=", " = ;", "", ";", "-- nothing", "SET", "RESET", "DEALLOCATE", "DISCARD ALL", "/*", "'", "$$", "BEGIN"}
+// nonRequestQueries are query texts that are not requests. The gateway must answer each of them, with or without an error.
+var nonRequestQueries = []string{"=", " = ;", "", ";", "-- nothing", "SET", "RESET", "DEALLOCATE", "DISCARD ALL", "/*",
+	"'", "$$", "BEGIN"}
 
-// sayOdd sends a query that is no request, and reads its answer.
-func (c *client) sayOdd() {
-	if _, err := c.conn.Write(pg.AppendStrings(nil, pg.MsgQuery, oneOf(c.draw, oddTexts...))); err != nil {
+// sendNonRequest sends a query that is not a request and reads the answer.
+func (c *client) sendNonRequest() {
+	if _, err := c.conn.Write(pg.AppendStrings(nil, pg.MsgQuery, oneOf(c.draw, nonRequestQueries...))); err != nil {
 		c.disconnect()
 		return
 	}
@@ -23,26 +24,26 @@
 	if _, err := c.readResult(); err != nil {
 		c.disconnect()
 	}
-	c.prepared = false // DISCARD ALL drops it
+	c.prepared = false // DISCARD ALL drops the named statement
 }
 
-// round sends one request, or several at once, and reads the answers, as the habit says.
-func (c *client) round() {
+// sendRound sends one or several requests, as the client's behavior requires, and reads the answers.
+func (c *client) sendRound() {
 	switch {
-	case c.habit == saysOdd && c.draw.chance(0.2):
-		c.sayOdd()
+	case c.behavior == clientSendsNonRequests && c.draw.chance(0.2):
+		c.sendNonRequest()
 		return
-	case c.habit == overlaps:
-		c.overlap()
+	case c.behavior == clientOverlaps:
+		c.sendOverlapping()
 		return
 	}
 	count := 1
-	if c.habit == pipelines {
+	if c.behavior == clientPipelines {
 		count = 1 + c.draw.IntN(maxPipeline)
 	}
 	var batch []*request
 	var out []byte
-	if c.habit == reconnects { // the first query straight after the startup message
+	if c.behavior == clientReconnects { // the query follows the startup message without waiting for its answer
 		out = c.startupMessage()
 	}
 	for range count {
@@ -53,47 +54,47 @@
 	if !c.send(batch, out) {
 		return
 	}
-	if c.habit == leaves && c.draw.chance(0.3) {
-		if c.draw.chance(0.5) { // what follows looks like its half-close, until something is sent to it
+	if c.behavior == clientAbandons && c.draw.chance(0.3) {
+		if c.draw.chance(0.5) { // to the gateway the close looks like a half-close until it sends something
 			_ = c.conn.(*net.TCPConn).CloseWrite()
 		}
 		c.pause(c.draw.between(0, 30))
-		c.leave(batch)
+		c.abandon(batch)
 		return
 	}
-	if c.habit == halfCloses {
+	if c.behavior == clientHalfCloses {
 		_ = c.conn.(*net.TCPConn).CloseWrite()
 	}
-	if c.habit == reconnects {
+	if c.behavior == clientReconnects {
 		c.receiveFirst(batch)
 	} else {
 		c.receive(batch)
 	}
-	if c.habit == halfCloses || c.habit == reconnects {
+	if c.behavior == clientHalfCloses || c.behavior == clientReconnects {
 		c.disconnect()
 	}
 }
 
-// receiveFirst reads the answer to the startup message and those to a batch behind it.
+// receiveFirst reads the answer to the startup message and then the answers to a batch that was sent right after it.
 func (c *client) receiveFirst(batch []*request) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(startupLimit))
+	_ = c.conn.SetReadDeadline(time.Now().Add(startupTimeout))
 	if _, err := c.readResult(); err != nil {
-		c.endWith(batch, errors.Is(err, os.ErrDeadlineExceeded))
+		c.recordLoss(batch, errors.Is(err, os.ErrDeadlineExceeded))
 		return
 	}
 	c.receive(batch)
 }
 
-// overlap sends requests at intervals, while those before them are not answered yet.
-func (c *client) overlap() {
+// sendOverlapping sends requests at intervals without waiting for the answers, which it reads concurrently.
+func (c *client) sendOverlapping() {
 	awaited := make(chan *request, maxOverlap)
 	received := make(chan struct{})
 	reader := *c
 	go func() {
 		defer close(received)
 		for next := range awaited {
-			if reader.conn == nil { // it has ended
-				reader.end([]*request{next})
+			if reader.conn == nil { // the connection has ended
+				reader.recordConnLoss([]*request{next})
 				continue
 			}
 			reader.receive([]*request{next})
@@ -116,39 +117,40 @@
 	}
 }
 
-// newRequest draws a request. Requests of one batch have different sessions, so that what one writes is not required of
-// another that runs at the same time.
+// newRequest draws a request. The requests of a batch have different sessions, so that a read need not return the value of
+// a write that runs at the same time.
 func (c *client) newRequest(batch []*request) *request {
 	deployed := c.run.deployment
-	c.counter++
+	c.requestCount++
 	drawn := &deployed.Classes[c.draw.IntN(len(deployed.Classes))]
 	switch {
-	case c.habit == overlaps && c.draw.chance(0.5): // what hangs longest
-		drawn = deployed.longestWrite()
+	case c.behavior == clientOverlaps && c.draw.chance(0.5): // stays open longest at a host that hangs
+		drawn = deployed.longestWriteClass()
 	case deployed.Extended && c.draw.chance(0.5):
 		drawn = c.preparedClass
 	}
 	return &request{
-		id:      fmt.Sprintf("r%d-%d", c.number, c.counter),
-		class:   drawn,
-		group:   c.group,
-		session: c.sessions[len(batch)],
-		value:   c.counter,
-		first:   !c.firstSent && len(batch) == 0 && time.Since(c.connected) < firstRequestLimit,
+		id:          fmt.Sprintf("r%d-%d", c.number, c.requestCount),
+		class:       drawn,
+		group:       c.group,
+		session:     c.sessions[len(batch)],
+		value:       c.requestCount,
+		firstOnConn: !c.firstSent && len(batch) == 0 && time.Since(c.connectedAt) < firstRequestWindow,
 	}
 }
 
-// send sends a batch; false where the connection was broken, or the client has left behind half a message.
+// send records the requests of a batch and writes out, their messages, to the connection. It returns false if the
+// connection was lost or the client abandoned it after the first half of out.
 func (c *client) send(batch []*request, out []byte) bool {
 	for _, sent := range batch {
-		c.run.require(sent)
+		c.run.setMinValue(sent)
 		c.run.recorder.add(sent)
 	}
-	if half := len(out) / 2; c.habit == sendsHalf || c.habit == fillsAndGoes {
+	if half := len(out) / 2; c.behavior == clientSplitsMessages || c.behavior == clientAbandonsMessage {
 		_, _ = c.conn.Write(out[:half])
 		c.pause(c.draw.between(10, 250))
-		if c.habit == fillsAndGoes && c.draw.chance(0.5) {
-			c.leave(batch)
+		if c.behavior == clientAbandonsMessage && c.draw.chance(0.5) {
+			c.abandon(batch)
 			return false
 		}
 		out = out[half:]
@@ -157,37 +159,38 @@
 	now := time.Now()
 	c.run.recorder.update(func() {
 		for _, sent := range batch {
-			sent.sentAt, sent.dueSince = now, now
+			sent.sentAt, sent.deadlineStart = now, now
 		}
 	})
 	c.firstSent = true
 	if err != nil {
-		c.end(batch)
+		c.recordConnLoss(batch)
 		return false
 	}
 	return true
 }
 
-// leave closes the connection with requests in flight.
-func (c *client) leave(batch []*request) {
+// abandon closes the connection while the requests of a batch are in flight.
+func (c *client) abandon(batch []*request) {
 	c.disconnect()
 	now := time.Now()
 	c.run.recorder.update(func() {
 		for _, left := range batch {
-			left.outcome, left.leftAt = abandoned, now
+			left.outcome, left.abandonedAt = abandoned, now
 		}
 	})
 }
 
-// end records that the connection has ended before these requests were answered.
-func (c *client) end(batch []*request) { c.endWith(batch, false) }
+// recordConnLoss records that the connection ended before the requests of a batch were answered.
+func (c *client) recordConnLoss(batch []*request) { c.recordLoss(batch, false) }
 
-// endWith is end; timedOut says that the client has given up, and the connection was still open.
-func (c *client) endWith(batch []*request, timedOut bool) {
+// recordLoss records that the requests of a batch will not be answered, and closes the connection. timedOut means that the
+// connection was still open and the client gave up waiting for the first answer.
+func (c *client) recordLoss(batch []*request, timedOut bool) {
 	now := time.Now()
 	c.run.recorder.update(func() {
 		for i, lost := range batch {
-			lost.endedAt, lost.timedOut = now, timedOut && i == 0
+			lost.connLostAt, lost.timedOut = now, timedOut && i == 0
 		}
 	})
 	c.disconnect()
@@ -196,21 +199,21 @@
 // receive reads the answers to a batch, in its order.
 func (c *client) receive(batch []*request) {
 	for i, awaited := range batch {
-		limit := time.Duration(awaited.class.DeadlineMs*float64(time.Millisecond)) + lateAnswerLimit + readSlack
+		limit := time.Duration(awaited.class.DeadlineMs*float64(time.Millisecond)) + answerTolerance + extraReadTime
 		_ = c.conn.SetReadDeadline(time.Now().Add(limit))
 		result, err := c.readResult()
 		if err != nil {
-			c.endWith(batch[i:], errors.Is(err, os.ErrDeadlineExceeded))
+			c.recordLoss(batch[i:], errors.Is(err, os.ErrDeadlineExceeded))
 			return
 		}
 		now := time.Now()
 		c.run.recorder.update(func() {
 			result.record(awaited, now)
-			if c.answered.After(awaited.dueSince) { // its time counts from the answer before it
-				awaited.dueSince = c.answered
+			if c.lastAnswerAt.After(awaited.deadlineStart) { // its deadline counts from the previous answer
+				awaited.deadlineStart = c.lastAnswerAt
 			}
-			c.answered = now
+			c.lastAnswerAt = now
 		})
-		c.run.acknowledge(awaited)
+		c.run.recordAcknowledgedWrite(awaited)
 	}
 }
--- a/internal/faultsim/soak/config_file.go
+++ b/internal/faultsim/soak/config_file.go
@@ -6,7 +6,7 @@
 	"text/template"
 )
 
-// platformConfig is the platform's configuration of a deployment, with discovery at an address.
+// platformConfig returns the gateway's configuration in the platform's format, with discovery at an address.
 func (p *deployment) platformConfig(discovery string) string {
 	type object = map[string]any
 	var services []object
@@ -45,12 +45,12 @@
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
-		panic(err) // only texts and finite numbers
+		panic(err) // cannot happen: config holds only strings, booleans and finite numbers
 	}
 	return string(text)
 }
 
-// operatorFile is the operator's file of a deployment.
+// operatorFile is the template of the operator's configuration file. Its data are set in operatorConfig.
 var operatorFile = template.Must(template.New("operator file").Funcs(template.FuncMap{
 	"idempotency": func(kind idempotency) string { return operatorIdempotencies[kind] },
 }).Parse(`name = "soak"
@@ -103,19 +103,20 @@
 {{else}}pattern = '''^SELECT v FROM {{.Name}} WHERE k = '?(?P<session>[^' ]*)'''
 {{end}}{{end}}`))
 
-// groupDatabase is a [[database]] of an operator's file: the client's database names the group.
+// groupDatabase is a [[database]] entry of the operator's configuration file. Clients reach a group of hosts by the
+// database that they name in the startup message.
 type groupDatabase struct {
 	Name  string
 	Group int
 }
 
-// operatorClass is a class with what the template asks of it.
+// operatorClass adds the methods to a class that the template calls.
 type operatorClass struct{ class }
 
-// IsWrite reports whether requests of the class write.
+// IsWrite reports whether the class is one of writes.
 func (c operatorClass) IsWrite() bool { return c.isWrite() }
 
-// operatorConfig is the operator's file of a deployment, with discovery at an address.
+// operatorConfig returns the operator's configuration file, with discovery at an address.
 func (p *deployment) operatorConfig(discovery string) string {
 	data := struct {
 		*deployment
@@ -135,12 +136,12 @@
 	}
 	var text strings.Builder
 	if err := operatorFile.Execute(&text, data); err != nil {
-		panic(err) // the template is fixed
+		panic(err) // cannot happen: the template and the types of its data are fixed
 	}
 	return text.String()
 }
 
-// config is the configuration file of a deployment for its frontend.
+// config returns the gateway's configuration file for the deployment's frontend, with discovery at an address.
 func (p *deployment) config(discovery string) string {
 	if p.Extended {
 		return p.operatorConfig(discovery)
@@ -148,7 +149,7 @@
 	return p.platformConfig(discovery)
 }
 
-// databaseName is the database whose clients reach a group of hosts.
+// databaseName returns the name of the database whose clients reach a group of hosts.
 func databaseName(group int) string {
 	if group == 0 {
 		return "main"
--- a/internal/faultsim/soak/deployment.go
+++ b/internal/faultsim/soak/deployment.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// consistency is how new the data of an answer has to be, in the words of the settings.
+// consistency states how recent the data of an answer must be, under the names that the settings use.
 type consistency string
 
 const (
@@ -16,7 +16,7 @@
 	consistencyWrite   consistency = "write"
 )
 
-// idempotency says whether a request may be sent again.
+// idempotency states whether a request may be sent to a host more than once.
 type idempotency int
 
 const (
@@ -25,7 +25,7 @@
 	notIdempotent
 )
 
-// Names of idempotency in the platform's settings and in an operator's file.
+// The names of the idempotency values in the platform's settings and in the operator's configuration file.
 var (
 	platformIdempotencies = map[idempotency]string{
 		idempotent: "read_like", idempotentWithKey: "idempotency_key", notIdempotent: "non_idempotent",
@@ -35,33 +35,33 @@
 	}
 )
 
-// class is a class of requests.
+// class is a class of requests with its routing rules.
 type class struct {
 	Name          string
 	Consistency   consistency
 	Idempotency   idempotency
-	MaxAgeMs      float64
-	DedupWindowMs float64
-	ObjectiveMs   float64
+	MaxAgeMs      float64 // for consistencyBounded
+	DedupWindowMs float64 // for idempotentWithKey
+	ObjectiveMs   float64 // latency objective
 	DeadlineMs    float64
-	Weight        float64
-	LateWeight    float64
+	Weight        float64 // priority weight
+	LateWeight    float64 // share of Weight that an answer after the latency objective has
 }
 
 func (c *class) isWrite() bool { return c.Consistency == consistencyWrite }
 
-// deployment is what a seed draws of a gateway's settings and its environment.
+// deployment holds the gateway's settings and its environment, as drawn from a run's seed.
 type deployment struct {
-	Extended          bool // frontend
+	Extended          bool // the gateway runs the extended frontend; otherwise the platform's
 	Classes           []class
 	HostsPerGroup     int
 	Groups            int
-	Gateways          int // in the settings; one runs
+	Gateways          int // the number in the settings; only one gateway runs
 	PushedLists       bool
-	StalenessCheck    string // platform's word
+	StalenessCheck    string // value of the platform's setting ServerChecks
 	MaxAttempts       int
 	CancelAllowed     bool
-	HealthChecks      bool // SHOW server_load
+	HealthChecks      bool // with the statement SHOW server_load
 	MaxRetryAfterMs   float64
 	HostIdleMs        float64
 	ConnectTimeoutMs  float64
@@ -73,7 +73,7 @@
 	MemoryMB          int
 	Sockets           int
 	ReplicationLagMs  float64
-	Connections       int // of clients at a time, without a crowd
+	Connections       int // of clients at a time, besides those of a connection flood or a surge
 	ThinkTimeMs       float64
 	LongestDeadlineMs float64
 }
@@ -86,14 +86,14 @@
 // between draws a number from a range.
 func (d draw) between(low, high float64) float64 { return low + (high-low)*d.Float64() }
 
-// chance reports true with a probability.
+// chance returns true with the given probability.
 func (d draw) chance(probability float64) bool { return d.Float64() < probability }
 
 // oneOf draws an element of a list.
 func oneOf[T any](d draw, list ...T) T { return list[d.IntN(len(list))] }
 
-// drawDeployment draws a deployment. Its ranges cover short and long deadlines, few and many hosts, lists that are
-// pushed and polled, and all kinds of classes.
+// drawDeployment draws a deployment. The ranges cover short and long deadlines, few and many hosts, pushed and polled
+// endpoint lists, and all kinds of classes.
 func drawDeployment(d draw) *deployment {
 	deployed := &deployment{
 		Extended:         d.chance(0.4),
@@ -123,7 +123,8 @@
 	return deployed
 }
 
-// drawClasses draws one class of writes at least, and one of reads for each of some kinds of consistency.
+// drawClasses draws one or two classes of writes, a class of reads with consistencyAny, and up to three classes of reads
+// with the other kinds of consistency.
 func (p *deployment) drawClasses(d draw) {
 	writes := []idempotency{oneOf(d, idempotentWithKey, notIdempotent)}
 	if d.chance(0.4) {
@@ -161,8 +162,8 @@
 	return drawn
 }
 
-// longestWrite is the class of writes with the longest deadline.
-func (p *deployment) longestWrite() *class {
+// longestWriteClass returns the class of writes with the longest deadline.
+func (p *deployment) longestWriteClass() *class {
 	var longest *class
 	for i := range p.Classes {
 		if c := &p.Classes[i]; c.isWrite() && (longest == nil || c.DeadlineMs > longest.DeadlineMs) {
@@ -172,7 +173,7 @@
 	return longest
 }
 
-// summary describes the deployment in a few words.
+// summary describes the deployment for the report.
 func (p *deployment) summary() string {
 	frontend, lists := "platform", "polled"
 	if p.Extended {
--- a/internal/faultsim/soak/discovery.go
+++ b/internal/faultsim/soak/discovery.go
@@ -9,36 +9,36 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// discoveryTrouble is what the stub discovery does wrong for some time.
-type discoveryTrouble string
+// discoveryFault is how the stub discovery service fails for some time.
+type discoveryFault string
 
 const (
-	discoveryHealthy discoveryTrouble = "healthy"
-	discoverySilent  discoveryTrouble = "silent" // nothing is answered
-	discoveryBusy    discoveryTrouble = "busy"   // 503
-	discoveryCuts    discoveryTrouble = "cuts"   // the connection ends in the middle of a response
-	discoveryQuiet   discoveryTrouble = "quiet"  // open watches are never answered, new polls are
+	discoveryHealthy        discoveryFault = "healthy"
+	discoverySilent         discoveryFault = "silent" // polls and watches get no response
+	discoveryBusy           discoveryFault = "busy"   // responds with status 503
+	discoveryCutsResponses  discoveryFault = "cuts"   // closes the connection in the middle of a response
+	discoveryIgnoresWatches discoveryFault = "quiet"  // watches open at its start get no response, new ones do
 )
 
-var discoveryTroubles = []discoveryTrouble{discoverySilent, discoveryBusy, discoveryCuts, discoveryQuiet}
+var discoveryFaults = []discoveryFault{discoverySilent, discoveryBusy, discoveryCutsResponses, discoveryIgnoresWatches}
 
-// discovery is the stub discovery. It serves one list at two addresses.
+// discovery is the stub discovery service. It serves the same endpoint list at two addresses.
 type discovery struct {
 	run     *run
 	servers []*http.Server
 
 	mutex    sync.Mutex
-	trouble  discoveryTrouble
+	fault    discoveryFault
 	revision int
-	changed  chan struct{} // closed with the next revision or trouble
-	frozen   chan struct{} // closed when the open watches fall silent
-	// countsAtOnce means that a change counts as notified when it is published: lists are pushed, and nothing in the
-	// run makes it count later.
-	countsAtOnce bool
+	changed  chan struct{} // closed at the next change of revision or fault
+	frozen   chan struct{} // closed when discoveryIgnoresWatches begins; the open watches then get no response
+	// notifiedOnPublish means that the gateway counts as notified of an endpoint update as soon as it is published: lists are
+	// pushed, and no step of the run can delay the notification.
+	notifiedOnPublish bool
 }
 
 func newDiscovery(r *run) (*discovery, error) {
-	d := &discovery{run: r, trouble: discoveryHealthy, changed: make(chan struct{}), frozen: make(chan struct{})}
+	d := &discovery{run: r, fault: discoveryHealthy, changed: make(chan struct{}), frozen: make(chan struct{})}
 	for range 2 {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -46,67 +46,69 @@
 		}
 		server := &http.Server{Handler: d, Addr: listener.Addr().String()}
 		d.servers = append(d.servers, server)
-		go func() { _ = server.Serve(listener) }() // returns when it is closed
+		go func() { _ = server.Serve(listener) }() // returns when server is closed
 	}
 	return d, nil
 }
 
 func (d *discovery) close() {
-	d.setTrouble(discoveryHealthy)
+	d.setFault(discoveryHealthy)
 	for _, server := range d.servers {
 		stubserver.CloseQuietly(server)
 	}
 }
 
-// address is one of the addresses.
+// address returns one of the two addresses.
 func (d *discovery) address(index int) string { return d.servers[index].Addr }
 
-// setTrouble begins a trouble, or ends the present one with discoveryHealthy.
-func (d *discovery) setTrouble(next discoveryTrouble) {
+// setFault begins a fault. discoveryHealthy ends the present one.
+func (d *discovery) setFault(next discoveryFault) {
 	d.mutex.Lock()
-	d.trouble = next
-	if next == discoveryQuiet {
+	d.fault = next
+	if next == discoveryIgnoresWatches {
 		close(d.frozen)
 		d.frozen = make(chan struct{})
 	}
-	d.wake()
+	d.wakeWatches()
 	d.mutex.Unlock()
-	d.countPublished()
+	d.recordPublished()
 }
 
-// publish makes a new revision of the list.
+// publish publishes a new revision of the endpoint list.
 func (d *discovery) publish() {
 	d.mutex.Lock()
 	d.revision++
-	d.wake()
+	d.wakeWatches()
 	d.mutex.Unlock()
-	d.countPublished()
+	d.recordPublished()
 }
 
-// wake wakes the waiting watches. The caller holds the lock.
-func (d *discovery) wake() {
+// wakeWatches makes the waiting watches check the revision and the fault again. The caller holds the lock.
+func (d *discovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// countPublished records that what is published counts as notified, where lists are pushed and the agent is up.
-func (d *discovery) countPublished() {
+// recordPublished records that the gateway is notified of the published list, provided that notifiedOnPublish is set and
+// discovery is neither silent nor busy.
+func (d *discovery) recordPublished() {
 	d.mutex.Lock()
-	counts := d.countsAtOnce && d.trouble != discoverySilent && d.trouble != discoveryBusy
+	counts := d.notifiedOnPublish && d.fault != discoverySilent && d.fault != discoveryBusy
 	d.mutex.Unlock()
 	if counts {
-		d.notifyDrains(time.Now())
+		d.recordDrainsNotified(time.Now())
 	}
 }
 
-// notifyDrains records that the drains of the list are notified.
-func (d *discovery) notifyDrains(at time.Time) {
+// recordDrainsNotified records that the gateway is notified of the drains of all hosts that drain.
+func (d *discovery) recordDrainsNotified(at time.Time) {
 	for _, h := range d.run.hosts {
-		h.notifyDrain(at)
+		h.recordDrainNotified(at)
 	}
 }
 
-// ServeHTTP answers a poll: with the list at once, or as a watch.
+// ServeHTTP answers a poll at once, and a watch when there is a newer revision, the fault changes or its time-out passes.
+// The fault at that time decides what the response is.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mutex.Lock()
 	frozen := d.frozen
@@ -117,28 +119,28 @@
 		return d.revision > since, d.changed
 	})
 	d.mutex.Lock()
-	current := d.trouble
+	fault := d.fault
 	d.mutex.Unlock()
 	select {
 	case <-frozen:
-		current = discoverySilent
+		fault = discoverySilent
 	default:
 	}
-	switch current {
+	switch fault {
 	case discoverySilent:
 		<-r.Context().Done()
 		return
 	case discoveryBusy:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case discoveryCuts:
-		d.cut(w)
+	case discoveryCutsResponses:
+		d.cutResponse(w)
 		return
 	}
 	d.writeList(w)
 }
 
-// writeList answers with the whole list.
+// writeList responds with the complete endpoint list, and records that the gateway is notified of the drains in it.
 func (d *discovery) writeList(w http.ResponseWriter) {
 	var endpoints []stubserver.Endpoint
 	d.mutex.Lock()
@@ -154,13 +156,13 @@
 	now := time.Now()
 	for i, h := range d.run.hosts {
 		if endpoints[i].Phase == phaseDraining {
-			h.notifyDrain(now)
+			h.recordDrainNotified(now)
 		}
 	}
 }
 
-// cut ends the connection in the middle of a response.
-func (d *discovery) cut(w http.ResponseWriter) {
+// cutResponse closes the connection in the middle of a response.
+func (d *discovery) cutResponse(w http.ResponseWriter) {
 	w.Header().Set("Content-Length", "1000")
 	_, _ = w.Write([]byte(`{"revision":`))
 	hijacker, ok := w.(http.Hijacker)
--- a/internal/faultsim/soak/gateway.go
+++ b/internal/faultsim/soak/gateway.go
@@ -29,34 +29,34 @@
 
 // gateway is the process under test.
 type gateway struct {
-	address    string // of its clients
-	configPath string
-	cmd        *exec.Cmd
-	ended      chan struct{} // closed when the process has ended
-	served     chan string   // its clients' address, from its log
-
-	mutex        sync.Mutex
-	killed       bool
-	terminatedAt time.Time // first SIGTERM; zero: none
-	endedAt      time.Time
-	exitError    error
-	faults       []string // lines of its output that tell of a fault of the program
-	output       []string // lines that are no log lines
-	baseFDs      int      // descriptors before the first client
-	maxFDs       int
-	maxMemoryKB  int
+	address        string // address for clients
+	configPath     string
+	cmd            *exec.Cmd
+	ended          chan struct{} // closed when the process has ended
+	servingAddress chan string   // receives the address for clients, which the process logs
+
+	mutex       sync.Mutex
+	killed      bool
+	sigtermAt   time.Time // when the first SIGTERM was sent; zero: not yet
+	endedAt     time.Time
+	exitError   error
+	faultLines  []string // log lines that report a fault of the gateway
+	otherLines  []string // lines of its output that are not log lines
+	baseFDs     int      // number of descriptors before the first client
+	maxFDs      int
+	maxMemoryKB int
 }
 
-// logLine is a line of the gateway's log with the fields that are read here.
+// logLine holds the fields of a line of the gateway's log that readLine evaluates.
 type logLine struct {
 	Message      string `json:"msg"`
 	Listen       string `json:"listen"`
 	OpenRequests int    `json:"open_requests"`
 }
 
-// startGateway starts the program with a configuration and waits until it serves.
+// startGateway starts the gateway program with the deployment's configuration and waits until it serves.
 func startGateway(spawner *faultsim.Spawner, program, dir string, deployed *deployment, discovery string) (*gateway, error) {
-	g := &gateway{configPath: filepath.Join(dir, "config"), ended: make(chan struct{}), served: make(chan string, 1)}
+	g := &gateway{configPath: filepath.Join(dir, "config"), ended: make(chan struct{}), servingAddress: make(chan string, 1)}
 	if err := os.WriteFile(g.configPath, []byte(deployed.config(discovery)), 0o600); err != nil {
 		return nil, err
 	}
@@ -76,19 +76,19 @@
 	}
 	go g.readOutput(output)
 	select {
-	case g.address = <-g.served:
+	case g.address = <-g.servingAddress:
 		g.baseFDs = g.countFDs()
-		go g.sample()
+		go g.sampleUsage()
 		return g, nil
 	case <-g.ended:
-		return nil, fmt.Errorf("the gateway did not start: %s", strings.Join(g.output, " "))
+		return nil, fmt.Errorf("the gateway's process ended before it served: %s", strings.Join(g.otherLines, " "))
 	case <-time.After(startTimeout):
 		g.kill()
 		return nil, fmt.Errorf("the gateway did not serve within %v", startTimeout)
 	}
 }
 
-// readOutput reads the log until the process ends, and then its exit status.
+// readOutput reads the log until the process ends, and then records its exit status.
 func (g *gateway) readOutput(output io.Reader) {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxLogLine)
@@ -102,7 +102,7 @@
 	close(g.ended)
 }
 
-// readLine reads one line of the output.
+// readLine evaluates one line of the output.
 func (g *gateway) readLine(text []byte) {
 	var line logLine
 	err := json.Unmarshal(text, &line)
@@ -110,36 +110,36 @@
 	defer g.mutex.Unlock()
 	switch {
 	case err != nil:
-		g.output = append(g.output, string(bytes.Clone(text)))
+		g.otherLines = append(g.otherLines, string(bytes.Clone(text)))
 	case line.Message == messageServing:
-		g.served <- line.Listen
+		g.servingAddress <- line.Listen
 	case line.Message == messageNoAnswer, line.Message == messageStopped && line.OpenRequests > 0:
-		g.faults = append(g.faults, string(bytes.Clone(text)))
+		g.faultLines = append(g.faultLines, string(bytes.Clone(text)))
 	}
 }
 
-// signal sends a signal unless the process has ended.
+// signal sends a signal to the process unless it has ended, and records the time of the first SIGTERM.
 func (g *gateway) signal(sent syscall.Signal) {
 	g.mutex.Lock()
-	if sent == syscall.SIGTERM && g.terminatedAt.IsZero() {
-		g.terminatedAt = time.Now()
+	if sent == syscall.SIGTERM && g.sigtermAt.IsZero() {
+		g.sigtermAt = time.Now()
 	}
 	g.mutex.Unlock()
 	select {
 	case <-g.ended:
 	default:
-		_ = g.cmd.Process.Signal(sent) // an error means that it has just ended
+		_ = g.cmd.Process.Signal(sent) // an error means that the process has just ended
 	}
 }
 
-// terminated is when the first SIGTERM was sent; zero: not yet.
-func (g *gateway) terminated() time.Time {
+// sigtermTime returns the time when the first SIGTERM was sent; zero: not yet.
+func (g *gateway) sigtermTime() time.Time {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.terminatedAt
+	return g.sigtermAt
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL and waits until it has ended.
 func (g *gateway) kill() {
 	g.mutex.Lock()
 	g.killed = true
@@ -148,8 +148,8 @@
 	<-g.ended
 }
 
-// accepting reports whether the process runs.
-func (g *gateway) accepting() bool {
+// running reports whether the process has not ended.
+func (g *gateway) running() bool {
 	select {
 	case <-g.ended:
 		return false
@@ -158,10 +158,10 @@
 	}
 }
 
-// sample measures descriptors and memory until the process ends.
-func (g *gateway) sample() {
-	for g.accepting() {
-		descriptors, memoryKB := g.countFDs(), g.memoryKB()
+// sampleUsage records the peak numbers of descriptors and of memory until the process ends.
+func (g *gateway) sampleUsage() {
+	for g.running() {
+		descriptors, memoryKB := g.countFDs(), g.peakMemoryKB()
 		g.mutex.Lock()
 		g.maxFDs, g.maxMemoryKB = max(g.maxFDs, descriptors), max(g.maxMemoryKB, memoryKB)
 		g.mutex.Unlock()
@@ -169,19 +169,19 @@
 	}
 }
 
-func (g *gateway) proc(name string) string {
+func (g *gateway) procPath(name string) string {
 	return fmt.Sprintf("/proc/%d/%s", g.cmd.Process.Pid, name)
 }
 
-// countFDs counts the open descriptors; 0 once the process has ended.
+// countFDs returns the number of open descriptors; 0 once the process has ended.
 func (g *gateway) countFDs() int {
-	entries, _ := os.ReadDir(g.proc("fd"))
+	entries, _ := os.ReadDir(g.procPath("fd"))
 	return len(entries)
 }
 
-// memoryKB is the peak of the resident memory; 0 once the process has ended.
-func (g *gateway) memoryKB() int {
-	text, _ := os.ReadFile(g.proc("status"))
+// peakMemoryKB returns the peak of the resident memory; 0 once the process has ended.
+func (g *gateway) peakMemoryKB() int {
+	text, _ := os.ReadFile(g.procPath("status"))
 	_, rest, _ := strings.Cut(string(text), "VmHWM:")
 	fields := strings.Fields(rest)
 	if len(fields) == 0 {
--- a/internal/faultsim/soak/host.go
+++ b/internal/faultsim/soak/host.go
@@ -9,25 +9,26 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// trouble is what a host does wrong for some time.
-type trouble string
+// hostFault is how a stub database host fails for some time.
+type hostFault string
 
 const (
-	healthy     trouble = "healthy"
-	refuses     trouble = "refuses"      // new connections
-	resets      trouble = "resets"       // the connection, on a statement that has run
-	hangs       trouble = "hangs"        // answers when it is over
-	closesAfter trouble = "closes-after" // a response
-	cutsAnswers trouble = "cuts-answers" // closes between two messages of a response
-	slow        trouble = "slow"
-	turnsAway   trouble = "turns-away" // 53300
-	errs        trouble = "errs"       // XX000
-	slowConnect trouble = "slow-connect"
-	repeats     trouble = "repeats" // its answer, a moment later
+	hostHealthy           hostFault = "healthy"
+	hostRefusesConns      hostFault = "refuses"      // refuses new connections
+	hostResetsConn        hostFault = "resets"       // executes a statement and then resets the connection
+	hostHangs             hostFault = "hangs"        // answers no request until the fault ends
+	hostClosesAfterAnswer hostFault = "closes-after" // closes the connection after an answer
+	hostCutsAnswer        hostFault = "cuts-answers" // closes the connection between two messages of an answer
+	hostSlow              hostFault = "slow"         // answers after slowAnswerDelay
+	hostRejects           hostFault = "turns-away"   // answers requests with 53300
+	hostReturnsErrors     hostFault = "errs"         // executes a statement and then answers with XX000
+	hostSlowToAccept      hostFault = "slow-connect" // answers the startup message after a random delay
+	hostRepeatsAnswer     hostFault = "repeats"      // sends an answer once more a moment later
 )
 
-// troubles are those that a run draws from.
-var troubles = []trouble{refuses, resets, hangs, closesAfter, cutsAnswers, slow, turnsAway, errs, slowConnect, repeats}
+// hostFaults are the faults that a run draws from.
+var hostFaults = []hostFault{hostRefusesConns, hostResetsConn, hostHangs, hostClosesAfterAnswer, hostCutsAnswer, hostSlow,
+	hostRejects, hostReturnsErrors, hostSlowToAccept, hostRepeatsAnswer}
 
 // host is a stub database host.
 type host struct {
@@ -36,59 +37,61 @@
 	run      *run
 	listener *stubserver.Listener
 
-	mutex     sync.Mutex
-	trouble   trouble
-	recovered chan struct{} // closed when the trouble ends
-	primary   bool
-	demotedAt time.Time // zero: it was never the primary, or is
-	startedAt time.Time // zero: long ago
-	phase     string    // in the endpoint list
-	drainedAt time.Time // when its drain counts as notified; zero: not yet
+	mutex           sync.Mutex
+	fault           hostFault
+	faultEnded      chan struct{} // closed at the next change of fault
+	primary         bool
+	demotedAt       time.Time // when it last stopped being the primary; zero: never
+	restartedAt     time.Time // when its last restart finished; zero: never restarted, up for a long time
+	phase           string    // its phase in the endpoint list
+	drainNotifiedAt time.Time // when the gateway was notified of its drain; zero: not yet
 }
 
-// Phases of a host in the endpoint list, as the discovery protocol names them.
+// The phases of a host in the endpoint list, under their names in the discovery protocol.
 const (
 	phaseActive   = "active"
 	phaseDraining = "leaving"
 )
 
 func newHost(r *run, id string, group int, primary bool) *host {
-	h := &host{id: id, group: group, run: r, trouble: healthy, recovered: make(chan struct{}), primary: primary, phase: phaseActive}
+	h := &host{
+		id: id, group: group, run: r, fault: hostHealthy, faultEnded: make(chan struct{}), primary: primary, phase: phaseActive}
 	h.listener = stubserver.NewListener(h.serve)
 	return h
 }
 
-// setTrouble begins a trouble, or ends the present one with healthy.
-func (h *host) setTrouble(next trouble) error {
+// setFault begins a fault. hostHealthy ends the present one.
+func (h *host) setFault(next hostFault) error {
 	h.mutex.Lock()
-	previous := h.trouble
-	h.trouble = next
-	close(h.recovered)
-	h.recovered = make(chan struct{})
+	previous := h.fault
+	h.fault = next
+	close(h.faultEnded)
+	h.faultEnded = make(chan struct{})
 	h.mutex.Unlock()
 	switch {
-	case next == refuses:
+	case next == hostRefusesConns:
 		h.listener.Close()
-	case previous == refuses:
+	case previous == hostRefusesConns:
 		return h.listener.Open()
 	}
 	return nil
 }
 
-// state returns the trouble and the channel that is closed when it ends.
-func (h *host) state() (trouble, <-chan struct{}) {
+// currentFault returns the present fault and a channel that is closed when it ends.
+func (h *host) currentFault() (hostFault, <-chan struct{}) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.trouble, h.recovered
+	return h.fault, h.faultEnded
 }
 
-// restart ends the host's process for a while; it comes back under its ID, in slow start.
-func (h *host) restart(down time.Duration) error {
+// restart stands for a restart of the host's process: it resets all connections and accepts none for the downtime. The
+// host keeps its ID, and its new start time in the endpoint list puts it into slow start.
+func (h *host) restart(downtime time.Duration) error {
 	h.listener.Close()
 	h.listener.ResetConns()
-	time.Sleep(down)
+	time.Sleep(downtime)
 	h.mutex.Lock()
-	h.startedAt = time.Now()
+	h.restartedAt = time.Now()
 	h.mutex.Unlock()
 	return h.listener.Open()
 }
@@ -108,8 +111,9 @@
 	h.primary = primary
 }
 
-// applied is the time up to which the host has applied the commits of its group.
-func (h *host) applied() time.Time {
+// appliedUpTo returns the time up to which the host has applied the commits of its group. A replica is behind by the
+// replication lag. A demoted primary has applied at least the commits up to its demotion.
+func (h *host) appliedUpTo() time.Time {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.primary {
@@ -122,38 +126,38 @@
 	return lagging
 }
 
-// endpoint is the host's entry of the endpoint list.
+// endpoint returns the host's entry of the endpoint list.
 func (h *host) endpoint() stubserver.Endpoint {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	entry := stubserver.Endpoint{ID: h.id, Address: h.listener.Address(), Group: h.group, Phase: h.phase}
-	if !h.startedAt.IsZero() {
-		entry.StartedMs = h.startedAt.UnixMilli()
+	if !h.restartedAt.IsZero() {
+		entry.StartedMs = h.restartedAt.UnixMilli()
 	}
 	return entry
 }
 
-// drain marks the host as draining; discovery tells when that is notified.
+// drain marks the host as draining in the endpoint list. The discovery service records when the gateway is notified.
 func (h *host) drain() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.phase = phaseDraining
 }
 
-// notifyDrain records that the gateway was notified of the drain, unless it was before.
-func (h *host) notifyDrain(at time.Time) {
+// recordDrainNotified records when the gateway was notified of the host's drain. Only the first notification counts.
+func (h *host) recordDrainNotified(at time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.phase == phaseDraining && h.drainedAt.IsZero() {
-		h.drainedAt = at
+	if h.phase == phaseDraining && h.drainNotifiedAt.IsZero() {
+		h.drainNotifiedAt = at
 	}
 }
 
-// serve answers one connection until it ends.
+// serve answers the startup message and the statements of one connection until it ends.
 func (h *host) serve(conn net.Conn) {
-	if current, recovered := h.state(); current == slowConnect {
+	if fault, faultEnded := h.currentFault(); fault == hostSlowToAccept {
 		select {
-		case <-recovered:
+		case <-faultEnded:
 		case <-time.After(time.Duration(rand.IntN(400)) * time.Millisecond):
 		}
 	}
--- a/internal/faultsim/soak/host_session.go
+++ b/internal/faultsim/soak/host_session.go
@@ -15,34 +15,34 @@
 const (
 	stateInternalError = "XX000"
 	maxMessageBody     = 1 << 20
-	usualAnswer        = time.Millisecond
-	slowAnswer         = 120 * time.Millisecond
+	normalAnswerDelay  = time.Millisecond
+	slowAnswerDelay    = 120 * time.Millisecond
 	repeatDelay        = 300 * time.Microsecond
 	maxRepeatDelay     = time.Millisecond
 )
 
-// message is one message of the gateway.
+// message is one message that the gateway sent.
 type message struct {
 	kind byte
 	body []byte
 }
 
-// hostSession is one connection to a host. A goroutine of its own reads, so that the end of the connection is noticed
-// while a statement is in hand.
+// hostSession is one connection of the gateway to a host. A separate goroutine reads the messages, so that the session
+// notices the end of the connection while it executes a statement.
 type hostSession struct {
-	host      *host
-	conn      net.Conn
-	out       []byte
-	statement stubserver.Statement
-	simple    bool      // the statement came in a Query
-	position  time.Time // up to which the data of the answer reach; zero: up to now
-	failed    bool      // messages up to Sync are skipped
+	host       *host
+	conn       net.Conn
+	out        []byte // messages to send with the next ReadyForQuery
+	statement  stubserver.Statement
+	simple     bool      // the statement was sent in a Query message
+	position   time.Time // commit time up to which the answer's data are complete; zero: the host's present position
+	skipToSync bool      // an error was answered; messages up to Sync are skipped
 
-	messages chan message
+	messages chan message  // messages that were read
 	ended    chan struct{} // closed when the gateway has closed the connection
 }
 
-// serve answers messages until the connection ends.
+// serve reports that the host is ready and then answers messages until the connection ends.
 func (s *hostSession) serve() {
 	s.messages, s.ended = make(chan message, 16), make(chan struct{})
 	stop := make(chan struct{})
@@ -60,14 +60,14 @@
 			}
 		case <-s.ended:
 			return
-		case <-time.After(idleLimit): // a gateway closes it well before, so that no command crosses the close
-			s.host.run.recorder.idleClosed(s.host)
+		case <-time.After(idleLimit): // the gateway must close it well before, so that no command is in flight then
+			s.host.run.recorder.recordIdleClose(s.host)
 			return
 		}
 	}
 }
 
-// read passes messages on until the connection ends.
+// read passes messages to serve until the connection ends or stop is closed.
 func (s *hostSession) read(stop <-chan struct{}) {
 	defer close(s.ended)
 	for {
@@ -83,7 +83,8 @@
 	}
 }
 
-// sendReady ends an answer with the host's role and position, and sends it; false where the connection is broken.
+// sendReady completes an answer with the host's role, its position and ReadyForQuery, and sends it. It returns false if the
+// connection is broken.
 func (s *hostSession) sendReady() bool {
 	role := "follower"
 	if s.host.isPrimary() {
@@ -92,17 +93,19 @@
 	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "node_role", role)
 	position := s.position
 	if position.IsZero() {
-		position = s.host.applied()
+		position = s.host.appliedUpTo()
 	}
-	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "replay_position", strconv.FormatInt(reportedMs(position, role == "leader"), 10))
+	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus,
+		"replay_position", strconv.FormatInt(reportedMs(position, role == "leader"), 10))
 	s.out = pg.AppendReadyForQuery(s.out)
 	_, err := s.conn.Write(s.out)
-	s.out, s.failed, s.position = nil, false, time.Time{}
+	s.out, s.skipToSync, s.position = nil, false, time.Time{}
 	return err == nil
 }
 
-// reportedMs is a position in whole milliseconds. A commit must not be later than the position that is reported with it,
-// so the primary's is rounded up; a replica's is rounded down, as it has not applied what comes after it.
+// reportedMs returns a position in whole milliseconds since 1970. The position of a primary is rounded up, because a commit
+// must not be later than the position that is reported with it. The position of a replica is rounded down, because the
+// replica has not applied later commits.
 func reportedMs(position time.Time, roundUp bool) int64 {
 	ms := position.UnixMilli()
 	if roundUp {
@@ -111,12 +114,12 @@
 	return ms
 }
 
-// handle handles one message. It returns false if the connection has to end.
+// handle answers one message. It returns false if the connection must end.
 func (s *hostSession) handle(received message) bool {
 	switch {
 	case received.kind == pg.MsgSync:
 		return s.sendReady()
-	case s.failed:
+	case s.skipToSync:
 	case received.kind == pg.MsgQuery:
 		s.statement.ReadQuery(received.body)
 		s.simple = true
@@ -134,14 +137,16 @@
 	return true
 }
 
+// fail answers with an error, after which messages up to Sync are skipped.
 func (s *hostSession) fail(sqlstate string) {
 	s.out = pg.ErrorResponse{SQLState: sqlstate, Message: "stub"}.AppendTo(s.out)
-	s.failed = true
+	s.skipToSync = true
 }
 
 var requestID = regexp.MustCompile(`r\d+-\d+`)
 
-// execute executes the statement. It returns false if the connection has to end.
+// execute executes the statement: an empty one, a health check or a request of a client. It returns false if the
+// connection must end.
 func (s *hostSession) execute() bool {
 	text := s.statement.Text
 	switch text {
@@ -153,68 +158,69 @@
 		return true
 	}
 	id := requestID.FindString(text + " " + strings.Join(s.statement.Values, " "))
-	received, arrived := s.host.run.recorder.arrived(id, s.host, text)
+	received, arrived := s.host.run.recorder.recordArrival(id, s.host, text)
 	if received == nil {
 		s.fail(pg.StateProtocol)
 		return true
 	}
-	defer s.host.run.recorder.ended(arrived)
+	defer s.host.run.recorder.recordEnd(arrived)
 	return s.executeRequest(received, arrived)
 }
 
-// executeRequest executes a client's request, with the host's trouble of the moment.
+// executeRequest executes a client's request under the host's present fault. It returns false if the connection must end.
 func (s *hostSession) executeRequest(received *request, arrived *attempt) bool {
-	current, recovered := s.host.state()
+	fault, faultEnded := s.host.currentFault()
 	switch {
-	case current == turnsAway:
+	case fault == hostRejects:
 		s.fail(pg.StateTooManyConnections)
 		return true
 	case received.class.isWrite() && !s.host.isPrimary():
 		s.fail(stubserver.StateReadOnly)
 		return true
 	}
-	delay := usualAnswer
-	switch current {
-	case slow:
-		delay = slowAnswer
-	case hangs:
-		if !s.wait(recovered) {
+	delay := normalAnswerDelay
+	switch fault {
+	case hostSlow:
+		delay = slowAnswerDelay
+	case hostHangs:
+		if !s.wait(faultEnded) {
 			return false
 		}
 	}
-	if received.class.isWrite() && !s.host.isPrimary() { // not any more
+	if received.class.isWrite() && !s.host.isPrimary() { // demoted while the request was waiting
 		s.fail(stubserver.StateReadOnly)
 		return true
 	}
-	value := s.apply(received, arrived) // it has run, whether or not an answer comes
+	value := s.apply(received, arrived) // the request has run, whether or not an answer follows
 	if !s.wait(time.After(delay)) {
 		return false
 	}
-	switch current {
-	case resets:
+	switch fault {
+	case hostResetsConn:
 		stubserver.Reset(s.conn)
 		return false
-	case errs:
+	case hostReturnsErrors:
 		s.fail(stateInternalError)
 		return true
 	}
 	s.appendAnswer(received, value)
-	switch current {
-	case cutsAnswers:
+	switch fault {
+	case hostCutsAnswer:
 		_, _ = s.conn.Write(s.out)
 		return false
-	case closesAfter:
+	case hostClosesAfterAnswer:
 		s.sendReady()
 		return false
-	case repeats:
-		return s.answerTwice()
+	case hostRepeatsAnswer:
+		return s.sendAnswerTwice()
 	}
 	return true
 }
 
-// answerTwice sends the answer, and once more a moment later. A copy that comes later than a gateway can wait for before it
-// uses the connection again could not be told from the answer to the next command: it is left out.
-func (s *hostSession) answerTwice() bool {
+// sendAnswerTwice sends the answer, and the same answer again after repeatDelay. It omits the copy if more than
+// maxRepeatDelay has passed: the gateway cannot wait longer before it uses the connection again, and could then not tell the
+// copy from the answer to the next command.
+func (s *hostSession) sendAnswerTwice() bool {
 	again := append([]byte(nil), s.out...)
 	if !s.sendReady() {
 		return false
@@ -228,7 +234,7 @@
 	return s.sendReady()
 }
 
-// wait waits for a signal; false where the connection ended first.
+// wait waits until the channel signal is closed or delivers a value. It returns false if the connection ended first.
 func (s *hostSession) wait(signal any) bool {
 	switch signal := signal.(type) {
 	case <-chan struct{}:
@@ -247,20 +253,21 @@
 	return true
 }
 
-// apply runs a request and returns the value that a read sees.
+// apply executes a request and returns the value that it wrote or read. It also sets the position of the answer.
 func (s *hostSession) apply(received *request, arrived *attempt) int {
 	run := s.host.run
-	run.recorder.update(func() { arrived.ranAt = time.Now() })
+	run.recorder.update(func() { arrived.executedAt = time.Now() })
 	if received.class.isWrite() {
 		run.store.write(received.session, received.value)
 		s.position = time.Now()
 		return received.value
 	}
-	s.position = s.host.applied()
+	s.position = s.host.appliedUpTo()
 	return run.store.read(received.session, s.position)
 }
 
-// appendAnswer appends a result of one row, which names the request, its session and the value.
+// appendAnswer appends the result of a request. It has a row with the answerText, except for a write in the extended
+// protocol.
 func (s *hostSession) appendAnswer(received *request, value int) {
 	withRow := s.simple || !received.class.isWrite()
 	if s.simple {
@@ -276,18 +283,18 @@
 	s.out = pg.AppendStrings(s.out, pg.MsgCommandComplete, tag)
 }
 
-// answerText is the row that answers a request.
+// answerText returns the value of the row that answers a request.
 func answerText(answered *request, value int) string {
 	return fmt.Sprintf("%s|%s|%d", answered.id, answered.session, value)
 }
 
-// answerLoadReport answers a health check.
+// answerLoadReport answers a health check with the host's position and role.
 func (s *hostSession) answerLoadReport() {
 	primary := 0
 	if s.host.isPrimary() {
 		primary = 1
 	}
-	positionMs := reportedMs(s.host.applied(), primary == 1)
+	positionMs := reportedMs(s.host.appliedUpTo(), primary == 1)
 	report := fmt.Sprintf("x0=%d.%03d,x1=%d", positionMs/1000, positionMs%1000, primary)
 	s.out = stubserver.AppendColumnDescription(s.out)
 	s.out = stubserver.AppendRow(s.out, report)
--- a/internal/faultsim/soak/record.go
+++ b/internal/faultsim/soak/record.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-// outcome is how a request ended for its client.
+// outcome is the final state of a request as its client saw it.
 type outcome int
 
 const (
 	unanswered outcome = iota
 	served
-	rejected  // 53300 or 57P03: nothing ran, or a repeat does no harm
-	failed    // any other error
-	abandoned // the client has left
+	rejected  // answered with 53300 or 57P03: nothing ran, or a repeat is safe
+	failed    // answered with any other error
+	abandoned // the client closed the connection without waiting for the answer
 )
 
-// request is one request of a client, and what hosts saw of it.
+// request is one request of a client, with its answer and its arrivals at hosts.
 type request struct {
-	id      string
-	class   *class
-	group   int
-	session string
-	value   int  // that a write writes
-	first   bool // on its connection, and soon after it was established
+	id          string
+	class       *class
+	group       int
+	session     string
+	value       int  // the value that a write stores
+	firstOnConn bool // the first one on its connection, sent within firstRequestWindow
 
-	sentAt     time.Time // after its last byte
-	dueSince   time.Time // its time counts from then: sent, or the answer before it on its connection
-	answeredAt time.Time
-	outcome    outcome
-	sqlstate   string
-	answer     string    // body of the row
-	least      int       // a read must return this value at least
-	leastFrom  *request  // the write of that value, which was acknowledged
-	leftAt     time.Time // when its client closed the connection
-	endedAt    time.Time // when its connection ended without an answer
-	timedOut   bool      // its client gave up waiting
-	attempts   []*attempt
+	sentAt        time.Time // when the write of its last byte returned; zero: it was not sent whole
+	deadlineStart time.Time // the later of sentAt and the previous answer on its connection
+	answeredAt    time.Time
+	outcome       outcome
+	sqlstate      string
+	answer        string    // the value of the row; see answerText
+	minValue      int       // the smallest value that a read may return
+	minValueWrite *request  // the acknowledged write of minValue; nil: none
+	abandonedAt   time.Time // when its client abandoned it
+	connLostAt    time.Time // when its connection ended, or its client gave up, without an answer
+	timedOut      bool      // its client got no answer in time and gave up
+	attempts      []*attempt
 }
 
 // attempt is one arrival of a request at a host.
 type attempt struct {
-	host      *host
-	arrivedAt time.Time
-	endedAt   time.Time // answered, or its connection has ended; zero: open
-	ranAt     time.Time // zero: it did not run
+	host       *host
+	arrivedAt  time.Time
+	endedAt    time.Time // when it was answered or its connection ended; zero: it is open
+	executedAt time.Time // zero: it was not executed
 }
 
-// recorder collects the requests of a run.
+// recorder collects the requests of a run and what the hosts report about them.
 type recorder struct {
-	mutex    sync.Mutex
-	requests map[string]*request
-	order    []*request
-	unknown  []string // statements that no client sent
-	idle     []string // hosts that closed a connection because it was idle, once for each
+	mutex             sync.Mutex
+	requests          map[string]*request
+	order             []*request // in the order in which the clients created them
+	unknownStatements []string   // statements that no client sent
+	idleCloses        []string   // one host ID for each connection that a host closed because it was idle
 }
 
 func newRecorder() *recorder { return &recorder{requests: map[string]*request{}} }
 
-// add adds a request before it is sent.
+// add adds a request. It is called before the request is sent.
 func (r *recorder) add(added *request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -66,21 +66,22 @@
 	r.order = append(r.order, added)
 }
 
-// update changes a request under the lock.
+// update calls change while it holds the lock. change may modify requests and attempts.
 func (r *recorder) update(change func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	change()
 }
 
-// arrived records that a statement of a request has come to a host; nil: no client sent it.
-func (r *recorder) arrived(id string, at *host, text string) (*request, *attempt) {
+// recordArrival records that a host received the statement of a request, and returns the request and its new attempt. It
+// returns nil if no client sent a request with that ID.
+func (r *recorder) recordArrival(id string, at *host, text string) (*request, *attempt) {
 	now := time.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	found := r.requests[id]
 	if found == nil {
-		r.unknown = append(r.unknown, text)
+		r.unknownStatements = append(r.unknownStatements, text)
 		return nil, nil
 	}
 	started := &attempt{host: at, arrivedAt: now}
@@ -88,18 +89,18 @@
 	return found, started
 }
 
-// idleClosed records that a host closed a connection that was not used for the time of the settings.
-func (r *recorder) idleClosed(at *host) {
+// recordIdleClose records that a host closed a connection because the gateway left it unused for the idle limit of hosts.
+func (r *recorder) recordIdleClose(at *host) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.idle = append(r.idle, at.id)
+	r.idleCloses = append(r.idleCloses, at.id)
 }
 
-// ended records that an attempt was answered, or its connection has ended.
-func (r *recorder) ended(ended *attempt) {
+// recordEnd records that an attempt was answered or that its connection ended.
+func (r *recorder) recordEnd(finished *attempt) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if ended.endedAt.IsZero() {
-		ended.endedAt = time.Now()
+	if finished.endedAt.IsZero() {
+		finished.endedAt = time.Now()
 	}
 }
--- a/internal/faultsim/soak/rules.go
+++ b/internal/faultsim/soak/rules.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// The rules' tolerances, as the platform's pages give them.
+// The tolerances of the rules, as the documentation of the platform states them.
 const (
-	lateAnswerLimit = 500 * time.Millisecond // after its time an answer still counts as one
-	readSlack       = 500 * time.Millisecond // how much longer a client waits, to tell late from lost
-	ruleSlack       = 50 * time.Millisecond  // of each time limit on sockets
-	goneLimit       = 300 * time.Millisecond // after a client has left nothing is sent for it
-	// crossing is how close to the end of the process a request may be sent and stay unread.
-	crossing = 20 * time.Millisecond
+	answerTolerance    = 500 * time.Millisecond // how long after its deadline an answer is still accepted
+	extraReadTime      = 500 * time.Millisecond // how much longer a client waits, to tell a late answer from a missing one
+	timeTolerance      = 50 * time.Millisecond  // added to each time limit that is checked on sockets
+	abandonedTolerance = 300 * time.Millisecond // how long an abandoned request may still be sent to hosts
+	// processEndTolerance is the last part of the process's lifetime. A request that is sent in it may stay unread.
+	processEndTolerance = 20 * time.Millisecond
 )
 
-// maxViolations bounds how many violations of a run are reported.
+// maxViolations is how many violations of a run are reported; further ones are only counted.
 const maxViolations = 12
 
-// check returns the rules that the run broke.
-func (r *run) check() []string {
+// checkRules returns a description of each violation of a rule by the run.
+func (r *run) checkRules() []string {
 	violations := r.checkProcess()
 	r.recorder.mutex.Lock()
 	defer r.recorder.mutex.Unlock()
-	for _, text := range r.recorder.unknown {
+	for _, text := range r.recorder.unknownStatements {
 		violations = append(violations, "a host got a statement that no client sent: "+text)
 	}
-	for _, id := range r.recorder.idle {
+	for _, id := range r.recorder.idleCloses {
 		violations = append(violations, "a connection was neither used nor closed until its host closed it: "+id)
 	}
 	for _, checked := range r.recorder.order {
 		for _, violation := range []string{
-			r.checkAnswer(checked), checked.checkContent(), checked.checkRepeats(), checked.checkOverlap(),
-			checked.checkDeparture(), r.checkDrain(checked),
+			r.checkAnswer(checked), checked.checkContent(), checked.checkRepeats(), checked.checkParallelAttempts(),
+			checked.checkAbandoned(), r.checkDrain(checked),
 		} {
 			if violation != "" {
 				violations = append(violations, fmt.Sprintf("%s (%s): %s", checked.id, checked.class.Name, violation))
@@ -47,51 +47,56 @@
 	return violations
 }
 
-// checkProcess checks the process: its end, what it logged, its limits.
+// checkProcess checks the gateway's process: its log, its exit status, its use of descriptors and memory, and the result
+// of the leak check.
 func (r *run) checkProcess() []string {
 	g := r.gateway
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	violations := slices.Concat(g.faults, g.output)
+	violations := slices.Concat(g.faultLines, g.otherLines)
 	if g.exitError != nil && !g.killed {
 		violations = append(violations, "the process ended with "+g.exitError.Error())
 	}
 	if g.maxFDs > r.deployment.Sockets {
-		violations = append(violations, fmt.Sprintf("%d descriptors of %d", g.maxFDs, r.deployment.Sockets))
+		violations = append(violations, fmt.Sprintf("%d descriptors open, the limit is %d", g.maxFDs, r.deployment.Sockets))
 	}
 	if g.maxMemoryKB > r.deployment.MemoryMB<<10 {
-		violations = append(violations, fmt.Sprintf("%d KB of %d MB", g.maxMemoryKB, r.deployment.MemoryMB))
+		violations = append(violations, fmt.Sprintf("%d KB of memory used, the limit is %d MB",
+			g.maxMemoryKB, r.deployment.MemoryMB))
 	}
-	if r.restProblem != "" {
-		violations = append(violations, r.restProblem)
+	if r.leakViolation != "" {
+		violations = append(violations, r.leakViolation)
 	}
 	return violations
 }
 
-// checkAnswer checks that a request that was taken has one final answer within its time.
+// checkAnswer checks that a request that the gateway accepted was answered in time. A request that was not sent whole, or
+// that its client abandoned, needs no answer.
 func (r *run) checkAnswer(checked *request) string {
 	switch {
 	case checked.sentAt.IsZero() || checked.outcome == abandoned:
 		return ""
 	case !checked.answeredAt.IsZero():
-		limit := time.Duration(checked.class.DeadlineMs*float64(time.Millisecond)) + lateAnswerLimit
-		if took := checked.answeredAt.Sub(checked.dueSince); took > limit {
-			return fmt.Sprintf("answered after %v", took)
+		limit := time.Duration(checked.class.DeadlineMs*float64(time.Millisecond)) + answerTolerance
+		if elapsed := checked.answeredAt.Sub(checked.deadlineStart); elapsed > limit {
+			return fmt.Sprintf("answered after %v", elapsed)
 		}
 		return ""
 	case checked.timedOut:
 		return "no answer"
-	case checked.endedAt.IsZero():
-		return "" // the run ended before its client looked
+	case checked.connLostAt.IsZero():
+		return "" // the run ended before the client read the answer
 	}
-	return r.checkEnd(checked)
+	return r.checkLostConnection(checked)
 }
 
-// checkEnd checks the end of a connection without an answer to a request: the gateway must not have read it.
-func (r *run) checkEnd(checked *request) string {
+// checkLostConnection checks a request whose connection ended without an answer to it. That is allowed only if the gateway
+// did not read the request. An attempt shows that it did. It must also read the first request of a new connection, except
+// during a connection flood and right before its process ends.
+func (r *run) checkLostConnection(checked *request) string {
 	g := r.gateway
-	processEnded := !checked.endedAt.Before(g.endedAt.Add(-crossing))
-	sentAtTheEnd := !checked.sentAt.Before(g.endedAt.Add(-crossing))
+	processEnded := !checked.connLostAt.Before(g.endedAt.Add(-processEndTolerance))
+	sentAtTheEnd := !checked.sentAt.Before(g.endedAt.Add(-processEndTolerance))
 	switch {
 	case processEnded && sentAtTheEnd:
 		return ""
@@ -99,31 +104,31 @@
 		return fmt.Sprintf("unanswered at SIGKILL, sent %v before", g.endedAt.Sub(checked.sentAt))
 	case len(checked.attempts) > 0:
 		return fmt.Sprintf("its connection was closed without an answer, %d attempts", len(checked.attempts))
-	case checked.first && !r.plan.crowd && !sentAtTheEnd:
+	case checked.firstOnConn && !r.plan.connectionFlood && !sentAtTheEnd:
 		return fmt.Sprintf("its new connection was closed without an answer, sent %v and closed %v after SIGTERM",
-			checked.sentAt.Sub(g.terminatedAt), checked.endedAt.Sub(g.terminatedAt))
+			checked.sentAt.Sub(g.sigtermAt), checked.connLostAt.Sub(g.sigtermAt))
 	}
 	return ""
 }
 
-// checkContent checks that an answer is the request's own, and new enough.
+// checkContent checks that the answer belongs to the request, and that a read returned data as new as its class requires.
 func (r *request) checkContent() string {
 	if r.outcome != served || r.class.isWrite() && r.answer == "" {
 		return ""
 	}
-	value, ok := r.hasValue()
+	value, ok := r.answerValue()
 	switch {
 	case !ok:
 		return fmt.Sprintf("the answer %q is not its own", r.answer)
-	case !r.class.isWrite() && value < r.least:
+	case !r.class.isWrite() && value < r.minValue:
 		return fmt.Sprintf("it read %d at %s, and %d, written at %s, was acknowledged to its session %v before it was sent",
-			value, r.hostNames(), r.least, r.leastFrom.hostNames(), r.sentAt.Sub(r.leastFrom.answeredAt))
+			value, r.attemptSummary(), r.minValue, r.minValueWrite.attemptSummary(), r.sentAt.Sub(r.minValueWrite.answeredAt))
 	}
 	return ""
 }
 
-// hostNames lists the hosts that the request came to, each with the time since it was sent.
-func (r *request) hostNames() string {
+// attemptSummary lists the hosts that received the request, each with the time from sending the request to its arrival.
+func (r *request) attemptSummary() string {
 	var names []string
 	for _, a := range r.attempts {
 		names = append(names, fmt.Sprintf("%s after %v", a.host.id, a.arrivedAt.Sub(r.sentAt).Round(time.Microsecond)))
@@ -131,70 +136,74 @@
 	return strings.Join(names, ", ")
 }
 
-// checkRepeats checks that a request that must not run twice did not, outside the deduplication window of its key.
+// checkRepeats checks that a request that is not idempotent ran once, and that one with an idempotency key ran again only
+// within its deduplication window.
 func (r *request) checkRepeats() string {
 	var first time.Time
 	window := time.Duration(r.class.DedupWindowMs * float64(time.Millisecond))
 	for _, a := range r.attempts {
 		switch {
-		case a.ranAt.IsZero() || r.class.Idempotency == idempotent:
+		case a.executedAt.IsZero() || r.class.Idempotency == idempotent:
 		case first.IsZero():
-			first = a.ranAt
+			first = a.executedAt
 		case r.class.Idempotency == notIdempotent:
-			return fmt.Sprintf("it ran twice, %v apart", a.ranAt.Sub(first))
-		case a.ranAt.Sub(first) > window:
-			return fmt.Sprintf("it ran again after %v, the window is %v", a.ranAt.Sub(first), window)
+			return fmt.Sprintf("it ran twice, %v apart", a.executedAt.Sub(first))
+		case a.executedAt.Sub(first) > window:
+			return fmt.Sprintf("it ran again after %v, the window is %v", a.executedAt.Sub(first), window)
 		}
 	}
 	return ""
 }
 
-// checkOverlap checks that one attempt was open at a time.
-func (r *request) checkOverlap() string {
+// checkParallelAttempts checks that the request never had two open attempts at the same time.
+func (r *request) checkParallelAttempts() string {
 	for i, a := range r.attempts {
 		if i == 0 {
 			continue
 		}
-		before := r.attempts[i-1]
-		if before.endedAt.IsZero() || a.arrivedAt.Before(before.endedAt.Add(-ruleSlack)) {
-			return fmt.Sprintf("an attempt at %s began while one at %s was open", a.host.id, before.host.id)
+		previous := r.attempts[i-1]
+		if previous.endedAt.IsZero() || a.arrivedAt.Before(previous.endedAt.Add(-timeTolerance)) {
+			return fmt.Sprintf("an attempt at %s began while one at %s was open", a.host.id, previous.host.id)
 		}
 	}
 	return ""
 }
 
-// checkDeparture checks that nothing was sent for a client that had left.
-func (r *request) checkDeparture() string {
-	if r.leftAt.IsZero() {
+// checkAbandoned checks that the gateway sent no attempt of a request to a host later than abandonedTolerance after its
+// client had closed the connection.
+func (r *request) checkAbandoned() string {
+	if r.abandonedAt.IsZero() {
 		return ""
 	}
 	for _, a := range r.attempts {
-		if late := a.arrivedAt.Sub(r.leftAt); late > goneLimit {
+		if late := a.arrivedAt.Sub(r.abandonedAt); late > abandonedTolerance {
 			return fmt.Sprintf("sent to %s %v after its client had left", a.host.id, late)
 		}
 	}
 	return ""
 }
 
-// checkDrain checks that no host got an attempt past the grace period of its drain.
+// checkDrain checks that no host received an attempt after the grace period of its drain.
 func (r *run) checkDrain(checked *request) string {
-	grace := time.Duration(r.deployment.DrainGraceMs*float64(time.Millisecond)) + ruleSlack
+	grace := time.Duration(r.deployment.DrainGraceMs*float64(time.Millisecond)) + timeTolerance
 	for _, a := range checked.attempts {
 		a.host.mutex.Lock()
-		drainedAt := a.host.drainedAt
+		notifiedAt := a.host.drainNotifiedAt
 		a.host.mutex.Unlock()
-		if late := a.arrivedAt.Sub(drainedAt); !drainedAt.IsZero() && late > grace {
-			return fmt.Sprintf("sent to %s %v after its drain was notified, the grace period is %v", a.host.id, late, grace-ruleSlack)
+		if late := a.arrivedAt.Sub(notifiedAt); !notifiedAt.IsZero() && late > grace {
+			return fmt.Sprintf("sent to %s %v after its drain was notified, the grace period is %v",
+				a.host.id, late, grace-timeTolerance)
 		}
 	}
 	return ""
 }
 
-// figures counts the outcomes of the requests.
+// figures returns the counts of requests by outcome, of attempts, and the gateway's peak use of descriptors and memory.
 func (r *run) figures() string {
 	r.recorder.mutex.Lock()
 	defer r.recorder.mutex.Unlock()
-	names := map[outcome]string{unanswered: "unanswered", served: "served", rejected: "rejected", failed: "failed", abandoned: "left"}
+	names := map[outcome]string{
+		unanswered: "unanswered", served: "served", rejected: "rejected", failed: "failed", abandoned: "left"}
 	counts := map[outcome]int{}
 	attempts := 0
 	for _, checked := range r.recorder.order {
--- a/internal/faultsim/soak/run.go
+++ b/internal/faultsim/soak/run.go
@@ -14,19 +14,21 @@
 )
 
 const (
-	// maxKillDeadlineMs and killMargin: SIGKILL follows SIGTERM by the longest deadline, this long at most, and the margin.
+	// SIGKILL is sent this long after the first SIGTERM: the longest deadline of the classes, capped at maxKillDeadlineMs,
+	// plus killMargin.
 	maxKillDeadlineMs = 3000.0
 	killMargin        = 700 * time.Millisecond
-	// maxReloadHalfWritten is how long a half-written configuration stays.
-	halfWritten = 150 * time.Millisecond
-	// restTimeout bounds the wait for the gateway to hold no more than before the clients.
-	restTimeout = 12 * time.Second
-	// restDescriptors is how many descriptors more than at first a gateway at rest may hold, besides one for each host that
-	// it sends health checks: its connection to discovery, and one that is being replaced.
-	restDescriptors = 2
+	// halfWrittenTime is how long the configuration file stays half written.
+	halfWrittenTime = 150 * time.Millisecond
+	// leakCheckTimeout bounds the wait until the gateway has closed the descriptors that it opened for its clients.
+	leakCheckTimeout = 12 * time.Second
+	// spareDescriptors is the number of descriptors that a gateway without clients may have open in addition to those from
+	// before the first client: its connection to discovery, and one connection that is being replaced. checkLeak also allows
+	// one per host if the gateway polls the hosts for their role.
+	spareDescriptors = 2
 )
 
-// run is one run of a seed.
+// run is the state of one run.
 type run struct {
 	seed       uint64
 	deployment *deployment
@@ -38,33 +40,34 @@
 	discovery  *discovery
 	gateway    *gateway
 
-	mutex        sync.Mutex
-	acks         map[string][]ack // by session
-	discoveryAt  int              // which address the configuration names
-	stopped      chan struct{}    // closed when the signals of the stop were sent
-	restProblem  string
-	errorOfSteps error
+	mutex          sync.Mutex
+	acks           map[string][]ack // by session; see recordAcknowledgedWrite
+	discoveryIndex int              // index of the discovery address in the configuration file
+	stopped        chan struct{}    // closed once all signals of the shutdown are sent
+	leakViolation  string           // set by checkLeak
+	stepErrors     error
 }
 
-// surgeNumber is the number of the first client of a surge.
-const surgeNumber = 1000
+// firstSurgeClient is the number of the first client of a surge. It is larger than the numbers of all other clients.
+const firstSurgeClient = 1000
 
-// ack is a write that was acknowledged to its client.
+// ack is a write that was acknowledged to its client, with the time of the acknowledgement.
 type ack struct {
 	write *request
 	at    time.Time
 }
 
-// Result is a run's outcome.
+// Result is the outcome of a run.
 type Result struct {
 	Seed       uint64
-	Deployment string
-	Faults     string
-	Figures    string
-	Violations []string
+	Deployment string   // summary of the drawn deployment
+	Faults     string   // summary of the drawn faults and signals
+	Figures    string   // counts of requests by outcome, attempts, and the gateway's peak use of descriptors and memory
+	Violations []string // rules of the service that were broken; empty: none
 }
 
-// Run plays the run of a seed with the gateway's program. An error means that it could not be played.
+// Run executes the run of a seed with the gateway program at a path. It returns an error if the run could not be carried
+// out; broken rules are in the Result instead.
 func Run(program string, seed uint64) (*Result, error) {
 	d := newDraw(seed)
 	deployed := drawDeployment(d)
@@ -72,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // in the system's folder for temporary files: left behind at worst
+	defer func() { _ = os.RemoveAll(dir) }() // after an error the files remain in the system's temporary directory
 	r := &run{
 		seed:       seed,
 		deployment: deployed,
@@ -89,12 +92,12 @@
 	if err := r.start(spawner, program); err != nil {
 		return nil, err
 	}
-	r.play(d)
-	if r.errorOfSteps != nil {
-		return nil, r.errorOfSteps
+	r.execute(d)
+	if r.stepErrors != nil {
+		return nil, r.stepErrors
 	}
 	return &Result{
-		Seed: seed, Deployment: deployed.summary(), Faults: r.plan.text(), Figures: r.figures(), Violations: r.check(),
+		Seed: seed, Deployment: deployed.summary(), Faults: r.plan.summary(), Figures: r.figures(), Violations: r.checkRules(),
 	}, nil
 }
 
@@ -112,14 +115,14 @@
 	if r.discovery, err = newDiscovery(r); err != nil {
 		return err
 	}
-	r.discovery.countsAtOnce = r.deployment.PushedLists && !r.deployment.Extended && !r.plan.freeLists
+	r.discovery.notifiedOnPublish = r.deployment.PushedLists && !r.deployment.Extended && !r.plan.delaysLists
 	r.gateway, err = startGateway(spawner, program, r.dir, r.deployment, r.discovery.address(0))
 	return err
 }
 
-// close ends what is left.
+// close kills the gateway if it still runs, and closes discovery and the hosts.
 func (r *run) close() {
-	if r.gateway != nil && r.gateway.accepting() {
+	if r.gateway != nil && r.gateway.running() {
 		r.gateway.kill()
 	}
 	if r.discovery != nil {
@@ -131,36 +134,36 @@
 	}
 }
 
-// play plays the load and the steps until the gateway's process has ended.
-func (r *run) play(d draw) {
-	begun := time.Now()
+// execute runs the clients and the steps of the plan until the gateway's process has ended.
+func (r *run) execute(d draw) {
+	startedAt := time.Now()
 	stopLoad := make(chan struct{})
 	endLoad := sync.OnceFunc(func() { close(stopLoad) })
 	var clients, steps sync.WaitGroup
 	for i := range r.deployment.Connections {
 		c := r.newClient(i, newDraw(d.Uint64()))
-		clients.Go(func() { c.play(stopLoad) })
+		clients.Go(func() { c.sendLoop(stopLoad) })
 	}
 	for _, next := range r.plan.steps {
-		time.Sleep(time.Until(begun.Add(next.at)))
-		if r.plan.rest && next.at == r.plan.stopAt {
+		time.Sleep(time.Until(startedAt.Add(next.at)))
+		if r.plan.leakCheck && next.at == r.plan.stopAt {
 			endLoad()
 			clients.Wait()
-			r.awaitRest()
+			r.checkLeak()
 		}
-		steps.Go(func() { r.noteError(next.do(r)) })
+		steps.Go(func() { r.addStepError(next.action(r)) })
 	}
 	<-r.stopped
-	r.awaitEnd()
+	r.awaitProcessEnd()
 	endLoad()
 	clients.Wait()
 	steps.Wait()
 }
 
 func (r *run) newClient(number int, d draw) *client {
-	c := &client{run: r, draw: d, number: number, habit: oneOf(d, clientHabits...), group: d.IntN(r.deployment.Groups)}
-	if r.plan.hungStop && d.chance(0.5) { // so that connections stay open through it
-		c.habit = overlaps
+	c := &client{run: r, draw: d, number: number, behavior: oneOf(d, clientBehaviors...), group: d.IntN(r.deployment.Groups)}
+	if r.plan.hostsHangAtStop && d.chance(0.5) { // keeps connections open while the hosts hang
+		c.behavior = clientOverlaps
 	}
 	for i := range max(maxPipeline, maxOverlap) {
 		c.sessions = append(c.sessions, fmt.Sprintf("s%d-%d", number, i))
@@ -168,61 +171,64 @@
 	return c
 }
 
-// noteError keeps the first error of a step, unless the gateway has ended.
-func (r *run) noteError(err error) {
+// addStepError adds the error of a step to stepErrors. A nil error has no effect.
+func (r *run) addStepError(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.errorOfSteps = errors.Join(r.errorOfSteps, err)
+	r.stepErrors = errors.Join(r.stepErrors, err)
 }
 
-// stop sends the signals of the stop.
-func (r *run) stop(series []syscall.Signal, gap time.Duration) {
+// sendStopSignals sends the signals of the shutdown, with a pause after each.
+func (r *run) sendStopSignals(signals []syscall.Signal, gap time.Duration) {
 	defer close(r.stopped)
-	for _, sent := range series {
+	for _, sent := range signals {
 		r.gateway.signal(sent)
 		time.Sleep(gap)
 	}
 }
 
-// awaitEnd waits until the process ends, and kills it at the time that the platform allows it.
-func (r *run) awaitEnd() {
+// awaitProcessEnd waits until the gateway's process ends. It kills the process once the time that the platform grants for
+// a shutdown has passed.
+func (r *run) awaitProcessEnd() {
 	longest := time.Duration(min(r.deployment.LongestDeadlineMs, maxKillDeadlineMs) * float64(time.Millisecond))
 	select {
 	case <-r.gateway.ended:
-	case <-time.After(time.Until(r.gateway.terminated().Add(longest + killMargin))):
+	case <-time.After(time.Until(r.gateway.sigtermTime().Add(longest + killMargin))):
 		r.gateway.kill()
 	}
 }
 
-// awaitRest waits until the gateway holds no more descriptors than at rest.
-func (r *run) awaitRest() {
-	allowed := r.gateway.baseFDs + restDescriptors
-	if r.deployment.Extended && !r.deployment.HealthChecks { // each host is asked for its role all the time
+// checkLeak waits until the gateway has no more descriptors open than it needs without clients, and records a violation
+// if that takes longer than leakCheckTimeout.
+func (r *run) checkLeak() {
+	allowed := r.gateway.baseFDs + spareDescriptors
+	if r.deployment.Extended && !r.deployment.HealthChecks { // the gateway polls each host for its role
 		allowed += len(r.hosts)
 	}
-	for end := time.Now().Add(restTimeout); r.gateway.countFDs() > allowed; time.Sleep(sampleInterval) {
+	for end := time.Now().Add(leakCheckTimeout); r.gateway.countFDs() > allowed; time.Sleep(sampleInterval) {
 		if time.Now().After(end) {
-			r.restProblem = fmt.Sprintf("%d descriptors at rest, %d before the first client and %d hosts",
+			r.leakViolation = fmt.Sprintf("%d descriptors open without clients, %d before the first client, %d hosts",
 				r.gateway.countFDs(), r.gateway.baseFDs, len(r.hosts))
 			return
 		}
 	}
 }
 
-// reload changes the configuration and sends SIGHUP.
-func (r *run) reload(moves, half bool) error {
+// reload writes the configuration file and sends SIGHUP. With movesDiscovery, the file names the other discovery address.
+// With halfWritten, reload first writes only half of the file, sends SIGHUP and waits for halfWrittenTime.
+func (r *run) reload(movesDiscovery, halfWritten bool) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if moves {
-		r.discoveryAt = 1 - r.discoveryAt
+	if movesDiscovery {
+		r.discoveryIndex = 1 - r.discoveryIndex
 	}
-	text := []byte(r.deployment.config(r.discovery.address(r.discoveryAt)))
-	if half {
+	text := []byte(r.deployment.config(r.discovery.address(r.discoveryIndex)))
+	if halfWritten {
 		if err := os.WriteFile(r.gateway.configPath, text[:len(text)/2], 0o600); err != nil {
 			return err
 		}
 		r.gateway.signal(syscall.SIGHUP)
-		time.Sleep(halfWritten)
+		time.Sleep(halfWrittenTime)
 	}
 	if err := os.WriteFile(r.gateway.configPath, text, 0o600); err != nil {
 		return err
@@ -233,23 +239,25 @@
 
 const (
 	surgeClients  = 6
-	surgeRequests = 10 // of each client, on a new connection each
-	surgePauseMs  = 0.3
+	surgeRequests = 10  // per client, each on a new connection
+	surgePauseMs  = 0.3 // between the requests of a client
 )
 
-// surge has clients connect one after another, each with its first request behind the startup message.
+// surge runs clients that open connections in quick succession. On each connection a client sends a request right after
+// the startup message, without waiting for the answer to it.
 func (r *run) surge() {
 	var clients sync.WaitGroup
 	for i := range surgeClients {
-		c := r.newClient(surgeNumber+i, newDraw(r.seed+uint64(i)))
-		c.habit = reconnects
-		clients.Go(func() { c.surge(surgeRequests) })
+		c := r.newClient(firstSurgeClient+i, newDraw(r.seed+uint64(i)))
+		c.behavior = clientReconnects
+		clients.Go(func() { c.sendSurge(surgeRequests) })
 	}
 	clients.Wait()
 }
 
-// crowd opens connections that send nothing, until the gateway closes them or its process ends.
-func (r *run) crowd(count int) {
+// floodConnections opens connections on which nothing is sent, up to count or until the gateway accepts no more. It
+// closes them when the gateway's process has ended.
+func (r *run) floodConnections(count int) {
 	var conns []net.Conn
 	for range count {
 		conn, err := net.DialTimeout("tcp4", r.gateway.address, 200*time.Millisecond)
@@ -264,28 +272,30 @@
 	}
 }
 
-// require sets the value that a read has to see at least. It is called before the request is sent.
-func (r *run) require(sent *request) {
+// setMinValue sets the smallest value that a read may return under the consistency of its class: the largest one of its
+// session that was acknowledged by now or, for a bounded read, at least the maximum age ago. It is called before the request
+// is sent.
+func (r *run) setMinValue(sent *request) {
 	now := time.Now()
-	oldest := now
+	acknowledgedBy := now
 	switch sent.class.Consistency {
 	case consistencySession, consistencyFresh:
 	case consistencyBounded:
-		oldest = now.Add(-time.Duration(sent.class.MaxAgeMs * float64(time.Millisecond)))
+		acknowledgedBy = now.Add(-time.Duration(sent.class.MaxAgeMs * float64(time.Millisecond)))
 	default:
 		return
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, known := range r.acks[sent.session] {
-		if !known.at.After(oldest) && known.write.value > sent.least {
-			sent.least, sent.leastFrom = known.write.value, known.write
+		if !known.at.After(acknowledgedBy) && known.write.value > sent.minValue {
+			sent.minValue, sent.minValueWrite = known.write.value, known.write
 		}
 	}
 }
 
-// acknowledge notes a write that was served.
-func (r *run) acknowledge(answered *request) {
+// recordAcknowledgedWrite records a write that was acknowledged to its client. Other requests have no effect.
+func (r *run) recordAcknowledgedWrite(answered *request) {
 	if answered.outcome != served || !answered.class.isWrite() {
 		return
 	}
--- a/internal/faultsim/soak/store.go
+++ b/internal/faultsim/soak/store.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// store is the data of all groups: for each session the values that were written, with the times of their commits.
-// Replicas see a commit after the replication lag.
+// store holds the data of all groups: for each session the written values with the times of their commits. Replicas see
+// a commit after the replication lag.
 type store struct {
 	mutex sync.Mutex
 	lag   time.Duration
@@ -21,14 +21,14 @@
 
 func newStore(lag time.Duration) *store { return &store{lag: lag, rows: map[string][]rowVersion{}} }
 
-// write commits a value to a session.
+// write commits a value of a session.
 func (s *store) write(session string, value int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.rows[session] = append(s.rows[session], rowVersion{value, time.Now()})
 }
 
-// read returns the largest value of a session that was committed up to a time.
+// read returns the largest value of a session that was committed at or before a time; 0 if there is none.
 func (s *store) read(session string, upTo time.Time) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
