--- a/internal/faultsim/soak/config_file.go
+++ b/internal/faultsim/soak/config_file.go
@@ -7,12 +7,12 @@
 )
 
 // platformConfig returns the gateway's configuration in the platform's format, with discovery at an address.
-func (p *deployment) platformConfig(discovery string) string {
+func (deployed *deployment) platformConfig(discovery string) string {
 	type object = map[string]any
 	var services []object
 	var levels []consistency
 	var ages []float64
-	for _, c := range p.Classes {
+	for _, c := range deployed.Classes {
 		services = append(services, object{
 			"Name": c.Name, "Effect": platformIdempotencies[c.Idempotency], "Group": "cell", "AimMs": c.ObjectiveMs,
 			"HardLimitMs": c.DeadlineMs, "Worth": c.Weight, "LateWorth": c.LateWeight, "DedupWindowMs": c.DedupWindowMs,
@@ -21,25 +21,25 @@
 		ages = append(ages, c.MaxAgeMs)
 	}
 	mode := "subscribe"
-	if p.PushedLists {
+	if deployed.PushedLists {
 		mode = "automatic"
 	}
 	config := object{
 		"name": "soak", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "50a4",
-		"limits": object{"memory_mb": p.MemoryMB, "sockets": p.Sockets},
+		"limits": object{"memory_mb": deployed.MemoryMB, "sockets": deployed.Sockets},
 		"settings": object{
-			"Balancers": p.Gateways, "MembershipMode": mode, "TickMs": 2, "Services": services,
+			"Balancers": deployed.Gateways, "MembershipMode": mode, "TickMs": 2, "Services": services,
 			"FamilyInfo": object{
-				"ServerChecks": p.StalenessCheck, "Tokens": "remembered", "NeedsByClass": levels, "MaxAgeMs": ages,
+				"ServerChecks": deployed.StalenessCheck, "Tokens": "remembered", "NeedsByClass": levels, "MaxAgeMs": ages,
 			},
 			"Permissions": object{
-				"MaxAttempts": p.MaxAttempts, "Cancel": p.CancelAllowed, "Probing": p.HealthChecks,
-				"RetryAfter": p.MaxRetryAfterMs > 0, "MaxRetryAfterMs": p.MaxRetryAfterMs,
-				"ConnIdleMs": p.HostIdleMs, "ConnectTimeoutMs": p.ConnectTimeoutMs,
+				"MaxAttempts": deployed.MaxAttempts, "Cancel": deployed.CancelAllowed, "Probing": deployed.HealthChecks,
+				"RetryAfter": deployed.MaxRetryAfterMs > 0, "MaxRetryAfterMs": deployed.MaxRetryAfterMs,
+				"ConnIdleMs": deployed.HostIdleMs, "ConnectTimeoutMs": deployed.ConnectTimeoutMs,
 			},
 			"Rules": object{
-				"DrainGraceMs": p.DrainGraceMs, "ColdFrom": p.SlowStartShare, "ColdMs": p.SlowStartMs,
-				"TipMultiple": p.OverloadMultiple, "FallMs": p.OverloadMs,
+				"DrainGraceMs": deployed.DrainGraceMs, "ColdFrom": deployed.SlowStartShare, "ColdMs": deployed.SlowStartMs,
+				"TipMultiple": deployed.OverloadMultiple, "FallMs": deployed.OverloadMs,
 			},
 		},
 	}
@@ -117,18 +117,18 @@
 func (c operatorClass) IsWrite() bool { return c.isWrite() }
 
 // operatorConfig returns the operator's configuration file, with discovery at an address.
-func (p *deployment) operatorConfig(discovery string) string {
+func (deployed *deployment) operatorConfig(discovery string) string {
 	data := struct {
 		*deployment
 		Discovery      string
 		DescribeClass  string
 		GroupDatabases []groupDatabase
 		Classes        []operatorClass
-	}{deployment: p, Discovery: discovery}
-	for group := range p.Groups {
+	}{deployment: deployed, Discovery: discovery}
+	for group := range deployed.Groups {
 		data.GroupDatabases = append(data.GroupDatabases, groupDatabase{databaseName(group), group})
 	}
-	for _, c := range p.Classes {
+	for _, c := range deployed.Classes {
 		data.Classes = append(data.Classes, operatorClass{c})
 		if c.Consistency == consistencyAny {
 			data.DescribeClass = c.Name
@@ -142,11 +142,11 @@
 }
 
 // config returns the gateway's configuration file for the deployment's frontend, with discovery at an address.
-func (p *deployment) config(discovery string) string {
-	if p.Extended {
-		return p.operatorConfig(discovery)
+func (deployed *deployment) config(discovery string) string {
+	if deployed.Extended {
+		return deployed.operatorConfig(discovery)
 	}
-	return p.platformConfig(discovery)
+	return deployed.platformConfig(discovery)
 }
 
 // databaseName returns the name of the database whose clients reach a group of hosts.
--- a/internal/faultsim/soak/deployment.go
+++ b/internal/faultsim/soak/deployment.go
@@ -61,7 +61,7 @@
 	StalenessCheck    string // value of the platform's setting ServerChecks
 	MaxAttempts       int
 	CancelAllowed     bool
-	HealthChecks      bool // with the statement SHOW server_load
+	HealthChecks      bool // the gateway sends SHOW server_load as a health check
 	MaxRetryAfterMs   float64
 	HostIdleMs        float64
 	ConnectTimeoutMs  float64
@@ -71,9 +71,9 @@
 	OverloadMultiple  float64
 	OverloadMs        float64
 	MemoryMB          int
-	Sockets           int
+	Sockets           int // limit of the gateway's descriptors
 	ReplicationLagMs  float64
-	Connections       int // of clients at a time, besides those of a connection flood or a surge
+	Connections       int // concurrent connections of clients, besides those of a connection flood or a surge
 	ThinkTimeMs       float64
 	LongestDeadlineMs float64
 }
@@ -125,30 +125,30 @@
 
 // drawClasses draws one or two classes of writes, a class of reads with consistencyAny, and up to three classes of reads
 // with the other kinds of consistency.
-func (p *deployment) drawClasses(d draw) {
+func (deployed *deployment) drawClasses(d draw) {
 	writes := []idempotency{oneOf(d, idempotentWithKey, notIdempotent)}
 	if d.chance(0.4) {
 		writes = []idempotency{idempotentWithKey, notIdempotent}
 	}
 	for _, kind := range writes {
-		written := p.drawClass(d, consistencyWrite)
+		written := deployed.drawClass(d, consistencyWrite)
 		written.Idempotency = kind
 		if kind == idempotentWithKey {
 			written.DedupWindowMs = d.between(150, 2500)
 		}
-		p.Classes = append(p.Classes, written)
+		deployed.Classes = append(deployed.Classes, written)
 	}
 	for _, kind := range []consistency{consistencyAny, consistencySession, consistencyBounded, consistencyFresh} {
 		if kind == consistencyAny || d.chance(0.6) {
-			p.Classes = append(p.Classes, p.drawClass(d, kind))
+			deployed.Classes = append(deployed.Classes, deployed.drawClass(d, kind))
 		}
 	}
 }
 
-func (p *deployment) drawClass(d draw, kind consistency) class {
+func (deployed *deployment) drawClass(d draw, kind consistency) class {
 	deadline := oneOf(d, d.between(250, 700), d.between(700, 3000))
 	drawn := class{
-		Name:        fmt.Sprintf("c%d%s", len(p.Classes), kind),
+		Name:        fmt.Sprintf("c%d%s", len(deployed.Classes), kind),
 		Consistency: kind,
 		DeadlineMs:  deadline,
 		ObjectiveMs: deadline * d.between(0.2, 0.8),
@@ -158,15 +158,15 @@
 	if kind == consistencyBounded {
 		drawn.MaxAgeMs = d.between(200, 1500)
 	}
-	p.LongestDeadlineMs = max(p.LongestDeadlineMs, deadline)
+	deployed.LongestDeadlineMs = max(deployed.LongestDeadlineMs, deadline)
 	return drawn
 }
 
 // longestWriteClass returns the class of writes with the longest deadline.
-func (p *deployment) longestWriteClass() *class {
+func (deployed *deployment) longestWriteClass() *class {
 	var longest *class
-	for i := range p.Classes {
-		if c := &p.Classes[i]; c.isWrite() && (longest == nil || c.DeadlineMs > longest.DeadlineMs) {
+	for i := range deployed.Classes {
+		if c := &deployed.Classes[i]; c.isWrite() && (longest == nil || c.DeadlineMs > longest.DeadlineMs) {
 			longest = c
 		}
 	}
@@ -174,14 +174,15 @@
 }
 
 // summary describes the deployment for the report.
-func (p *deployment) summary() string {
+func (deployed *deployment) summary() string {
 	frontend, lists := "platform", "polled"
-	if p.Extended {
+	if deployed.Extended {
 		frontend = "extended"
 	}
-	if p.PushedLists {
+	if deployed.PushedLists {
 		lists = "pushed"
 	}
 	return fmt.Sprintf("%s, %d classes to %.0f ms, %d x %d hosts, lists %s, %d connections, %d MB, %d sockets",
-		frontend, len(p.Classes), p.LongestDeadlineMs, p.Groups, p.HostsPerGroup, lists, p.Connections, p.MemoryMB, p.Sockets)
+		frontend, len(deployed.Classes), deployed.LongestDeadlineMs, deployed.Groups, deployed.HostsPerGroup, lists,
+		deployed.Connections, deployed.MemoryMB, deployed.Sockets)
 }
--- a/internal/faultsim/soak/gateway.go
+++ b/internal/faultsim/soak/gateway.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// sampleUsage records the peak numbers of descriptors and of memory until the process ends.
+// sampleUsage records the peak use of descriptors and memory until the process ends.
 func (g *gateway) sampleUsage() {
 	for g.running() {
 		descriptors, memoryKB := g.countFDs(), g.peakMemoryKB()
--- a/internal/faultsim/soak/host_session.go
+++ b/internal/faultsim/soak/host_session.go
@@ -158,17 +158,17 @@
 		return true
 	}
 	id := requestID.FindString(text + " " + strings.Join(s.statement.Values, " "))
-	received, arrived := s.host.run.recorder.recordArrival(id, s.host, text)
+	received, started := s.host.run.recorder.recordArrival(id, s.host, text)
 	if received == nil {
 		s.fail(pg.StateProtocol)
 		return true
 	}
-	defer s.host.run.recorder.recordEnd(arrived)
-	return s.executeRequest(received, arrived)
+	defer s.host.run.recorder.recordEnd(started)
+	return s.executeRequest(received, started)
 }
 
 // executeRequest executes a client's request under the host's present fault. It returns false if the connection must end.
-func (s *hostSession) executeRequest(received *request, arrived *attempt) bool {
+func (s *hostSession) executeRequest(received *request, started *attempt) bool {
 	fault, faultEnded := s.host.currentFault()
 	switch {
 	case fault == hostRejects:
@@ -191,7 +191,7 @@
 		s.fail(stubserver.StateReadOnly)
 		return true
 	}
-	value := s.apply(received, arrived) // the request has run, whether or not an answer follows
+	value := s.apply(received, started) // the request has run, whether or not an answer follows
 	if !s.wait(time.After(delay)) {
 		return false
 	}
@@ -254,9 +254,9 @@
 }
 
 // apply executes a request and returns the value that it wrote or read. It also sets the position of the answer.
-func (s *hostSession) apply(received *request, arrived *attempt) int {
+func (s *hostSession) apply(received *request, started *attempt) int {
 	run := s.host.run
-	run.recorder.update(func() { arrived.executedAt = time.Now() })
+	run.recorder.update(func() { started.executedAt = time.Now() })
 	if received.class.isWrite() {
 		run.store.write(received.session, received.value)
 		s.position = time.Now()
--- a/internal/faultsim/soak/record.go
+++ b/internal/faultsim/soak/record.go
@@ -75,7 +75,7 @@
 
 // recordArrival records that a host received the statement of a request, and returns the request and its new attempt. It
 // returns nil if no client sent a request with that ID.
-func (r *recorder) recordArrival(id string, at *host, text string) (*request, *attempt) {
+func (r *recorder) recordArrival(id string, h *host, text string) (*request, *attempt) {
 	now := time.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -84,16 +84,16 @@
 		r.unknownStatements = append(r.unknownStatements, text)
 		return nil, nil
 	}
-	started := &attempt{host: at, arrivedAt: now}
+	started := &attempt{host: h, arrivedAt: now}
 	found.attempts = append(found.attempts, started)
 	return found, started
 }
 
 // recordIdleClose records that a host closed a connection because the gateway left it unused for the idle limit of hosts.
-func (r *recorder) recordIdleClose(at *host) {
+func (r *recorder) recordIdleClose(h *host) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.idleCloses = append(r.idleCloses, at.id)
+	r.idleCloses = append(r.idleCloses, h.id)
 }
 
 // recordEnd records that an attempt was answered or that its connection ended.
--- a/internal/faultsim/soak/rules.go
+++ b/internal/faultsim/soak/rules.go
@@ -129,11 +129,11 @@
 
 // attemptSummary lists the hosts that received the request, each with the time from sending the request to its arrival.
 func (r *request) attemptSummary() string {
-	var names []string
+	var arrivals []string
 	for _, a := range r.attempts {
-		names = append(names, fmt.Sprintf("%s after %v", a.host.id, a.arrivedAt.Sub(r.sentAt).Round(time.Microsecond)))
+		arrivals = append(arrivals, fmt.Sprintf("%s after %v", a.host.id, a.arrivedAt.Sub(r.sentAt).Round(time.Microsecond)))
 	}
-	return strings.Join(names, ", ")
+	return strings.Join(arrivals, ", ")
 }
 
 // checkRepeats checks that a request that is not idempotent ran once, and that one with an idempotency key ran again only
