--- a/internal/faultsim/soak/config_file.go
+++ b/internal/faultsim/soak/config_file.go
@@ -6,13 +6,13 @@
 	"text/template"
 )
 
-// platformConfig is the platform's configuration of a deployment, with discovery at an address.
-func (p *deployment) platformConfig(discovery string) string {
+// platformConfig returns the gateway's configuration in the platform's format, with discovery at an address.
+func (deployed *deployment) platformConfig(discovery string) string {
 	type object = map[string]any
 	var services []object
 	var levels []consistency
 	var ages []float64
-	for _, c := range p.Classes {
+	for _, c := range deployed.Classes {
 		services = append(services, object{
 			"Name": c.Name, "Effect": platformIdempotencies[c.Idempotency], "Group": "cell", "AimMs": c.ObjectiveMs,
 			"HardLimitMs": c.DeadlineMs, "Worth": c.Weight, "LateWorth": c.LateWeight, "DedupWindowMs": c.DedupWindowMs,
@@ -21,36 +21,36 @@
 		ages = append(ages, c.MaxAgeMs)
 	}
 	mode := "subscribe"
-	if p.PushedLists {
+	if deployed.PushedLists {
 		mode = "automatic"
 	}
 	config := object{
 		"name": "soak", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "50a4",
-		"limits": object{"memory_mb": p.MemoryMB, "sockets": p.Sockets},
+		"limits": object{"memory_mb": deployed.MemoryMB, "sockets": deployed.Sockets},
 		"settings": object{
-			"Balancers": p.Gateways, "MembershipMode": mode, "TickMs": 2, "Services": services,
+			"Balancers": deployed.Gateways, "MembershipMode": mode, "TickMs": 2, "Services": services,
 			"FamilyInfo": object{
-				"ServerChecks": p.StalenessCheck, "Tokens": "remembered", "NeedsByClass": levels, "MaxAgeMs": ages,
+				"ServerChecks": deployed.StalenessCheck, "Tokens": "remembered", "NeedsByClass": levels, "MaxAgeMs": ages,
 			},
 			"Permissions": object{
-				"MaxAttempts": p.MaxAttempts, "Cancel": p.CancelAllowed, "Probing": p.HealthChecks,
-				"RetryAfter": p.MaxRetryAfterMs > 0, "MaxRetryAfterMs": p.MaxRetryAfterMs,
-				"ConnIdleMs": p.HostIdleMs, "ConnectTimeoutMs": p.ConnectTimeoutMs,
+				"MaxAttempts": deployed.MaxAttempts, "Cancel": deployed.CancelAllowed, "Probing": deployed.HealthChecks,
+				"RetryAfter": deployed.MaxRetryAfterMs > 0, "MaxRetryAfterMs": deployed.MaxRetryAfterMs,
+				"ConnIdleMs": deployed.HostIdleMs, "ConnectTimeoutMs": deployed.ConnectTimeoutMs,
 			},
 			"Rules": object{
-				"DrainGraceMs": p.DrainGraceMs, "ColdFrom": p.SlowStartShare, "ColdMs": p.SlowStartMs,
-				"TipMultiple": p.OverloadMultiple, "FallMs": p.OverloadMs,
+				"DrainGraceMs": deployed.DrainGraceMs, "ColdFrom": deployed.SlowStartShare, "ColdMs": deployed.SlowStartMs,
+				"TipMultiple": deployed.OverloadMultiple, "FallMs": deployed.OverloadMs,
 			},
 		},
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
-		panic(err) // only texts and finite numbers
+		panic(err) // cannot happen: config holds only strings, booleans and finite numbers
 	}
 	return string(text)
 }
 
-// operatorFile is the operator's file of a deployment.
+// operatorFile is the template of the operator's configuration file. Its data are set in operatorConfig.
 var operatorFile = template.Must(template.New("operator file").Funcs(template.FuncMap{
 	"idempotency": func(kind idempotency) string { return operatorIdempotencies[kind] },
 }).Parse(`name = "soak"
@@ -103,31 +103,32 @@
 {{else}}pattern = '''^SELECT v FROM {{.Name}} WHERE k = '?(?P<session>[^' ]*)'''
 {{end}}{{end}}`))
 
-// groupDatabase is a [[database]] of an operator's file: the client's database names the group.
+// groupDatabase is a [[database]] entry of the operator's configuration file. Clients reach a group of hosts by the
+// database that they name in the startup message.
 type groupDatabase struct {
 	Name  string
 	Group int
 }
 
-// operatorClass is a class with what the template asks of it.
+// operatorClass adds the methods to a class that the template calls.
 type operatorClass struct{ class }
 
-// IsWrite reports whether requests of the class write.
+// IsWrite reports whether the class is one of writes.
 func (c operatorClass) IsWrite() bool { return c.isWrite() }
 
-// operatorConfig is the operator's file of a deployment, with discovery at an address.
-func (p *deployment) operatorConfig(discovery string) string {
+// operatorConfig returns the operator's configuration file, with discovery at an address.
+func (deployed *deployment) operatorConfig(discovery string) string {
 	data := struct {
 		*deployment
 		Discovery      string
 		DescribeClass  string
 		GroupDatabases []groupDatabase
 		Classes        []operatorClass
-	}{deployment: p, Discovery: discovery}
-	for group := range p.Groups {
+	}{deployment: deployed, Discovery: discovery}
+	for group := range deployed.Groups {
 		data.GroupDatabases = append(data.GroupDatabases, groupDatabase{databaseName(group), group})
 	}
-	for _, c := range p.Classes {
+	for _, c := range deployed.Classes {
 		data.Classes = append(data.Classes, operatorClass{c})
 		if c.Consistency == consistencyAny {
 			data.DescribeClass = c.Name
@@ -135,20 +136,20 @@
 	}
 	var text strings.Builder
 	if err := operatorFile.Execute(&text, data); err != nil {
-		panic(err) // the template is fixed
+		panic(err) // cannot happen: the template and the types of its data are fixed
 	}
 	return text.String()
 }
 
-// config is the configuration file of a deployment for its frontend.
-func (p *deployment) config(discovery string) string {
-	if p.Extended {
-		return p.operatorConfig(discovery)
+// config returns the gateway's configuration file for the deployment's frontend, with discovery at an address.
+func (deployed *deployment) config(discovery string) string {
+	if deployed.Extended {
+		return deployed.operatorConfig(discovery)
 	}
-	return p.platformConfig(discovery)
+	return deployed.platformConfig(discovery)
 }
 
-// databaseName is the database whose clients reach a group of hosts.
+// databaseName returns the name of the database whose clients reach a group of hosts.
 func databaseName(group int) string {
 	if group == 0 {
 		return "main"
