--- a/internal/faultsim/experiment.go
+++ b/internal/faultsim/experiment.go
@@ -91,7 +91,7 @@
 
 // HostSelection describes how the gateways divide the hosts among themselves.
 type HostSelection struct {
-	Mode       SelectionMode `toml:"by"`     // SelectAlone by default
+	Mode       SelectionMode `toml:"by"`     // SelectAllHosts by default
 	SubsetSize int           `toml:"subset"` // hosts of a group that a gateway uses; 2 by default
 	// CountFactor is for SelectByNumber: the configured number of gateways as a multiple of the true one; 1 by default.
 	CountFactor float64 `toml:"wrong"`
@@ -102,7 +102,7 @@
 
 // The modes. The last two are baselines, which only the command line can ask for.
 const (
-	SelectAlone     SelectionMode = "alone"   // no subset: a gateway knows nothing of the others
+	SelectAllHosts  SelectionMode = "alone"   // no subset: a gateway knows nothing of the others
 	SelectByNumber  SelectionMode = "number"  // the gateway's configured number, and how many there are
 	SelectByMembers SelectionMode = "members" // the members that are alive
 	SelectRandom    SelectionMode = "random"  // a subset of its own, whatever the others use
--- a/internal/faultsim/experiment_check.go
+++ b/internal/faultsim/experiment_check.go
@@ -51,7 +51,7 @@
 	setDefault(&e.Hosts.ReadMs, 4)
 	setDefault(&e.Hosts.SlowStartMs, 10_000)
 	setDefault(&e.Load.Clients, 2)
-	setDefault(&e.Selection.Mode, SelectAlone)
+	setDefault(&e.Selection.Mode, SelectAllHosts)
 	setDefault(&e.Selection.SubsetSize, 2)
 	setDefault(&e.Selection.CountFactor, 1)
 }
@@ -103,7 +103,7 @@
 func (e *Experiment) checkSelection() error {
 	selection := &e.Selection
 	switch selection.Mode {
-	case SelectAlone, SelectByNumber, SelectByMembers:
+	case SelectAllHosts, SelectByNumber, SelectByMembers:
 	default:
 		return fmt.Errorf("choices.by: unknown word %q", selection.Mode)
 	}
--- a/internal/faultsim/processes_test.go
+++ b/internal/faultsim/processes_test.go
@@ -81,7 +81,7 @@
 			*bound *= 4
 		}
 	}
-	if experiment.Selection.Mode != SelectAlone {
+	if experiment.Selection.Mode != SelectAllHosts {
 		hosts := hostSet{count: experiment.Hosts.Count, protected: 1}
 		steps, err := experiment.plan(experiment.Fleet.Processes, hosts, 1)
 		if err != nil {
--- a/internal/faultsim/selection_test.go
+++ b/internal/faultsim/selection_test.go
@@ -88,7 +88,7 @@
 	if blind := emulateSelection(t, "replaced", SelectBlind); blind.Measurements[FigureOverloads] == 0 {
 		t.Error("gateways that don't know start times overload no host")
 	}
-	subsets, alone := emulateSelection(t, "replaced", ""), emulateSelection(t, "replaced", SelectAlone)
+	subsets, alone := emulateSelection(t, "replaced", ""), emulateSelection(t, "replaced", SelectAllHosts)
 	for _, name := range []string{
 		FigureGatewayConns, FigureHandshakes, FigureHandshakesPeak, FigureProbesPeak,
 	} {
