--- a/cmd/faultsim/engines.go
+++ b/cmd/faultsim/engines.go
@@ -51,7 +51,7 @@
 	case o.baseline == "":
 	case o.baseline == baselineSWIM:
 		options.NewNode = faultsim.NewSWIMBaseline
-	case mode == faultsim.SelectAllHosts, mode == faultsim.SelectRandom, mode == faultsim.SelectBlind:
+	case mode == faultsim.SelectAllHosts, mode == faultsim.SelectRandom, mode == faultsim.SelectIgnoringStartTimes:
 		options.Selection = &faultsim.HostSelection{
 			Mode:        mode,
 			SubsetSize:  experiment.Selection.SubsetSize,
--- a/internal/faultsim/experiment.go
+++ b/internal/faultsim/experiment.go
@@ -102,11 +102,11 @@
 
 // The modes. The last two are baselines, which only the command line can ask for.
 const (
-	SelectAllHosts  SelectionMode = "alone"   // no subset: a gateway knows nothing of the others
-	SelectByNumber  SelectionMode = "number"  // the gateway's configured number, and how many there are
-	SelectByMembers SelectionMode = "members" // the members that are alive
-	SelectRandom    SelectionMode = "random"  // a subset of its own, whatever the others use
-	SelectBlind     SelectionMode = "blind"   // no subset, and no start times of hosts
+	SelectAllHosts           SelectionMode = "alone"   // no subset: a gateway knows nothing of the others
+	SelectByNumber           SelectionMode = "number"  // the gateway's configured number, and how many there are
+	SelectByMembers          SelectionMode = "members" // the members that are alive
+	SelectRandom             SelectionMode = "random"  // a subset of its own, whatever the others use
+	SelectIgnoringStartTimes SelectionMode = "blind"   // no subset, and no start times of hosts
 )
 
 // LoadExperiment reads an experiment's file. An error names the file, the line and the key.
--- a/internal/faultsim/request_gateways.go
+++ b/internal/faultsim/request_gateways.go
@@ -32,7 +32,7 @@
 func (s *requestSimulation) settings(gateway int) routing.Settings {
 	selection, gateways := s.emulation.options.Selection, s.emulation.result.Gateways
 	settings := model.Settings(&s.world.SlowStart, s.hostConfig, gateways)
-	if selection.Mode != SelectAllHosts && selection.Mode != SelectBlind {
+	if selection.Mode != SelectAllHosts && selection.Mode != SelectIgnoringStartTimes {
 		settings.SubsetSize = selection.SubsetSize
 	}
 	if selection.Mode == SelectByNumber {
--- a/internal/faultsim/request_simulation.go
+++ b/internal/faultsim/request_simulation.go
@@ -89,7 +89,7 @@
 	}
 	s.addHosts()
 	s.discovery = s.world.NewDiscovery(experiment.Hosts.MaxFullListsPerSecond)
-	s.discovery.HideStartTimes = emulation.options.Selection.Mode == SelectBlind
+	s.discovery.HideStartTimes = emulation.options.Selection.Mode == SelectIgnoringStartTimes
 	s.discovery.Publish()
 	s.At(0, s.arrive)
 	s.At(1000, s.closeSecond)
--- a/internal/faultsim/selection_test.go
+++ b/internal/faultsim/selection_test.go
@@ -85,7 +85,7 @@
 // The experiments distinguish designs: gateways that don't know start times overload hosts in slow start, and gateways
 // without subsets hold more connections and make more handshakes and health checks than those with subsets.
 func TestSelectionBaselinesFallShort(t *testing.T) {
-	if blind := emulateSelection(t, "replaced", SelectBlind); blind.Measurements[FigureOverloads] == 0 {
+	if blind := emulateSelection(t, "replaced", SelectIgnoringStartTimes); blind.Measurements[FigureOverloads] == 0 {
 		t.Error("gateways that don't know start times overload no host")
 	}
 	subsets, alone := emulateSelection(t, "replaced", ""), emulateSelection(t, "replaced", SelectAllHosts)
