--- a/internal/faultsim/oracle_beliefs.go
+++ b/internal/faultsim/oracle_beliefs.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// Alive returns how many gateways are up, and how many an observable gateway believes to be up on average, itself
+// CountUp returns how many gateways are up, and how many an observable gateway believes to be up on average, itself
 // included.
-func (o *Oracle) Alive() (up int, believed float64) {
+func (o *Oracle) CountUp() (up int, believed float64) {
 	sum, viewers := 0, 0
 	for viewer := range o.gateways {
 		if !o.gateways[viewer].up {
--- a/internal/faultsim/result.go
+++ b/internal/faultsim/result.go
@@ -45,7 +45,7 @@
 
 // add adds an entry and reports it as progress, which may be nil.
 func (s *Series) add(seconds float64, oracle *Oracle, traffic trafficSample, progress func(Progress)) {
-	up, believed := oracle.Alive()
+	up, believed := oracle.CountUp()
 	if progress != nil {
 		progress(Progress{Seconds: seconds, Up: up, Believed: believed, WrongBeliefs: oracle.wrongBeliefs})
 	}
