--- a/internal/faultsim/datagram_relay.go
+++ b/internal/faultsim/datagram_relay.go
@@ -108,7 +108,7 @@
 		return nil, Delivery{}
 	}
 	sender.sentBytes += size + headerBytes
-	return sender, r.network.Send(r.random, sender.index, receiver.index)
+	return sender, r.network.DrawDelivery(r.random, sender.index, receiver.index)
 }
 
 // apply carries out a step that concerns the network.
--- a/internal/faultsim/emulate.go
+++ b/internal/faultsim/emulate.go
@@ -235,7 +235,7 @@
 	if receiver == nil {
 		return
 	}
-	delivery := em.network.Send(em.random, sender.index, receiver.index)
+	delivery := em.network.DrawDelivery(em.random, sender.index, receiver.index)
 	for _, delayMs := range delivery.delaysMs() {
 		message := action.Message
 		em.queue.push(scheduledEvent{
--- a/internal/faultsim/network.go
+++ b/internal/faultsim/network.go
@@ -88,8 +88,8 @@
 	d.copies++
 }
 
-// Send decides what happens to a datagram from one gateway to another.
-func (n *Network) Send(random *rand.Rand, from, to int) (delivery Delivery) {
+// DrawDelivery decides what happens to a datagram from one gateway to another.
+func (n *Network) DrawDelivery(random *rand.Rand, from, to int) (delivery Delivery) {
 	if n.IsCut(from, to) {
 		return delivery
 	}
--- a/internal/faultsim/network_test.go
+++ b/internal/faultsim/network_test.go
@@ -9,7 +9,7 @@
 func countDeliveries(t *testing.T, network *Network, random *rand.Rand) (lost, duplicated int) {
 	t.Helper()
 	for range 1000 {
-		delivery := network.Send(random, 1, 2)
+		delivery := network.DrawDelivery(random, 1, 2)
 		delays := delivery.delaysMs()
 		if len(delays) == 0 {
 			lost++
