--- a/internal/faultsim/experiment.go
+++ b/internal/faultsim/experiment.go
@@ -1,6 +1,6 @@
-// Package faultsim runs experiments: files that describe a fleet of gateways, a load, a timeline of faults and the
-// bounds that must hold. One engine starts real processes, the other runs the pure packages on virtual time. Both read
-// the same files.
+// Package faultsim is a fault simulator: it runs experiments. An experiment is a file that describes a fleet of gateways,
+// a load, a timeline of faults and the bounds that must hold. The processes engine starts real gateway processes. The
+// emulated engine runs the gateways' protocol code, which does no I/O, on virtual time. Both engines read the same files.
 package faultsim
 
 import (
@@ -15,13 +15,14 @@
 	"merlinjunction/membership"
 )
 
-// Experiment is a file below experiments/. Times are seconds unless a name says ms.
+// Experiment is the content of an experiment file. Times are in seconds unless a name says ms. Second 0 is the end of
+// the fleet's settle period.
 type Experiment struct {
 	Path      string            `toml:"-"`
 	Name      string            `toml:"name"`
 	About     string            `toml:"about"`
-	Engines   []string          `toml:"engines"` // EngineEmulated, EngineProcesses; both by default
-	Seconds   float64           `toml:"seconds"` // duration, from when the fleet has settled
+	Engines   []string          `toml:"engines"` // EngineEmulated and EngineProcesses; both by default
+	Seconds   float64           `toml:"seconds"` // duration, counted from second 0
 	Fleet     Fleet             `toml:"fleet"`
 	Network   NetworkConditions `toml:"network"`
 	Hosts     Hosts             `toml:"hosts"`
@@ -33,20 +34,21 @@
 
 // Fleet describes the gateways.
 type Fleet struct {
-	Gateways        int     `toml:"gateways"`  // in the emulated engine
-	Processes       int     `toml:"processes"` // in the processes engine; 5 by default
-	Zones           int     `toml:"zones"`     // 1 by default
-	Seeds           int     `toml:"seeds"`     // how many gateways, the first ones, are seeds; 3 by default
-	Spread          float64 `toml:"spread"`    // time over which the gateways start
-	Settle          float64 `toml:"settle"`    // from the last start to second 0; 5 by default
-	OldVersionShare float64 `toml:"old"`       // share of the gateways that send version 1 of the messages
-	Discovery       bool    `toml:"discovery"` // processes: hosts come from a stub discovery
+	Gateways        int     `toml:"gateways"`  // number of gateways in the emulated engine
+	Processes       int     `toml:"processes"` // number of gateways in the processes engine; 5 by default
+	Zones           int     `toml:"zones"`     // number of zones; 1 by default
+	Seeds           int     `toml:"seeds"`     // number of seeds: the first gateways; 3 by default
+	Spread          float64 `toml:"spread"`    // time over which the starts of the gateways are spread evenly
+	Settle          float64 `toml:"settle"`    // settle period from the end of Spread to second 0; 5 by default
+	OldVersionShare float64 `toml:"old"`       // share of the gateways that send messages of version 1
+	Discovery       bool    `toml:"discovery"` // processes engine: gateways get the hosts from a stub discovery service
 }
 
-// zone is the zone of a gateway.
+// zone returns the name of a gateway's zone: a, b, c and so on.
 func (f *Fleet) zone(gateway int) string { return string(rune('a' + gateway%f.Zones)) }
 
-// messageVersion is the version of the membership messages that a gateway sends.
+// messageVersion returns the version of the membership messages that a gateway sends. The gateways of OldVersionShare
+// are the first ones of the fleet.
 func (f *Fleet) messageVersion(gateway, gateways int) uint8 {
 	if float64(gateway) < f.OldVersionShare*float64(gateways) {
 		return 1
@@ -56,60 +58,64 @@
 
 // NetworkConditions describes how the network treats datagrams.
 type NetworkConditions struct {
-	DelayMs          []float64 `toml:"delay_ms"` // least and most, one way; 0.2 to 1 by default
-	CrossZoneDelayMs float64   `toml:"far_ms"`   // additional delay between zones
-	LossShare        float64   `toml:"loss"`
-	DuplicateShare   float64   `toml:"duplicate"`
+	DelayMs          []float64 `toml:"delay_ms"`  // [least, most] one-way delay; [0.2, 1] by default
+	CrossZoneDelayMs float64   `toml:"far_ms"`    // additional one-way delay between zones
+	LossShare        float64   `toml:"loss"`      // share of the datagrams that are lost
+	DuplicateShare   float64   `toml:"duplicate"` // share of the datagrams that are delivered twice
 }
 
 // Hosts describes the database hosts: stubs in the processes engine, models in the emulated engine.
 type Hosts struct {
-	// Count is for the processes engine: hosts of one group, whose first one is the primary; 3 by default.
+	// Count is the number of hosts in the processes engine; 3 by default. They form one group, and the first one is its
+	// primary.
 	Count int `toml:"count"`
-	// EmulatedCount is for the emulated engine; without it no requests are played.
+	// EmulatedCount is the number of hosts in the emulated engine. If it is 0, which is the default, the emulated engine
+	// simulates membership only, without requests.
 	EmulatedCount int     `toml:"emulated"`
 	LagMs         float64 `toml:"lag_ms"` // replication lag
 
-	// The following is for the emulated engine. Host i is in group i modulo Groups; the first one of each is the primary.
-	Groups                int     `toml:"groups"`  // 1 by default
-	Cores                 int     `toml:"cores"`   // 2 by default
-	ReadMs                float64 `toml:"read_ms"` // mean work of a read; 4 by default
-	MaxConns              int     `toml:"conns"`   // connections of one host; 1000 by default
-	SlowStartMs           float64 `toml:"cold_ms"` // until a host has its full capacity; 10,000 by default
-	MaxFullListsPerSecond float64 `toml:"lists"`   // that discovery answers with; no limit by default
+	// The fields below are for the emulated engine. Host i is in group i modulo Groups. The first host of each group is
+	// its primary.
+	Groups                int     `toml:"groups"`  // number of groups; 1 by default
+	Cores                 int     `toml:"cores"`   // processor cores of each host; 2 by default
+	ReadMs                float64 `toml:"read_ms"` // mean processor time of a read; 4 by default
+	MaxConns              int     `toml:"conns"`   // connections that each host accepts; 1000 by default
+	SlowStartMs           float64 `toml:"cold_ms"` // time from a host's start to its full capacity; 10,000 by default
+	MaxFullListsPerSecond float64 `toml:"lists"`   // full endpoint lists that discovery sends; no limit by default
 }
 
-// Load describes the clients' load. It is open: arrivals don't depend on answers.
+// Load describes the clients' load. It is open-loop: arrivals don't depend on answers.
 type Load struct {
-	Rate               float64 `toml:"rate"`     // processes: requests per second over the fleet; none by default
-	EmulatedRate       float64 `toml:"emulated"` // emulated: the same
-	WriteShare         float64 `toml:"writes"`
-	Clients            int     `toml:"clients"`
-	HeavyGatewayFactor float64 `toml:"heavy"` // emulated: g0 has this multiple of the mean traffic
-	IdleGatewayShare   float64 `toml:"idle"`  // emulated: share of the gateways that have a fiftieth of it
+	Rate               float64 `toml:"rate"`     // processes engine: requests per second over the fleet; 0 by default
+	EmulatedRate       float64 `toml:"emulated"` // emulated engine: requests per second over the fleet; 0 by default
+	WriteShare         float64 `toml:"writes"`   // share of the requests that write
+	Clients            int     `toml:"clients"`  // 1 to 64, 2 by default; no engine reads it
+	HeavyGatewayFactor float64 `toml:"heavy"`    // emulated engine: traffic of g0 as a multiple of the mean; 1 by default
+	IdleGatewayShare   float64 `toml:"idle"`     // emulated engine: share of the gateways with a fiftieth of the mean traffic
 }
 
-// HostSelection describes how the gateways divide the hosts among themselves.
+// HostSelection describes which hosts each gateway uses.
 type HostSelection struct {
 	Mode       SelectionMode `toml:"by"`     // SelectAllHosts by default
 	SubsetSize int           `toml:"subset"` // hosts of a group that a gateway uses; 2 by default
-	// CountFactor is for SelectByNumber: the configured number of gateways as a multiple of the true one; 1 by default.
+	// CountFactor is for SelectByNumber: the number of gateways that is configured as a multiple of the actual number; 1
+	// by default.
 	CountFactor float64 `toml:"wrong"`
 }
 
-// SelectionMode is what a gateway's subset of the hosts depends on.
+// SelectionMode says what a gateway's subset of the hosts depends on.
 type SelectionMode string
 
-// The modes. The last two are baselines, which only the command line can ask for.
+// The selection modes. SelectRandom and SelectIgnoringStartTimes are baselines, which only the command line accepts.
 const (
-	SelectAllHosts           SelectionMode = "alone"   // no subset: a gateway knows nothing of the others
-	SelectByNumber           SelectionMode = "number"  // the gateway's configured number, and how many there are
-	SelectByMembers          SelectionMode = "members" // the members that are alive
-	SelectRandom             SelectionMode = "random"  // a subset of its own, whatever the others use
-	SelectIgnoringStartTimes SelectionMode = "blind"   // no subset, and no start times of hosts
+	SelectAllHosts           SelectionMode = "alone"   // no subsets: each gateway uses all hosts
+	SelectByNumber           SelectionMode = "number"  // the configured number of the gateway and of all gateways
+	SelectByMembers          SelectionMode = "members" // the members that are alive in the gateway's view
+	SelectRandom             SelectionMode = "random"  // a random subset, drawn without regard to other gateways
+	SelectIgnoringStartTimes SelectionMode = "blind"   // no subsets, and the start times of hosts are hidden
 )
 
-// LoadExperiment reads an experiment's file. An error names the file, the line and the key.
+// LoadExperiment reads and checks an experiment file. An error names the path and, where known, the line and the key.
 func LoadExperiment(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -118,7 +124,8 @@
 	return ParseExperiment(path, string(text))
 }
 
-// ParseExperiment reads an experiment's text. An error is one line that names the path, the line and the key.
+// ParseExperiment parses and checks the text of an experiment file. An error is one line that names the path and, where
+// known, the line and the key.
 func ParseExperiment(path, text string) (*Experiment, error) {
 	experiment := &Experiment{Path: path}
 	metadata, err := toml.Decode(text, experiment)
@@ -134,10 +141,10 @@
 	return experiment, nil
 }
 
-// typeError matches the TOML library's text for a value of a wrong type.
+// typeError matches the TOML library's message for a value of the wrong type.
 var typeError = regexp.MustCompile(`^toml: line (\d+) \(last key "(.*?)"\): (.*)$`)
 
-// decodingError words an error of the TOML library in one line.
+// decodingError converts an error of the TOML library to one line with the path, the line and the key.
 func decodingError(path string, err error) error {
 	var parseError toml.ParseError
 	if errors.As(err, &parseError) {
@@ -150,9 +157,10 @@
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// lineOf finds a key's line: the first one within its table that sets its last part; 0 if there is none.
+// lineOf returns the number of the first line that defines a key: a header of the table that the key names, or an
+// assignment to the key's last part within its table. It returns 0 if there is no such line.
 func lineOf(text string, key toml.Key) int {
-	table, last := key[:len(key)-1].String(), key[len(key)-1]
+	table, lastPart := key[:len(key)-1].String(), key[len(key)-1]
 	inTable := table == ""
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -165,7 +173,7 @@
 			continue
 		}
 		name, _, found := strings.Cut(line, "=")
-		if inTable && found && strings.Trim(strings.TrimSpace(name), `"`) == last {
+		if inTable && found && strings.Trim(strings.TrimSpace(name), `"`) == lastPart {
 			return i + 1
 		}
 	}
--- a/internal/faultsim/experiment_check.go
+++ b/internal/faultsim/experiment_check.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// complete sets defaults and checks all keys; the error names the first one that is wrong.
+// complete sets defaults and checks all values. The error names the first key whose value is invalid.
 func (e *Experiment) complete() error {
 	e.setDefaults()
 	checks := []func() error{e.checkEngines, e.checkFleet, e.checkHosts, e.checkSelection, e.checkLoad}
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// setDefault sets a value that is not given.
+// setDefault replaces a zero value, which means that the key is not set, by a default.
 func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
@@ -59,7 +59,7 @@
 func (e *Experiment) checkEngines() error {
 	for _, name := range e.Engines {
 		if name != EngineEmulated && name != EngineProcesses {
-			return fmt.Errorf("engines: unknown engine %q", name)
+			return fmt.Errorf("engines: expected %s or %s, got %q", EngineEmulated, EngineProcesses, name)
 		}
 	}
 	return nil
@@ -69,17 +69,17 @@
 	fleet := &e.Fleet
 	switch {
 	case e.Name == "":
-		return errors.New("name: is missing")
+		return errors.New("name: expected a text, got none")
 	case !(e.Seconds > 0 && e.Seconds <= 100_000):
-		return errors.New("seconds: 0 to 100,000 are needed")
+		return fmt.Errorf("seconds: expected more than 0 and at most 100,000, got %v", e.Seconds)
 	case fleet.Gateways < 1 || fleet.Gateways > 2000:
-		return errors.New("fleet.gateways: 1 to 2,000 are needed")
+		return fmt.Errorf("fleet.gateways: expected 1 to 2,000, got %d", fleet.Gateways)
 	case fleet.Processes < 1 || fleet.Processes > 32:
-		return errors.New("fleet.processes: 1 to 32 are needed")
+		return fmt.Errorf("fleet.processes: expected 1 to 32, got %d", fleet.Processes)
 	case fleet.Seeds < 1 || fleet.Seeds > 16 || fleet.Zones < 1 || fleet.Zones > 26:
-		return errors.New("fleet.seeds, fleet.zones: out of range")
+		return fmt.Errorf("fleet.seeds, fleet.zones: expected 1 to 16 and 1 to 26, got %d and %d", fleet.Seeds, fleet.Zones)
 	case !isShare(fleet.OldVersionShare):
-		return errors.New("fleet.old: is a share")
+		return fmt.Errorf("fleet.old: expected a share from 0 to 1, got %v", fleet.OldVersionShare)
 	}
 	return nil
 }
@@ -88,14 +88,19 @@
 	hosts := &e.Hosts
 	switch {
 	case hosts.Count < 1 || hosts.Count > 20:
-		return errors.New("hosts.count: 1 to 20 are needed")
+		return fmt.Errorf("hosts.count: expected 1 to 20, got %d", hosts.Count)
 	case hosts.EmulatedCount < 0 || hosts.EmulatedCount > 2000 ||
 		hosts.Groups < 1 || hosts.Cores < 1 || hosts.MaxConns < 1:
-		return errors.New("hosts.emulated, hosts.groups, hosts.cores or hosts.conns: out of range")
+		return fmt.Errorf("hosts.emulated: expected 0 to 2,000, got %d; "+
+			"hosts.groups, hosts.cores, hosts.conns: expected at least 1, got %d, %d and %d",
+			hosts.EmulatedCount, hosts.Groups, hosts.Cores, hosts.MaxConns)
 	case hosts.EmulatedCount > 0 && hosts.EmulatedCount < hosts.Groups:
-		return errors.New("hosts.groups: each needs a host")
+		return fmt.Errorf("hosts.groups: expected at most hosts.emulated (%d), since each group has a host, got %d",
+			hosts.EmulatedCount, hosts.Groups)
 	case !(hosts.ReadMs > 0) || !(hosts.SlowStartMs > 0) || !(hosts.MaxFullListsPerSecond >= 0) || !(hosts.LagMs >= 0):
-		return errors.New("hosts.read_ms, hosts.cold_ms, hosts.lists or hosts.lag_ms: out of range")
+		return fmt.Errorf("hosts.read_ms, hosts.cold_ms: expected more than 0, got %v and %v; "+
+			"hosts.lists, hosts.lag_ms: expected at least 0, got %v and %v",
+			hosts.ReadMs, hosts.SlowStartMs, hosts.MaxFullListsPerSecond, hosts.LagMs)
 	}
 	return nil
 }
@@ -105,10 +110,12 @@
 	switch selection.Mode {
 	case SelectAllHosts, SelectByNumber, SelectByMembers:
 	default:
-		return fmt.Errorf("choices.by: unknown word %q", selection.Mode)
+		return fmt.Errorf("choices.by: expected %s, %s or %s, got %q",
+			SelectAllHosts, SelectByNumber, SelectByMembers, selection.Mode)
 	}
 	if selection.SubsetSize < 1 || !(selection.CountFactor > 0 && selection.CountFactor <= 10) {
-		return errors.New("choices.subset or choices.wrong: out of range")
+		return fmt.Errorf("choices.subset: expected at least 1, got %d; "+
+			"choices.wrong: expected more than 0 and at most 10, got %v", selection.SubsetSize, selection.CountFactor)
 	}
 	return nil
 }
@@ -118,17 +125,20 @@
 	switch {
 	case !(load.EmulatedRate >= 0 && load.EmulatedRate <= 100_000) || !(load.HeavyGatewayFactor >= 0) ||
 		!(load.IdleGatewayShare >= 0 && load.IdleGatewayShare < 1):
-		return errors.New("load.emulated, load.heavy or load.idle: out of range")
+		return fmt.Errorf("load.emulated: expected 0 to 100,000, got %v; load.heavy: expected at least 0, got %v; "+
+			"load.idle: expected a share of at least 0 and less than 1, got %v",
+			load.EmulatedRate, load.HeavyGatewayFactor, load.IdleGatewayShare)
 	case !(load.Rate >= 0 && load.Rate <= 2000) || !isShare(load.WriteShare) || load.Clients < 1 || load.Clients > 64:
-		return errors.New("load.rate, load.writes or load.clients: out of range")
+		return fmt.Errorf("load.rate: expected 0 to 2,000, got %v; load.writes: expected a share from 0 to 1, got %v; "+
+			"load.clients: expected 1 to 64, got %d", load.Rate, load.WriteShare, load.Clients)
 	}
 	return nil
 }
 
-// isShare reports whether a value is from 0 to 1; NaN is not.
+// isShare reports whether a value is from 0 to 1. NaN is not a share.
 func isShare(value float64) bool { return value >= 0 && value <= 1 }
 
-// isDelayRange reports whether a pair is a least and a most delay in ms, of at most 10 s.
+// isDelayRange reports whether a pair is [least, most] of delays from 0 to 10,000 ms.
 func isDelayRange(pair []float64) bool {
 	return len(pair) == 2 && pair[0] >= 0 && pair[1] >= pair[0] && pair[1] <= 10_000
 }
@@ -136,13 +146,13 @@
 func (c *NetworkConditions) check() error {
 	switch {
 	case len(c.DelayMs) != 0 && !isDelayRange(c.DelayMs):
-		return errors.New("delay_ms: is [least, most]")
+		return fmt.Errorf("delay_ms: expected [least, most] from 0 to 10,000, got %v", c.DelayMs)
 	case !isShare(c.LossShare):
-		return errors.New("loss: is a share")
+		return fmt.Errorf("loss: expected a share from 0 to 1, got %v", c.LossShare)
 	case !isShare(c.DuplicateShare):
-		return errors.New("duplicate: is a share")
+		return fmt.Errorf("duplicate: expected a share from 0 to 1, got %v", c.DuplicateShare)
 	case !(c.CrossZoneDelayMs >= 0 && c.CrossZoneDelayMs <= 10_000):
-		return errors.New("far_ms: out of range")
+		return fmt.Errorf("far_ms: expected 0 to 10,000, got %v", c.CrossZoneDelayMs)
 	}
 	return nil
 }
--- a/internal/faultsim/experiment_test.go
+++ b/internal/faultsim/experiment_test.go
@@ -27,7 +27,7 @@
 		{
 			"unknown fault",
 			minimal + "[[fault]]\nat = 1\ndo = \"explode\"\nwho = \"1\"\n",
-			"fault 1: do: unknown word \"explode\"",
+			"fault 1: do: unknown fault kind \"explode\"",
 		},
 		{"pause without duration", minimal + "[[fault]]\nat = 1\ndo = \"pause\"\nwho = \"1\"\n", "fault 1: for"},
 		{"unknown target", minimal + "[[fault]]\nat = 1\ndo = \"kill\"\nwho = \"several\"\n", "fault 1: who"},
