--- a/internal/faultsim/event_queue.go
+++ b/internal/faultsim/event_queue.go
@@ -6,14 +6,15 @@
 	"merlinjunction/membership"
 )
 
-// scheduledEvent is an entry of the emulator's queue: a call, a step, a datagram for a gateway, or the wake-up of one.
+// scheduledEvent is an entry of the emulator's queue. It is a function call if call is set, a step of the plan if step is
+// set, a datagram for a gateway if message is set, or else a wake-up of a gateway.
 type scheduledEvent struct {
 	at         float64 // ms since second 0
-	order      uint64  // of entry
+	order      uint64  // number of the event in the order of entry
 	gateway    *emulatedGateway
-	generation int // of the gateway's process: events for an earlier one are dropped
+	generation int // generation of the gateway's process; an event for an earlier process is dropped
 	message    *membership.Message
-	from       netip.AddrPort // of the message
+	from       netip.AddrPort // sender's address of the message
 	step       *Step
 	call       func()
 }
@@ -21,10 +22,11 @@
 // heapArity is the number of children of a node in the queue's heap.
 const heapArity = 4
 
-// eventQueue is a four-ary heap of events, by time and then by order of entry.
+// eventQueue is a four-ary heap of events, ordered by time. Events of the same time are ordered by their entry, so that a
+// run repeats.
 type eventQueue struct {
 	heap    []scheduledEvent
-	entered uint64
+	entered uint64 // number of events pushed so far
 }
 
 func (q *eventQueue) less(i, j int) bool {
--- a/internal/faultsim/expect.go
+++ b/internal/faultsim/expect.go
@@ -6,72 +6,74 @@
 	"strconv"
 )
 
-// Expect is the bounds that must hold; those that are not set are not checked. Pairs are [least, most], for counts of
-// gateways. All others are upper bounds, except the last group. The steady state is the time up to the first fault.
+// Expect holds the bounds that an experiment sets on its figures. A bound that is not set is not checked. A single value
+// is an upper bound, except for ServedShare and WorstSecond, which are lower bounds. A pair is [least, most], for a number
+// of gateways. The steady state is the time from second 0 to the first fault. A viewer is a gateway that has beliefs of the
+// other gateways. A return is the end of a pause or of starvation.
 type Expect struct {
-	SuspectMs             *float64 `toml:"suspect_ms"`    // median over crashes: until the first viewer suspects
-	FirstDeathMs          *float64 `toml:"first_ms"`      // median over crashes: until the first viewer declares it dead
-	AllDetectedMs         *float64 `toml:"everyone_ms"`   // longest over crashes: until no viewer believes it to be up
-	AgreementMs           *float64 `toml:"agree_ms"`      // from the last step until all beliefs are right
-	RecoveryMs            *float64 `toml:"back_ms"`       // longest: from a return to beliefs by and of it that are right
-	FalseDeaths           *float64 `toml:"false_deaths"`  // of members that were up, running and reachable
-	FalseSuspicions       *float64 `toml:"false_doubts"`  // of such members, one for each viewer
-	SuspicionsAfterReturn *float64 `toml:"return_blames"` // by members that had just been paused
-	Flaps                 *float64 `toml:"flaps"`         // how often one gateway gives up another
-	BytesPerSecond        *float64 `toml:"bytes_s"`       // sent by the busiest gateway, mean up to the first fault
-	Isolated              []int    `toml:"deaf"`          // gateways that reported the status
-	Disputed              []int    `toml:"unheard"`       // gateways that reported the status
-	Slow                  []int    `toml:"slow"`          // gateways that reported the status
-	NameTaken             []int    `toml:"taken"`         // gateways that reported the status
+	SuspectMs             *float64 `toml:"suspect_ms"`    // time from a crash to the first suspicion, median of the crashes
+	FirstDeathMs          *float64 `toml:"first_ms"`      // time from a crash to the first declared death, median of the crashes
+	AllDetectedMs         *float64 `toml:"everyone_ms"`   // longest time from a crash until no viewer believes the gateway up
+	AgreementMs           *float64 `toml:"agree_ms"`      // time from the last step until all beliefs are right
+	RecoveryMs            *float64 `toml:"back_ms"`       // longest time from a return until beliefs by and of the gateway are right
+	FalseDeaths           *float64 `toml:"false_deaths"`  // declared deaths of members that were up, running and reachable
+	FalseSuspicions       *float64 `toml:"false_doubts"`  // suspicions of such members, counted for each viewer
+	SuspicionsAfterReturn *float64 `toml:"return_blames"` // suspicions by members that had just been paused
+	Flaps                 *float64 `toml:"flaps"`         // most times that one gateway believed another dead or unreachable
+	BytesPerSecond        *float64 `toml:"bytes_s"`       // bytes sent per second by the busiest gateway, steady state
+	Isolated              []int    `toml:"deaf"`          // gateways that reported StatusIsolated
+	Disputed              []int    `toml:"unheard"`       // gateways that reported StatusDisputed
+	Slow                  []int    `toml:"slow"`          // gateways that reported StatusSlow
+	NameTaken             []int    `toml:"taken"`         // gateways that reported StatusNameTaken
 	PartialViews          []int    `toml:"part"`          // gateways that reported a partial view
 
-	Lost                 *float64 `toml:"lost"`    // requests without an answer although nothing was done to their gateway
-	DuplicateWrites      *float64 `toml:"doubled"` // idempotent writes that ran twice
-	StatementsAfterDrain *float64 `toml:"drained"` // at a host whose drain's grace period has passed
-	Overloads            *float64 `toml:"cold"`    // of hosts in slow start
+	Lost                 *float64 `toml:"lost"`    // requests without an answer although no fault affected their gateway
+	DuplicateWrites      *float64 `toml:"doubled"` // idempotent writes that a host executed twice
+	StatementsAfterDrain *float64 `toml:"drained"` // statements at a host after the grace period of its drain
+	Overloads            *float64 `toml:"cold"`    // overloads of hosts in slow start
 	Stale                *float64 `toml:"stale"`   // reads that miss a write of their session
-	P99Ms                *float64 `toml:"p99_ms"`  // latency from the intended time
+	P99Ms                *float64 `toml:"p99_ms"`  // 99th percentile of the latency, measured from the intended send time
 
-	HostConnsSpread     *float64 `toml:"conns_host_spread"` // most connections of a replica, by the mean; steady state
-	GatewayConns        *float64 `toml:"conns_gateway"`     // connections of a gateway to hosts, mean; steady state
-	ProbesPerSecond     *float64 `toml:"probes_s"`          // health checks over the fleet; steady state
-	HandshakesPerSecond *float64 `toml:"handshakes_s"`      // over the fleet; steady state
-	PollsPerSecond      *float64 `toml:"calls_s"`           // of discovery over the fleet; steady state
-	HandshakesPeak      *float64 `toml:"handshakes_peak"`   // most in one second since the first fault
-	ProbesPeak          *float64 `toml:"probes_peak"`       // most in one second since the first fault
-	PollsPeak           *float64 `toml:"calls_peak"`        // most in one second since the first fault
-	MisdirectedPeak     *float64 `toml:"misdirected_peak"`  // writes at replicas, most in one second since the first fault
-	RejectedShare       *float64 `toml:"refused_share"`     // of the requests
+	HostConnsSpread     *float64 `toml:"conns_host_spread"` // most connections of a replica, divided by the mean; steady state
+	GatewayConns        *float64 `toml:"conns_gateway"`     // mean number of connections of a gateway to hosts; steady state
+	ProbesPerSecond     *float64 `toml:"probes_s"`          // health checks of the whole fleet; steady state
+	HandshakesPerSecond *float64 `toml:"handshakes_s"`      // handshakes of the whole fleet with hosts; steady state
+	PollsPerSecond      *float64 `toml:"calls_s"`           // discovery polls of the whole fleet; steady state
+	HandshakesPeak      *float64 `toml:"handshakes_peak"`   // most handshakes in one second after the first fault
+	ProbesPeak          *float64 `toml:"probes_peak"`       // most health checks in one second after the first fault
+	PollsPeak           *float64 `toml:"calls_peak"`        // most discovery polls in one second after the first fault
+	MisdirectedPeak     *float64 `toml:"misdirected_peak"`  // most writes at replicas in one second after the first fault
+	RejectedShare       *float64 `toml:"refused_share"`     // rejected share of the requests
 
-	// Lower bounds:
-	ServedShare *float64 `toml:"served_share"` // of the requests
-	WorstSecond *float64 `toml:"worst_second"` // served share in the worst second
+	// The following are lower bounds.
+	ServedShare *float64 `toml:"served_share"` // served share of the requests
+	WorstSecond *float64 `toml:"worst_second"` // served share of the requests in the worst second
 }
 
-// Verdict is one bound and whether it holds.
+// Verdict says whether one bound holds.
 type Verdict struct {
-	Name     string  `json:"name"` // of the figure
-	Value    float64 `json:"-"`
-	Bound    string  `json:"bound"`
-	OK       bool    `json:"ok"`
-	Measured bool    `json:"asked"` // the engine measures the figure; a bound of one that is not measured holds
+	Name     string  `json:"name"`  // name of the figure
+	Value    float64 `json:"-"`     // measured value of the figure
+	Bound    string  `json:"bound"` // the bound as text
+	OK       bool    `json:"ok"`    // the bound holds, or the figure was not measured
+	Measured bool    `json:"asked"` // the engine measures the figure
 	Text     string  `json:"text"`  // the verdict in one line
 }
 
-// bound is a check of one figure. A figure that is NaN, nothing to measure, fails every bound.
+// bound is a check of one figure. No bound holds for NaN, which means that the run had nothing to measure.
 type bound struct {
 	figure string
 	text   string
 	holds  func(value float64) bool
 }
 
-// limit is a bound that may not be set.
+// limit is an upper or lower bound of an experiment. It is not set if value is nil.
 type limit struct {
 	figure string
 	value  *float64
 }
 
-// countRange is a [least, most] that may not be set.
+// countRange is a pair of bounds, [least, most], of an experiment. It is not set if pair is empty.
 type countRange struct {
 	figure string
 	pair   []int
--- a/internal/faultsim/network.go
+++ b/internal/faultsim/network.go
@@ -2,18 +2,18 @@
 
 import "math/rand/v2"
 
-// link is one direction between two gateways, or from a gateway to a host.
+// link is one direction between two gateways, or between a gateway and a host.
 type link struct {
 	from, to int
 }
 
-// Network decides what happens to each datagram: cut links, loss, delay and duplication. It transmits nothing itself.
+// Network decides whether each datagram is lost, delayed or duplicated. It transmits nothing itself.
 type Network struct {
-	zones          int
-	conditions     []*NetworkConditions // the experiment's first, then those of active faults
-	cuts           map[link]int         // how many active faults cut each link
-	unreachableIn  map[int]int          // by gateway: how many others it can't receive from
-	unreachableOut map[int]int          // by gateway: how many others it can't send to
+	zones          int                  // number of zones
+	conditions     []*NetworkConditions // the experiment's conditions, then those of active faults
+	cuts           map[link]int         // by link: number of active faults that cut it
+	unreachableIn  map[int]int          // by gateway: number of other gateways from which it can't receive
+	unreachableOut map[int]int          // by gateway: number of other gateways to which it can't send
 }
 
 // NewNetwork returns a network without faults.
@@ -27,7 +27,7 @@
 	}
 }
 
-// Apply carries out a Step that concerns the network; others are ignored.
+// Apply carries out a Step that concerns the network. It ignores other steps.
 func (n *Network) Apply(step *Step) {
 	switch step.Operation {
 	case Cut:
@@ -74,13 +74,13 @@
 // IsCut reports whether all datagrams from one gateway to another are lost.
 func (n *Network) IsCut(from, to int) bool { return len(n.cuts) > 0 && n.cuts[link{from, to}] > 0 }
 
-// Delivery is what happens to one datagram: how many copies arrive, and after how long.
+// Delivery says how many copies of one datagram arrive, and after which delays.
 type Delivery struct {
-	copies int // 0: lost; 2: duplicated
-	delays [2]float64
+	copies int        // 0: lost; 2: duplicated
+	delays [2]float64 // by copy, ms
 }
 
-// delaysMs are the delays of the copies that arrive, ms.
+// delaysMs returns the delays, in ms, of the copies that arrive.
 func (d *Delivery) delaysMs() []float64 { return d.delays[:d.copies] }
 
 func (d *Delivery) addCopy(delayMs float64) {
@@ -88,7 +88,8 @@
 	d.copies++
 }
 
-// DrawDelivery decides what happens to a datagram from one gateway to another.
+// DrawDelivery draws what happens to a datagram from one gateway to another. The losses of all active conditions add up
+// as independent events; the largest share of duplicates and the latest delay range apply.
 func (n *Network) DrawDelivery(random *rand.Rand, from, to int) (delivery Delivery) {
 	if n.IsCut(from, to) {
 		return delivery
@@ -112,7 +113,7 @@
 	return delivery
 }
 
-// drawDelay draws a delay between the least and the most, ms; between zones the cross-zone delay is added.
+// drawDelay draws a delay, in ms, from [least, most]. Between zones it adds the experiment's cross-zone delay.
 func (n *Network) drawDelay(random *rand.Rand, delayRange []float64, from, to int) float64 {
 	delayMs := delayRange[0] + (delayRange[1]-delayRange[0])*random.Float64()
 	if n.zones > 1 && from%n.zones != to%n.zones {
--- a/internal/faultsim/options.go
+++ b/internal/faultsim/options.go
@@ -8,35 +8,35 @@
 
 // Progress is the state of a run at one sample.
 type Progress struct {
-	Seconds      float64 // since second 0
-	Up           int     // gateways
-	Believed     float64 // how many gateways a gateway believes to be up, on average
-	WrongBeliefs int
+	Seconds      float64 // time of the sample, since second 0
+	Up           int     // number of gateways that are up
+	Believed     float64 // mean number of gateways that a gateway believes to be up
+	WrongBeliefs int     // number of pairs of gateways of which the one has a wrong belief of the other
 }
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Seed      uint64
-	Gateways  int            // 0: as the experiment says
+	Gateways  int            // number of gateways; 0: as the experiment says
 	Selection *HostSelection // nil: as the experiment says
-	NewNode   NodeFactory    // emulated engine; nil: NewViewNode
-	Progress  func(Progress) // called at each sample; may be nil
-	Log       *zap.Logger    // every step and change of state; nil: none
-	// CheckAccounting has the emulated engine check after each step of a core that each of its connections and requests
-	// is in one state; the run fails where one is not.
+	NewNode   NodeFactory    // emulated engine: makes the gateways' protocol nodes; nil: NewViewNode
+	Progress  func(Progress) // called at each sample; nil: not called
+	Log       *zap.Logger    // gets every step and change of state; nil: nothing is logged
+	// CheckAccounting makes the emulated engine check, after each step of a gateway's core, that each of its connections
+	// and requests is in exactly one state. A violation makes the run fail.
 	CheckAccounting bool
 }
 
-// hostSet is which hosts an engine has for a plan.
+// hostSet describes the hosts that faults can affect in an engine.
 type hostSet struct {
 	count int
-	// protected is how many hosts, the first ones, are never drawn at random. In the processes engine the first host is
-	// the primary of its only group, and has no successor.
+	// protected is the number of hosts, the first ones, that are never drawn at random. In the processes engine the first
+	// host is the primary of the only group, and no other host can succeed it.
 	protected int
 }
 
-// prepare sets what is not given and plans the run. defaultGateways is the experiment's number of gateways for the
-// engine.
+// prepare sets defaults for the options that are not set and plans the run. defaultGateways is the experiment's number of
+// gateways for the engine.
 func (o *Options) prepare(experiment *Experiment, defaultGateways int, hosts hostSet) ([]Step, error) {
 	setDefault(&o.Gateways, defaultGateways)
 	setDefault(&o.Selection, &experiment.Selection)
@@ -53,7 +53,7 @@
 	return steps, nil
 }
 
-// logStep logs a step of the plan that is carried out.
+// logStep logs that a step of the plan is carried out.
 func (o *Options) logStep(nowMs float64, step *Step) {
 	o.Log.Info("step",
 		zap.Float64("ms", nowMs),
@@ -74,7 +74,7 @@
 	o.Log.Info("belief changed", append(fields, details...)...)
 }
 
-// logStatus logs that a gateway changed the status that it reports of itself.
+// logStatus logs that a gateway changed the status that it reports about itself.
 func (o *Options) logStatus(nowMs float64, gateway, status, reason string) {
 	o.Log.Info("status changed",
 		zap.Float64("ms", nowMs),
--- a/internal/faultsim/plan.go
+++ b/internal/faultsim/plan.go
@@ -7,17 +7,18 @@
 	"slices"
 )
 
-// planner turns the faults of an experiment into steps. It tracks which gateways are up while it goes through them.
+// planner converts the faults of an experiment to steps. It goes through them in order of time and tracks which gateways
+// are up.
 type planner struct {
 	experiment *Experiment
 	random     *rand.Rand
-	up         []bool // by gateway
+	up         []bool // by gateway: the process runs
 	hosts      hostSet
 	steps      []Step
 }
 
-// Plan returns the steps of an experiment for a number of emulated gateways. An error says which fault finds no target,
-// or that the steps take longer than the experiment.
+// Plan returns the steps of an experiment for a number of emulated gateways. It returns an error if a fault has too few
+// targets, or if a step is later than the end of the experiment.
 func (e *Experiment) Plan(gateways int, seed uint64) ([]Step, error) {
 	return e.plan(gateways, hostSet{count: e.Hosts.EmulatedCount}, seed)
 }
@@ -36,12 +37,13 @@
 	}
 	slices.SortStableFunc(p.steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	if len(p.steps) > 0 && p.steps[len(p.steps)-1].At > e.Seconds*1000 {
-		return nil, fmt.Errorf("seconds: the timeline needs %.1f", p.steps[len(p.steps)-1].At/1000)
+		return nil, fmt.Errorf("seconds: expected at least %.1f, the time of the last step, got %v",
+			p.steps[len(p.steps)-1].At/1000, e.Seconds)
 	}
 	return p.steps, nil
 }
 
-// faultOrder is the indices of the faults by their time.
+// faultOrder returns the indices of the faults in order of their times.
 func (e *Experiment) faultOrder() []int {
 	order := make([]int, len(e.Faults))
 	for i := range order {
@@ -51,16 +53,17 @@
 	return order
 }
 
-// hostZone is the zone of a host. Hosts are numbered through the groups of a zone first.
+// hostZone returns the number of an emulated host's zone. Consecutive hosts are in the same zone until it has one host of
+// each group.
 func (e *Experiment) hostZone(host int) int { return host / e.Hosts.Groups % e.Fleet.Zones }
 
-// add adds a step at a time in seconds.
+// add adds a step at a time in seconds since second 0.
 func (p *planner) add(at float64, step Step) {
 	step.At = at * 1000
 	p.steps = append(p.steps, step)
 }
 
-// spreadAt is the time, in seconds, at which a fault affects one of its targets.
+// spreadAt returns the time, in seconds, at which a fault affects the target at a position among its targets.
 func (f *Fault) spreadAt(position, targets int) float64 {
 	return f.At + f.Spread*float64(position)/float64(targets)
 }
@@ -92,7 +95,8 @@
 	return nil
 }
 
-// chooseGateways returns the gateways that a target selects among those that are up, or down for targetDown.
+// chooseGateways returns the gateways that a target selects. Only gateways that are up are eligible; for targetDown, only
+// those that are down.
 func (p *planner) chooseGateways(text string) ([]int, error) {
 	selector, err := parseTarget(text)
 	if err != nil {
@@ -107,12 +111,12 @@
 	}
 	count := selector.number(len(p.up), len(eligible))
 	if count == 0 || count > len(eligible) {
-		return nil, fmt.Errorf("%q: %d of them are there", text, len(eligible))
+		return nil, fmt.Errorf("target %q selects %d of %d eligible gateways", text, count, len(eligible))
 	}
 	return p.draw(eligible, count), nil
 }
 
-// chooseHosts returns the hosts that a target selects; ownZone is what targetFar excludes.
+// chooseHosts returns the hosts that a target selects. targetFar selects all hosts outside ownZone.
 func (p *planner) chooseHosts(text string, ownZone int) ([]int, error) {
 	selector := targetSelector{index: -1, count: -1, zone: -1, word: text}
 	if text != targetFar {
@@ -132,14 +136,16 @@
 		count = max(1, count)
 	}
 	if count == 0 || count > len(eligible) || selector.word == targetDown {
-		return nil, fmt.Errorf("%q is no host: %d of them are there", text, len(eligible))
+		return nil, fmt.Errorf("target %q selects %d of %d eligible hosts (%q is for gateways only)",
+			text, count, len(eligible), targetDown)
 	}
 	return p.draw(eligible, count), nil
 }
 
+// isEligibleHost reports whether a target allows a host. Targets that are drawn at random don't allow protected hosts.
 func (p *planner) isEligibleHost(host int, selector *targetSelector, ownZone int) bool {
 	zone := p.experiment.hostZone(host)
-	if p.hosts.protected > 0 { // in the processes engine all hosts are of one group
+	if p.hosts.protected > 0 { // only in the processes engine, where all hosts are in one group
 		zone = host % p.experiment.Fleet.Zones
 	}
 	switch {
@@ -153,7 +159,7 @@
 	return !selector.isRandom() || host >= p.hosts.protected
 }
 
-// draw returns as many of the eligible; they are drawn at random unless all are wanted.
+// draw returns count of the eligible gateways or hosts. They are drawn at random unless all are selected.
 func (p *planner) draw(eligible []int, count int) []int {
 	if count < len(eligible) {
 		p.random.Shuffle(len(eligible), func(i, j int) { eligible[i], eligible[j] = eligible[j], eligible[i] })
--- a/internal/faultsim/plan_faults.go
+++ b/internal/faultsim/plan_faults.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// defaultReplaceDelay is the time from the drain of a host to its replacement, seconds.
+// defaultReplaceDelay is the time, in seconds, from the drain of a host to its replacement if RestartDelay is not set.
 const defaultReplaceDelay = 3
 
-// addConditions adds other network conditions for the fault's duration.
+// addConditions adds a change of the network conditions for the fault's duration.
 func (p *planner) addConditions(fault *Fault) {
 	conditions := fault.NetworkConditions
 	p.add(fault.At, Step{Operation: ChangeConditions, Conditions: &conditions})
 	p.add(fault.At+fault.Duration, Step{Operation: ChangeConditions, Conditions: &conditions, Undo: true})
 }
 
-// addJoin adds the starts of gateways that were not there before.
+// addJoin adds the starts of additional gateways. A share as target is a share of the gateways so far.
 func (p *planner) addJoin(fault *Fault) error {
 	selector, err := parseTarget(fault.Target)
 	count := selector.number(len(p.up), -1)
 	if err != nil || count <= 0 {
-		return fmt.Errorf("who: %q is no number to join", fault.Target)
+		return fmt.Errorf("who: expected a number or share of gateways that join, got %q", fault.Target)
 	}
 	for position := range count {
 		p.add(fault.spreadAt(position, count), Step{Operation: Start, Target: len(p.up)})
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// addHostFault adds a fault of hosts. It adds nothing for an engine that has no hosts in this experiment.
+// addHostFault adds the steps of a fault that affects hosts. It adds none if the experiment has no hosts for the engine.
 func (p *planner) addHostFault(fault *Fault) error {
 	if p.hosts.count == 0 {
 		return nil
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// addOneHostFault adds a fault of one host that begins at a time in seconds.
+// addOneHostFault adds the steps of a fault for one host. The first step is at a time in seconds.
 func (p *planner) addOneHostFault(fault *Fault, host int, at float64) {
 	switch fault.Kind {
 	case FaultHostDrain:
@@ -72,8 +72,7 @@
 	}
 }
 
-// addHostCut cuts connections from gateways to hosts. It adds nothing for an engine that has no hosts in this
-// experiment.
+// addHostCut adds cuts of the links from gateways to hosts. It adds none if the experiment has no hosts for the engine.
 func (p *planner) addHostCut(fault *Fault, gateways []int) error {
 	if p.hosts.count == 0 {
 		return nil
@@ -89,7 +88,7 @@
 	return nil
 }
 
-// addGatewayFault adds a fault of one gateway that begins at a time in seconds.
+// addGatewayFault adds the steps of a fault for one gateway. The first step is at a time in seconds.
 func (p *planner) addGatewayFault(fault *Fault, gateway int, at float64) {
 	switch fault.Kind {
 	case FaultKill:
@@ -119,7 +118,7 @@
 	}
 }
 
-// addStarvation adds short pauses of a gateway, one after another.
+// addStarvation adds pauses of StopMs, each followed by RunMs in which the gateway runs, for the fault's duration.
 func (p *planner) addStarvation(fault *Fault, gateway int, at float64) {
 	p.add(at, Step{Operation: Starve, Target: gateway})
 	cycle := (fault.StopMs + fault.RunMs) / 1000
@@ -130,14 +129,14 @@
 	p.add(at+fault.Duration, Step{Operation: Starve, Target: gateway, Undo: true})
 }
 
-// addCut cuts links between gateways: in both directions, or in one.
+// addCut adds cuts of the links between the targets and other gateways, in one direction or in both.
 func (p *planner) addCut(fault *Fault, gateways []int) error {
 	others, err := p.cutDestinations(fault, gateways)
 	if err != nil {
 		return err
 	}
 	if len(others) == 0 {
-		return fmt.Errorf("to: %q: nobody is cut off", fault.Destination)
+		return fmt.Errorf("to: expected gateways besides the targets, %q selects none", fault.Destination)
 	}
 	if !fault.Reverse {
 		p.addLinkCuts(fault, gateways, others)
@@ -148,7 +147,7 @@
 	return nil
 }
 
-// cutDestinations are the gateways that the fault's targets are cut off from.
+// cutDestinations returns the gateways from which the fault's targets are cut off.
 func (p *planner) cutDestinations(fault *Fault, gateways []int) ([]int, error) {
 	isTarget := func(gateway int) bool { return slices.Contains(gateways, gateway) }
 	if fault.Destination != "" {
@@ -164,6 +163,7 @@
 	return others, nil
 }
 
+// addLinkCuts adds cuts of the links in one direction for the fault's duration.
 func (p *planner) addLinkCuts(fault *Fault, from, to []int) {
 	for _, gateway := range from {
 		p.add(fault.At, Step{Operation: Cut, Target: gateway, Destinations: to})
--- a/internal/faultsim/step.go
+++ b/internal/faultsim/step.go
@@ -1,38 +1,38 @@
 package faultsim
 
-// Step is one operation on the fleet at a time. A plan is a list of steps that leaves no choice open, so one seed gives
-// one plan, in whichever engine.
+// Step is one operation on the fleet at a time. All random choices are made when a plan, a list of steps, is made. So one
+// seed gives the same plan whenever it is made for the same numbers of gateways and hosts.
 type Step struct {
 	At           float64 // ms since second 0
 	Operation    Operation
-	Target       int   // index of a gateway, or of a host if the operation concerns hosts
-	Destinations []int // of Cut: gateways; of HostCut: hosts
-	Undo         bool  // of Cut, HostCut, ChangeConditions, Starve and HostSlow: ends the fault
-	ClockStepMs  float64
-	SlowFactor   float64            // of HostSlow: the multiple of the usual time
-	Conditions   *NetworkConditions // of ChangeConditions
-	NewHost      bool               // of HostStart: another host in the place of this one; emulated engine only
+	Target       int                // index of a gateway; for HostDrain, HostKill, HostStart and HostSlow index of a host
+	Destinations []int              // for Cut: indices of gateways; for HostCut: indices of hosts
+	Undo         bool               // for Cut, HostCut, ChangeConditions, Starve and HostSlow: ends the fault
+	ClockStepMs  float64            // for StepClock
+	SlowFactor   float64            // for HostSlow: the factor by which all work takes longer
+	Conditions   *NetworkConditions // for ChangeConditions
+	NewHost      bool               // for HostStart: a host with a new ID replaces this one; emulated engine only
 }
 
 // Operation is the kind of a Step.
 type Operation int
 
-// The operations. Those from HostDrain on concern hosts.
+// The operations. HostDrain and all that follow it concern hosts.
 const (
 	Start Operation = iota
 	Kill
 	Terminate
 	Pause
 	Resume
-	Starve           // marks the begin of pauses that are too short to be detected one by one
-	Cut              // datagrams from Target to Destinations
-	ChangeConditions // of the network
+	Starve           // marks the beginning of short pauses, which Pause and Resume carry out
+	Cut              // datagrams from gateway Target to the gateways Destinations are lost
+	ChangeConditions // changes the network conditions
 	StepClock
 	StartDuplicate
 	HostDrain
 	HostKill
 	HostStart
-	HostCut // connections from gateway Target to the hosts Destinations
+	HostCut // connections from gateway Target to the hosts Destinations are cut
 	HostSlow
 )
 
@@ -56,5 +56,5 @@
 
 func (o Operation) String() string { return operationNames[o] }
 
-// concernsHosts reports whether the operation is on a host, or on links to hosts.
+// concernsHosts reports whether the operation affects a host or links to hosts.
 func (o Operation) concernsHosts() bool { return o >= HostDrain }
--- a/internal/faultsim/target.go
+++ b/internal/faultsim/target.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// Targets that are words. targetFar is for hosts only.
+// The targets that are words.
 const (
-	targetAll  = "all"
-	targetDown = "down" // gateways whose process does not run
-	targetFar  = "far"  // hosts in other zones than the gateway's own
+	targetAll  = "all"  // all gateways that are up, or all hosts
+	targetDown = "down" // gateways that are down; not for hosts
+	targetFar  = "far"  // hosts outside the gateway's zone; only for Fault.Destination
 )
 
-// targetSelector is a parsed Fault.Target or Fault.Destination. One of its fields is set.
+// targetSelector is a parsed Fault.Target or Fault.Destination. Exactly one of its fields is set.
 type targetSelector struct {
-	index int     // of one gateway or host; -1: not set
-	count int     // as many at random; -1: not set
-	share float64 // that share of them at random; 0: not set
-	zone  int     // all of the zone; -1: not set
-	word  string  // targetAll, targetDown or targetFar
+	index int     // index of one gateway or host; -1: not set
+	count int     // number of gateways or hosts that are drawn at random; -1: not set
+	share float64 // share of the gateways or hosts that are drawn at random; 0: not set
+	zone  int     // number of a zone, whose gateways or hosts are all selected; -1: not set
+	word  string  // targetAll, targetDown or targetFar; empty: not set
 }
 
-// parseTarget reads a name (g3, h3), a number (2), a share (30%), a zone (zone 1), or the word all or down.
+// parseTarget parses a name (g3, h3), a number (2), a share (30%), a zone (zone 1), or the word all or down.
 func parseTarget(text string) (targetSelector, error) {
 	parsed := targetSelector{index: -1, count: -1, zone: -1}
 	var err error
@@ -41,26 +41,27 @@
 		parsed.count, err = strconv.Atoi(text)
 	}
 	if err != nil || parsed.index < -1 || parsed.count < -1 || parsed.zone < -1 {
-		err = fmt.Errorf("%q names nobody: "+
-			"a name (g3), a number, a share (30%%), a zone (zone 1), all or down are known", text)
+		err = fmt.Errorf("expected "+
+			"a name (g3, h3), a number, a share (30%%), a zone (zone 1), all or down, got %q", text)
 	}
 	return parsed, err
 }
 
-// parseShare reads a percentage above 0.
+// parseShare parses a percentage above 0 and at most 100.
 func parseShare(text string) (float64, error) {
 	percentage, err := strconv.ParseFloat(strings.TrimSuffix(text, "%"), 64)
 	share := percentage / 100
 	if err == nil && !(share > 0 && share <= 1) {
-		err = fmt.Errorf("%q is no share", text)
+		err = fmt.Errorf("expected more than 0%% and at most 100%%, got %q", text)
 	}
 	return share, err
 }
 
-// isRandom reports whether the target is drawn among all that are eligible.
+// isRandom reports whether the target is drawn at random among the eligible gateways or hosts.
 func (t *targetSelector) isRandom() bool { return t.count >= 0 || t.share > 0 }
 
-// number is how many the target selects: a share is one of a total, a target that is not random selects all eligible.
+// number returns how many gateways or hosts the target selects. A share is a share of total. A target that is not random
+// selects all that are eligible.
 func (t *targetSelector) number(total, eligible int) int {
 	switch {
 	case t.count >= 0:
