--- a/internal/faultsim/emulate.go
+++ b/internal/faultsim/emulate.go
@@ -11,38 +11,38 @@
 	"merlinjunction/membership"
 )
 
-// Node is the membership protocol of one emulated gateway: membership.View, or a baseline. It is a pure state machine.
+// Node is the membership protocol of one emulated gateway: membership.View or a baseline. It does no I/O.
 type Node interface {
-	// Step processes events at a time in ms and returns what the gateway does.
+	// Step processes events at a time in ms since 1970 and returns the actions of the gateway.
 	Step(ms float64, events []membership.Event) []membership.Action
-	// Wake is the time, ms, of the next Step without an event.
+	// Wake returns the time, in ms since 1970, of the next Step if no event comes earlier.
 	Wake() float64
 	// Summary counts members by state.
 	Summary() membership.Summary
 }
 
-// NodeFactory makes the Node of one gateway process. An error means that the configuration is invalid.
+// NodeFactory creates the Node of one gateway process. It returns an error if the configuration is invalid.
 type NodeFactory func(config membership.Config, seed uint64) (Node, error)
 
-// NewViewNode is the NodeFactory of the program's own membership.View.
+// NewViewNode is the NodeFactory of membership.View, the protocol that the gateway's program uses.
 func NewViewNode(config membership.Config, seed uint64) (Node, error) {
 	return membership.New(config, seed)
 }
 
 const (
 	epochMs          = 1_764_000_000_000.0 // second 0 of virtual time, in ms since 1970
-	sampleIntervalMs = 500.0
-	headerBytes      = 28 // of IP and UDP
-	minSteadyMs      = 1000.0
+	sampleIntervalMs = 500.0               // time between two entries of a result's series
+	headerBytes      = 28                  // size of the IP and UDP headers
+	minSteadyMs      = 1000.0              // shortest steady state for which a rate is computed
 )
 
-// Ports of emulated gateways. A duplicate process has the address of its gateway, and a port of its own.
+// Ports of emulated gateways. A duplicate process has the IP address of its gateway and another port.
 const (
 	emulatedPort          = 7946
 	emulatedDuplicatePort = 7947
 )
 
-// Emulation is one run of the emulated engine. Times are ms since second 0, which is when the fleet has settled.
+// Emulation is one run of the emulated engine. Times are in ms since second 0, the end of the fleet's settle period.
 type Emulation struct {
 	experiment   *Experiment
 	options      Options
@@ -53,17 +53,18 @@
 	byAddress    map[netip.AddrPort]*emulatedGateway
 	indexByName  map[string]int
 	queue        eventQueue
-	now          float64
+	now          float64 // the virtual time
 	seeds        []netip.AddrPort
-	buffer       []byte             // for encoding a datagram
-	firstFaultMs float64            // infinite: there is none
-	requests     *requestSimulation // nil: the experiment has no emulated hosts
+	buffer       []byte             // buffer for the encoding of a datagram
+	firstFaultMs float64            // infinite if there are no faults
+	requests     *requestSimulation // nil if the experiment has no emulated hosts
 	result       *Result
 	err          error
 }
 
-// Emulate runs an experiment on virtual time. One seed gives one result, to the last byte. An error means that the
-// experiment can't be planned, or that a gateway can't be configured or sends a datagram that is too large.
+// Emulate runs an experiment on virtual time. The same seed gives the same result, byte for byte. It returns an error if
+// the experiment can't be planned, a gateway's configuration is invalid, a gateway sends a datagram that is too large, or
+// a check of Options.CheckAccounting fails.
 func Emulate(experiment *Experiment, options Options) (*Result, error) {
 	steps, err := options.prepare(experiment, experiment.Fleet.Gateways, hostSet{count: experiment.Hosts.EmulatedCount})
 	if err != nil {
@@ -110,7 +111,7 @@
 	return netip.AddrPortFrom(ip, emulatedPort)
 }
 
-// run schedules the starts of the gateways and the steps, plays all events and collects the result.
+// run schedules the starts of the gateways and the steps, processes all events and collects the result.
 func (em *Emulation) run(gateways int, steps []Step) {
 	em.schedulePlan(gateways, steps)
 	steadyBytesPerSecond := em.playEvents()
@@ -147,8 +148,8 @@
 	}
 }
 
-// playEvents plays the queue until the end of the experiment. It returns the rate of the busiest gateway, bytes per
-// second, up to the first fault.
+// playEvents processes the queue until the end of the experiment. It returns how many bytes per second the busiest gateway
+// sent up to the first fault.
 func (em *Emulation) playEvents() (steadyBytesPerSecond float64) {
 	end := em.endMs()
 	steadyUntil := min(em.firstFaultMs, end)
@@ -180,8 +181,8 @@
 	return steadyBytesPerSecond
 }
 
-// busiestRate is how many bytes the busiest gateway sent per second from second 0 to a time; NaN where the time is too
-// short for a rate.
+// busiestRate returns how many bytes per second the busiest gateway sent from second 0 to a time. It returns NaN if that
+// is shorter than minSteadyMs.
 func (em *Emulation) busiestRate(untilMs float64) float64 {
 	if untilMs < minSteadyMs {
 		return math.NaN()
@@ -201,7 +202,7 @@
 	case event.step != nil:
 		em.applyStep(event.step)
 	case gateway.node == nil || gateway.generation != event.generation:
-		// The process that the event was for has ended.
+		// The event was for a process that has ended.
 	case event.message != nil:
 		em.receive(gateway, membership.Received{From: event.from, Message: *event.message})
 	default:
@@ -209,7 +210,7 @@
 	}
 }
 
-// trace adds values and the time to the hash over all that the gateways did, an FNV-1a over words.
+// trace adds values and the current time to the trace hash, which is FNV-1a over 64-bit words instead of bytes.
 func (em *Emulation) trace(values ...uint64) {
 	const fnvPrime = 0x100000001b3
 	for _, value := range append(values, math.Float64bits(em.now)) {
@@ -217,12 +218,13 @@
 	}
 }
 
-// send encodes a datagram, counts it and schedules its arrivals.
+// send encodes and counts a datagram and schedules the arrival of each copy that the network delivers.
 func (em *Emulation) send(sender *emulatedGateway, action *membership.Send) {
 	encoded, err := transport.Encode(em.buffer[:0], &action.Message)
 	size := len(encoded) + transport.SealBytes
 	if err == nil && size > membership.MaxDatagramBytes {
-		err = fmt.Errorf("a %s of %d bytes is too large", action.Message.Kind, size)
+		err = fmt.Errorf("%s message has %d bytes, at most %d are allowed",
+			action.Message.Kind, size, membership.MaxDatagramBytes)
 	}
 	if err != nil {
 		em.err = err
@@ -248,7 +250,7 @@
 	}
 }
 
-// sample adds an entry to the result's series and records which gateways report a partial view.
+// sample adds an entry to the result's series and records the gateways that report a partial view.
 func (em *Emulation) sample() {
 	sum, busiest := 0.0, 0.0
 	for _, gateway := range em.gateways {
--- a/internal/faultsim/emulate_steps.go
+++ b/internal/faultsim/emulate_steps.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// applyHostStep carries out a step on emulated hosts, if the experiment has any.
+// applyHostStep carries out a step on emulated hosts. It does nothing if the experiment has none.
 func (em *Emulation) applyHostStep(step *Step) {
 	if em.requests != nil {
 		em.options.logStep(em.now, step)
@@ -26,13 +26,14 @@
 	}
 }
 
-// recordStep notifies the network and the oracle of a step.
+// recordStep logs a step and passes it to the network and the oracle.
 func (em *Emulation) recordStep(step *Step) {
 	em.options.logStep(em.now, step)
 	em.network.Apply(step)
 	em.oracle.Apply(step, em.now)
 }
 
+// applyGatewayStep carries out a step on a gateway. Start adds the gateway if it is new.
 func (em *Emulation) applyGatewayStep(step *Step) {
 	if step.Target == len(em.gateways) {
 		em.addGateway(step.Target, false)
@@ -60,7 +61,7 @@
 	}
 }
 
-// setPaused pauses a gateway's process, or continues it with the datagrams that arrived meanwhile.
+// setPaused pauses a gateway's process, or resumes it, which passes it the datagrams that arrived during the pause.
 func (em *Emulation) setPaused(gateway *emulatedGateway, paused bool) {
 	gateway.paused = paused
 	if !paused && gateway.node != nil {
--- a/internal/faultsim/emulated_gateway.go
+++ b/internal/faultsim/emulated_gateway.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// socketQueueLength is how many datagrams wait for a paused process; more are lost.
+	// socketQueueLength is the number of datagrams that a paused process's socket holds. Later ones are lost.
 	socketQueueLength = 2000
-	// wakeToleranceMs absorbs rounding between the emulation's time and a gateway's clock.
+	// wakeToleranceMs allows for rounding in the conversion between the emulation's time and a gateway's clock.
 	wakeToleranceMs = 1e-6
 )
 
-// emulatedGateway is one gateway in the emulator. It outlives its processes.
+// emulatedGateway is one gateway in the emulator. It remains when its process ends, and can have several in turn.
 type emulatedGateway struct {
 	index            int
 	name             string
 	address          netip.AddrPort
-	node             Node // nil while the process does not run
-	generation       int  // of the process
+	node             Node // nil while no process runs
+	generation       int  // number of processes started so far
 	paused           bool
-	inbox            []membership.Event // datagrams that arrived while it was paused
-	clockOffsetMs    float64            // its clock less the emulation's time
-	wakeAt           float64            // of its earliest wake-up in the queue; infinite: none
-	duplicate        bool               // a second process under the name of another gateway
+	inbox            []membership.Event // datagrams that arrived during the present pause
+	clockOffsetMs    float64            // offset of its clock from the emulation's time
+	wakeAt           float64            // time of its earliest wake-up in the queue; infinite: none
+	duplicate        bool               // it is a second process under the name of another gateway
 	messageVersion   uint8
-	sentBytes        int
+	sentBytes        int     // with IP and UDP headers
 	sampledBytes     int     // sentBytes at the last sample
 	sentBytesAtStart float64 // sentBytes at second 0
 }
 
-// addGateway adds a gateway whose process does not run yet.
+// addGateway adds a gateway, or a duplicate of one, without starting its process.
 func (em *Emulation) addGateway(index int, duplicate bool) *emulatedGateway {
 	gateway := &emulatedGateway{
 		index:          index,
@@ -76,7 +76,7 @@
 	}
 }
 
-// bootID returns a number that identifies one process of a gateway; it is never 0.
+// bootID returns a number that identifies the present process of a gateway. It is never 0.
 func (em *Emulation) bootID(gateway *emulatedGateway) uint64 {
 	if gateway.duplicate {
 		return em.random.Uint64() | 1
@@ -85,12 +85,12 @@
 	return rand.New(rand.NewPCG(em.options.Seed, process)).Uint64() | 1
 }
 
-// localTime is a gateway's clock, in ms since 1970.
+// localTime returns the time on a gateway's clock, in ms since 1970.
 func (em *Emulation) localTime(gateway *emulatedGateway) float64 {
 	return epochMs + em.now + gateway.clockOffsetMs
 }
 
-// receive passes a datagram to a gateway, or queues it while the process is paused.
+// receive passes a datagram to a gateway's process. While that is paused, the datagram is queued.
 func (em *Emulation) receive(gateway *emulatedGateway, datagram membership.Received) {
 	if !gateway.paused {
 		em.stepNode(gateway, append(gateway.inbox[:0], datagram))
@@ -101,7 +101,8 @@
 	}
 }
 
-// wake handles a wake-up that was scheduled for a time. The node may have asked for a later one meanwhile.
+// wake handles a wake-up that was scheduled for a time. It steps the node only if it is due, since the node may have asked
+// for a later wake-up in the meantime.
 func (em *Emulation) wake(gateway *emulatedGateway, at float64) {
 	if at == gateway.wakeAt {
 		gateway.wakeAt = math.Inf(1)
@@ -129,6 +130,7 @@
 	em.scheduleWake(gateway)
 }
 
+// memberChanged records that a node reports a changed belief of a member.
 func (em *Emulation) memberChanged(gateway *emulatedGateway, change *membership.MemberChanged) {
 	em.trace(uint64(gateway.index), uint64(change.New), uint64(membership.IDOf(change.Member.Name)))
 	if gateway.duplicate {
@@ -149,14 +151,15 @@
 		zap.Bool("false_death", em.oracle.FalseDeaths > falseDeaths))
 }
 
+// statusChanged records that a node reports a changed status of its own gateway.
 func (em *Emulation) statusChanged(gateway *emulatedGateway, change *membership.StatusChanged) {
-	const statusTraceBase = 100 // above all member states
+	const statusTraceBase = 100 // larger than all member states, so that a status and a state differ in the trace
 	em.trace(uint64(gateway.index), uint64(change.Status)+statusTraceBase, 0)
 	em.oracle.ObserveStatus(gateway.index, change.Status)
 	em.options.logStatus(em.now, gateway.name, change.Status.String(), change.Cause)
 }
 
-// scheduleWake schedules the node's next wake-up unless an earlier one is in the queue.
+// scheduleWake schedules the node's next wake-up unless the queue has one that is as early.
 func (em *Emulation) scheduleWake(gateway *emulatedGateway) {
 	if gateway.paused || gateway.node == nil {
 		return
--- a/internal/faultsim/expect.go
+++ b/internal/faultsim/expect.go
@@ -8,14 +8,14 @@
 
 // Expect holds the bounds that an experiment sets on its figures. A bound that is not set is not checked. A single value
 // is an upper bound, except for ServedShare and WorstSecond, which are lower bounds. A pair is [least, most], for a number
-// of gateways. The steady state is the time from second 0 to the first fault. A viewer is a gateway that has beliefs of the
-// other gateways. A return is the end of a pause or of starvation.
+// of gateways. The steady state is the time from second 0 to the first fault. A viewer is a gateway that has beliefs about
+// the other gateways. A return is the end of a pause or of starvation.
 type Expect struct {
-	SuspectMs             *float64 `toml:"suspect_ms"`    // time from a crash to the first suspicion, median of the crashes
-	FirstDeathMs          *float64 `toml:"first_ms"`      // time from a crash to the first declared death, median of the crashes
+	SuspectMs             *float64 `toml:"suspect_ms"`    // time from a crash to the first suspicion, median
+	FirstDeathMs          *float64 `toml:"first_ms"`      // time from a crash to the first declared death, median
 	AllDetectedMs         *float64 `toml:"everyone_ms"`   // longest time from a crash until no viewer believes the gateway up
 	AgreementMs           *float64 `toml:"agree_ms"`      // time from the last step until all beliefs are right
-	RecoveryMs            *float64 `toml:"back_ms"`       // longest time from a return until beliefs by and of the gateway are right
+	RecoveryMs            *float64 `toml:"back_ms"`       // longest time from a return to right beliefs by and of the gateway
 	FalseDeaths           *float64 `toml:"false_deaths"`  // declared deaths of members that were up, running and reachable
 	FalseSuspicions       *float64 `toml:"false_doubts"`  // suspicions of such members, counted for each viewer
 	SuspicionsAfterReturn *float64 `toml:"return_blames"` // suspicions by members that had just been paused
@@ -34,7 +34,7 @@
 	Stale                *float64 `toml:"stale"`   // reads that miss a write of their session
 	P99Ms                *float64 `toml:"p99_ms"`  // 99th percentile of the latency, measured from the intended send time
 
-	HostConnsSpread     *float64 `toml:"conns_host_spread"` // most connections of a replica, divided by the mean; steady state
+	HostConnsSpread     *float64 `toml:"conns_host_spread"` // most connections of a replica, by the mean; steady state
 	GatewayConns        *float64 `toml:"conns_gateway"`     // mean number of connections of a gateway to hosts; steady state
 	ProbesPerSecond     *float64 `toml:"probes_s"`          // health checks of the whole fleet; steady state
 	HandshakesPerSecond *float64 `toml:"handshakes_s"`      // handshakes of the whole fleet with hosts; steady state
--- a/internal/faultsim/measurements.go
+++ b/internal/faultsim/measurements.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Measurements are what a run measured, by figure name. NaN means that there was nothing to measure.
+// Measurements are the figures of a run, by name. NaN means that the run had nothing to measure.
 type Measurements map[string]float64
 
-// The names of figures, as experiment files and reports have them. Those that Expect has are explained there.
+// The names of the figures in experiment files and reports. Expect describes those that an experiment can set bounds on.
 const (
 	FigureSuspectMs             = "suspect_ms"
 	FigureFirstDeathMs          = "first_ms"
@@ -58,7 +58,7 @@
 	FigureMisdirectedPeak     = "misdirected_peak"
 )
 
-// median is NaN for no values.
+// median returns the median of values, or NaN if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
@@ -67,7 +67,7 @@
 	return (sorted[(len(sorted)-1)/2] + sorted[len(sorted)/2]) / 2
 }
 
-// largest is NaN for no values.
+// largest returns the maximum of values, or NaN if there are none.
 func largest(values []float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
--- a/internal/faultsim/network.go
+++ b/internal/faultsim/network.go
@@ -88,8 +88,8 @@
 	d.copies++
 }
 
-// DrawDelivery draws what happens to a datagram from one gateway to another. The losses of all active conditions add up
-// as independent events; the largest share of duplicates and the latest delay range apply.
+// DrawDelivery draws what happens to a datagram from one gateway to another. The losses of all active conditions
+// are independent. Of the duplicate shares the largest applies, and of the delay ranges the latest.
 func (n *Network) DrawDelivery(random *rand.Rand, from, to int) (delivery Delivery) {
 	if n.IsCut(from, to) {
 		return delivery
--- a/internal/faultsim/options.go
+++ b/internal/faultsim/options.go
@@ -11,7 +11,7 @@
 	Seconds      float64 // time of the sample, since second 0
 	Up           int     // number of gateways that are up
 	Believed     float64 // mean number of gateways that a gateway believes to be up
-	WrongBeliefs int     // number of pairs of gateways of which the one has a wrong belief of the other
+	WrongBeliefs int     // number of beliefs of one gateway about another that contradict the facts
 }
 
 // Options are the options of a run.
--- a/internal/faultsim/oracle.go
+++ b/internal/faultsim/oracle.go
@@ -7,126 +7,130 @@
 	"merlinjunction/membership"
 )
 
-// Oracle compares what each gateway believes of the others with the facts. Both engines notify it of the steps that
-// they carry out and of the changes that gateways report; it knows nothing of the protocol. Its times are ms since
-// second 0.
+// Oracle compares what each gateway believes about the others with the facts. Both engines notify it of the steps that
+// they carry out and of the changes that gateways report. It does not depend on the membership protocol. Its times are in
+// ms since second 0.
 type Oracle struct {
 	network      *Network
 	gateways     []observedGateway
-	upCount      int
+	upCount      int                  // number of gateways that are up
 	beliefs      [][]membership.State // by viewer, then by member
-	wrongBeliefs int                  // of all observable gateways
+	wrongBeliefs int                  // number of wrong beliefs of all observable gateways
 
-	flaps          map[belief]int  // how often a viewer gave a member up
-	givenUp        map[belief]bool // the viewer believes the member to be dead or unreachable
-	pendingReturns []pendingReturn
-	crashes        []*crash
-	unsettled      map[int]*crash // by gateway: crashes that not all gateways have detected
-	statuses       map[membership.Status]map[int]bool
-	partialViews   map[int]bool
-	lastWrongAt    float64 // the last time at which any belief was wrong
-	lastStepAt     float64
+	flaps             map[belief]int  // number of times that the viewer gave up the member
+	givenUp           map[belief]bool // the viewer gave up the member: it believes it to be dead or unreachable
+	pendingReturns    []pendingReturn
+	crashes           []*crash
+	undetectedCrashes map[int]*crash // by gateway: crashes that some gateway has not detected yet
+	statuses          map[membership.Status]map[int]bool
+	partialViews      map[int]bool
+	lastWrongAt       float64 // the last time at which any belief was wrong
+	lastStepAt        float64
 
-	FalseDeaths           int       // deaths of members that were up and reachable
-	FalseSuspicions       int       // suspicions of such members, one for each viewer
+	FalseDeaths           int       // declared deaths of members that were up and reachable
+	FalseSuspicions       int       // suspicions of such members, counted for each viewer
 	SuspicionsAfterReturn int       // suspicions by members that had just been paused
-	RecoveryTimes         []float64 // ms from each return to views that are right
+	RecoveryTimes         []float64 // time from each return to right beliefs by and of the gateway
 }
 
-// observedGateway is the state of one gateway as a fact.
+// observedGateway holds the facts about one gateway.
 type observedGateway struct {
-	up           bool
-	paused       bool
-	starved      bool
-	wrongBy      int     // its wrong beliefs of others
-	wrongOf      int     // others' wrong beliefs of it
-	excusedUntil float64 // until then a wrong death is no false death
-	returnedAt   float64 // when it last continued after a pause or starvation
+	up             bool
+	paused         bool
+	starved        bool
+	wrongBeliefsBy int     // number of its wrong beliefs about others
+	wrongBeliefsOf int     // number of wrong beliefs of others about it
+	excusedUntil   float64 // until then, a suspicion or death declared of it or by it is not false
+	returnedAt     float64 // when its last pause or starvation ended
 }
 
-// belief is one gateway's belief of another.
+// belief identifies the belief of one gateway, the viewer, about another one, the member.
 type belief struct {
 	viewer, member int
 }
 
-// crash is a SIGKILL of one gateway and how it was detected: ms after it, NaN until then.
+// crash is a SIGKILL of one gateway and its detection. The detection times are in ms since the crash, and NaN until the
+// detection.
 type crash struct {
 	crashedAt   float64
-	suspectedMs float64 // by the first viewer
-	deadMs      float64 // declared by the first viewer
-	detectedMs  float64 // by all
+	suspectedMs float64 // first suspicion by any viewer
+	deadMs      float64 // first declaration of death by any viewer
+	detectedMs  float64 // detection by all viewers
 }
 
-// pendingReturn is a gateway that continued, about which some belief is still wrong.
+// pendingReturn is the return of a gateway from a pause or starvation while some belief by it or about it is still
+// wrong.
 type pendingReturn struct {
 	gateway int
 	since   float64
 }
 
 const (
-	// excuseMs is how long after its return a member may still be declared dead: what was decided before is on its way.
-	excuseMs = 1000.0
-	// returnMs is how long after its return a member's suspicions of others count as suspicions after a return.
-	returnMs = 5000.0
-	// never is a time before any run.
-	never = -1e9
-	// noAnswerReason begins the reason of a suspicion that rests on a gateway's own probe.
+	// excusePeriodMs is how long after its start, its return or a healed cut a member may still be declared dead, since
+	// messages that were sent before are still in transit.
+	excusePeriodMs = 1000.0
+	// suspicionAfterReturnMs is how long after its return a member's suspicions of others count as suspicions after a
+	// return.
+	suspicionAfterReturnMs = 5000.0
+	// beforeAnyRun is a time, in ms, before the start of any run.
+	beforeAnyRun = -1e9
+	// noAnswerReason is the prefix of the reason of a suspicion that is based on a gateway's own probe.
 	noAnswerReason = "no answer here"
 )
 
-// NewOracle returns an Oracle of gateways that are not up yet.
+// NewOracle returns an Oracle for a number of gateways, which are all down.
 func NewOracle(gateways int, network *Network) *Oracle {
 	o := &Oracle{
-		network:      network,
-		flaps:        map[belief]int{},
-		givenUp:      map[belief]bool{},
-		unsettled:    map[int]*crash{},
-		statuses:     map[membership.Status]map[int]bool{},
-		partialViews: map[int]bool{},
+		network:           network,
+		flaps:             map[belief]int{},
+		givenUp:           map[belief]bool{},
+		undetectedCrashes: map[int]*crash{},
+		statuses:          map[membership.Status]map[int]bool{},
+		partialViews:      map[int]bool{},
 	}
-	o.grow(gateways)
+	o.addGatewaysUpTo(gateways)
 	return o
 }
 
-// grow adds gateways up to a number of them.
-func (o *Oracle) grow(count int) {
+// addGatewaysUpTo adds gateways until there are count of them.
+func (o *Oracle) addGatewaysUpTo(count int) {
 	added := count - len(o.gateways)
 	for viewer := range o.beliefs {
 		o.beliefs[viewer] = append(o.beliefs[viewer], make([]membership.State, added)...)
 	}
 	for range added {
 		o.beliefs = append(o.beliefs, make([]membership.State, count))
-		o.gateways = append(o.gateways, observedGateway{excusedUntil: never, returnedAt: never})
+		o.gateways = append(o.gateways, observedGateway{excusedUntil: beforeAnyRun, returnedAt: beforeAnyRun})
 	}
 }
 
-// isObservable reports whether a gateway's beliefs, and beliefs of it, have to be right.
+// isObservable reports whether the beliefs by a gateway and about it must match the facts.
 func (g *observedGateway) isObservable() bool { return !g.paused && !g.starved }
 
-// Apply records a step that is carried out.
+// Apply records that a step is carried out.
 func (o *Oracle) Apply(step *Step, now float64) {
-	o.lastStepAt = max(0, now) // the starts before second 0 are no faults
+	o.lastStepAt = max(0, now) // the starts before second 0 are not faults
 	index := step.Target
 	if index >= len(o.gateways) && step.Operation == Start {
-		o.grow(index + 1)
+		o.addGatewaysUpTo(index + 1)
 	}
 	switch step.Operation {
 	case Start:
-		o.started(index, now)
+		o.recordStart(index, now)
 	case Kill, Terminate:
-		o.ended(index, now, step.Operation == Kill)
+		o.recordEnd(index, now, step.Operation == Kill)
 	case Pause:
-		o.change(index, now, func(gateway *observedGateway) { gateway.paused = true })
+		o.changeFacts(index, now, func(gateway *observedGateway) { gateway.paused = true })
 	case Resume:
-		o.change(index, now, func(gateway *observedGateway) { gateway.paused = false })
-		o.excuseReturn(index, now)
+		o.changeFacts(index, now, func(gateway *observedGateway) { gateway.paused = false })
+		o.recordReturn(index, now)
 		if !o.gateways[index].starved {
 			o.pendingReturns = append(o.pendingReturns, pendingReturn{index, now})
 		}
 	case Starve:
-		o.change(index, now, func(gateway *observedGateway) { gateway.starved = !step.Undo })
+		o.changeFacts(index, now, func(gateway *observedGateway) { gateway.starved = !step.Undo })
 		if step.Undo {
-			o.excuseReturn(index, now)
+			o.recordReturn(index, now)
 			o.pendingReturns = append(o.pendingReturns, pendingReturn{index, now})
 		}
 	case Cut:
@@ -137,50 +141,51 @@
 			}
 		}
 	}
-	for member := range o.unsettled {
+	for member := range o.undetectedCrashes {
 		o.recordRecoveries(member, now)
 	}
 	o.recordRecoveries(index, now)
 }
 
-// started records that a gateway's process started. It knows nobody yet.
-func (o *Oracle) started(index int, now float64) {
-	o.change(index, now, func(gateway *observedGateway) {
+// recordStart records the start of a gateway's process. The process has no beliefs yet.
+func (o *Oracle) recordStart(index int, now float64) {
+	o.changeFacts(index, now, func(gateway *observedGateway) {
 		gateway.up = true
 		o.upCount++
 		clear(o.beliefs[index])
 	})
-	delete(o.unsettled, index)
-	o.gateways[index].excusedUntil = now + excuseMs
+	delete(o.undetectedCrashes, index)
+	o.gateways[index].excusedUntil = now + excusePeriodMs
 }
 
-// ended records the end of a gateway's process. One that is terminated takes its leave; a crash has to be detected.
-func (o *Oracle) ended(index int, now float64, crashed bool) {
+// recordEnd records the end of a gateway's process. A process that is terminated announces that it leaves. A crash must be
+// detected by the other gateways.
+func (o *Oracle) recordEnd(index int, now float64, crashed bool) {
 	o.upCount--
-	o.change(index, now, func(gateway *observedGateway) {
+	o.changeFacts(index, now, func(gateway *observedGateway) {
 		gateway.up, gateway.paused, gateway.starved = false, false, false
 	})
 	if crashed {
 		undetected := &crash{crashedAt: now, suspectedMs: math.NaN(), deadMs: math.NaN(), detectedMs: math.NaN()}
 		o.crashes = append(o.crashes, undetected)
-		o.unsettled[index] = undetected
+		o.undetectedCrashes[index] = undetected
 	}
 }
 
-// excuseReturn records that a gateway continues after a pause.
-func (o *Oracle) excuseReturn(index int, now float64) {
+// recordReturn records the end of a gateway's pause or starvation, and excuses the gateway for excusePeriodMs.
+func (o *Oracle) recordReturn(index int, now float64) {
 	o.gateways[index].returnedAt = now
-	o.gateways[index].excusedUntil = now + excuseMs
+	o.gateways[index].excusedUntil = now + excusePeriodMs
 }
 
-// excuseCutOff excuses a gateway that is still cut off when a cut is healed.
+// excuseCutOff excuses a gateway for excusePeriodMs after a cut was undone, if it is still cut off.
 func (o *Oracle) excuseCutOff(index int, now float64) {
 	if o.isCutOff(index) {
-		o.gateways[index].excusedUntil = now + excuseMs
+		o.gateways[index].excusedUntil = now + excusePeriodMs
 	}
 }
 
-// isCutOff reports whether a gateway can't receive from, or can't send to, half of the others or more.
+// isCutOff reports whether a gateway can't receive from, or can't send to, at least half of the others.
 func (o *Oracle) isCutOff(index int) bool {
 	if len(o.network.cuts) == 0 {
 		return false
@@ -190,7 +195,7 @@
 	return others > 0 && 2*unreachable >= others
 }
 
-// ObserveBelief records that a gateway's belief of another changed, for a reason that the gateway gives.
+// ObserveBelief records that a gateway reports a changed belief about another, with a reason.
 func (o *Oracle) ObserveBelief(viewer, member int, state membership.State, reason string, now float64) {
 	if viewer == member || viewer >= len(o.gateways) || member >= len(o.gateways) {
 		return
@@ -220,7 +225,7 @@
 	o.recordRecoveries(member, now)
 }
 
-// isExcused reports whether a fault excuses a viewer that suspects a member, or declares it dead.
+// isExcused reports whether a fault excuses that a viewer suspects a member or declares it dead.
 func (o *Oracle) isExcused(viewer, member int, now float64) bool {
 	gateway := &o.gateways[member]
 	return !gateway.up ||
@@ -231,15 +236,16 @@
 		o.isCutOff(viewer)
 }
 
-// isSuspicionAfterReturn reports whether a viewer that was paused suspects a running member for its own missed answers.
+// isSuspicionAfterReturn reports whether a viewer that was paused suspects a running member because the viewer itself
+// missed the member's answers during its pause.
 func (o *Oracle) isSuspicionAfterReturn(viewer, member int, reason string, now float64) bool {
 	suspect, suspecting := &o.gateways[member], &o.gateways[viewer]
 	return suspect.up && !suspect.paused && !o.isCutOff(member) &&
 		strings.HasPrefix(reason, noAnswerReason) &&
-		(now-suspecting.returnedAt < returnMs || suspecting.paused)
+		(now-suspecting.returnedAt < suspicionAfterReturnMs || suspecting.paused)
 }
 
-// countFlap counts that a viewer gives up a member that it believed to be alive.
+// countFlap counts that a viewer gives up a member, unless it has given it up already.
 func (o *Oracle) countFlap(changed belief) {
 	if !o.givenUp[changed] {
 		o.givenUp[changed] = true
@@ -247,9 +253,9 @@
 	}
 }
 
-// recordDetection records the first suspicion and the first death of a crashed member.
+// recordDetection records the first suspicion and the first declaration of death of a crashed member.
 func (o *Oracle) recordDetection(viewer, member int, state membership.State, now float64) {
-	undetected := o.unsettled[member]
+	undetected := o.undetectedCrashes[member]
 	if undetected == nil || !o.gateways[viewer].up {
 		return
 	}
@@ -262,19 +268,20 @@
 	}
 }
 
-// recordRecoveries records which crashes and returns are settled, after a change that concerns one gateway.
+// recordRecoveries records, after a change that concerns one gateway, whether its crash has been detected by all and which
+// returns are complete.
 func (o *Oracle) recordRecoveries(index int, now float64) {
-	if undetected := o.unsettled[index]; undetected != nil && o.gateways[index].wrongOf == 0 {
+	if undetected := o.undetectedCrashes[index]; undetected != nil && o.gateways[index].wrongBeliefsOf == 0 {
 		undetected.detectedMs = now - undetected.crashedAt
-		delete(o.unsettled, index)
+		delete(o.undetectedCrashes, index)
 	}
 	pending := o.pendingReturns[:0]
 	for _, returned := range o.pendingReturns {
 		gateway := &o.gateways[returned.gateway]
 		switch {
 		case !gateway.up || !gateway.isObservable():
-			// The next fault ends it.
-		case gateway.wrongOf == 0 && gateway.wrongBy == 0:
+			// Another fault has affected the gateway: the return is not measured.
+		case gateway.wrongBeliefsOf == 0 && gateway.wrongBeliefsBy == 0:
 			o.RecoveryTimes = append(o.RecoveryTimes, now-returned.since)
 		default:
 			pending = append(pending, returned)
@@ -283,7 +290,7 @@
 	o.pendingReturns = pending
 }
 
-// ObserveStatus records that a gateway reports a status of itself.
+// ObserveStatus records that a gateway reports a status about itself.
 func (o *Oracle) ObserveStatus(index int, status membership.Status) {
 	if o.statuses[status] == nil {
 		o.statuses[status] = map[int]bool{}
@@ -294,13 +301,13 @@
 // ObservePartialView records that a gateway reports a partial view.
 func (o *Oracle) ObservePartialView(index int) { o.partialViews[index] = true }
 
-// Finish ends the run: what has not become right counts as infinitely late.
+// Finish ends the run. Returns and crashes that are still pending get an infinite time.
 func (o *Oracle) Finish(now float64) {
 	o.recordWrong(now)
 	for range o.pendingReturns {
 		o.RecoveryTimes = append(o.RecoveryTimes, math.Inf(1))
 	}
-	for _, undetected := range o.unsettled {
+	for _, undetected := range o.undetectedCrashes {
 		undetected.detectedMs = math.Inf(1)
 	}
 }
--- a/internal/faultsim/oracle_measurements.go
+++ b/internal/faultsim/oracle_measurements.go
@@ -6,7 +6,7 @@
 	"merlinjunction/membership"
 )
 
-// AgreementMs is how long after the last step a belief was still wrong; infinite if one is at the end.
+// AgreementMs returns the time from the last step until all beliefs were right. It is infinite if one is still wrong.
 func (o *Oracle) AgreementMs() float64 {
 	if o.wrongBeliefs > 0 {
 		return math.Inf(1)
@@ -14,7 +14,7 @@
 	return max(0, o.lastWrongAt-o.lastStepAt)
 }
 
-// MaxFlaps is the largest number of times that one gateway gave up another.
+// MaxFlaps returns the largest number of times that one gateway gave up another.
 func (o *Oracle) MaxFlaps() int {
 	most := 0
 	for _, count := range o.flaps {
@@ -23,7 +23,7 @@
 	return most
 }
 
-// Measurements are the figures of membership.
+// Measurements returns the figures about membership.
 func (o *Oracle) Measurements() Measurements {
 	detection := o.detectionTimes()
 	withStatus := func(status membership.Status) float64 { return float64(len(o.statuses[status])) }
@@ -46,13 +46,13 @@
 	}
 }
 
-// detectionTimes are ms from crashes to their detection.
+// detectionTimes are the times from crashes to their detection, in ms.
 type detectionTimes struct {
 	suspected, dead, detected []float64
 }
 
-// detectionTimes collects the times of all crashes. A gateway that started again before anybody could detect its crash
-// does not count; one that nobody suspected counts as suspected infinitely late.
+// detectionTimes collects the detection times of all crashes. A crash is left out if the gateway started again before any
+// gateway suspected it. If a crash was detected by all without a suspicion, its suspicion time is infinite.
 func (o *Oracle) detectionTimes() (times detectionTimes) {
 	for _, crash := range o.crashes {
 		if math.IsNaN(crash.detectedMs) && math.IsNaN(crash.suspectedMs) {
--- a/internal/faultsim/plan.go
+++ b/internal/faultsim/plan.go
@@ -12,13 +12,13 @@
 type planner struct {
 	experiment *Experiment
 	random     *rand.Rand
-	up         []bool // by gateway: the process runs
+	up         []bool // by gateway: whether it is up
 	hosts      hostSet
 	steps      []Step
 }
 
-// Plan returns the steps of an experiment for a number of emulated gateways. It returns an error if a fault has too few
-// targets, or if a step is later than the end of the experiment.
+// Plan returns the steps of an experiment for a number of emulated gateways. It returns an error if a fault can't select
+// its targets, or if a step is later than the end of the experiment.
 func (e *Experiment) Plan(gateways int, seed uint64) ([]Step, error) {
 	return e.plan(gateways, hostSet{count: e.Hosts.EmulatedCount}, seed)
 }
--- a/internal/faultsim/plots.go
+++ b/internal/faultsim/plots.go
@@ -72,8 +72,8 @@
 	},
 }
 
-// plotsOf draws all charts, and the load of the hosts of each report that has any.
-func plotsOf(reports []*Report) ([]template.HTML, error) {
+// drawPlots draws all charts, and the load of the hosts of each report that has any.
+func drawPlots(reports []*Report) ([]template.HTML, error) {
 	var plots []template.HTML
 	for i := range charts {
 		drawn, err := charts[i].draw(reports)
@@ -81,7 +81,7 @@
 			return nil, err
 		}
 		if drawn != nil {
-			plots = append(plots, svg(drawn))
+			plots = append(plots, renderSVG(drawn))
 		}
 	}
 	for _, report := range reports {
@@ -92,7 +92,7 @@
 		if err != nil {
 			return nil, err
 		}
-		plots = append(plots, svg(drawn))
+		plots = append(plots, renderSVG(drawn))
 	}
 	return plots, nil
 }
@@ -187,8 +187,8 @@
 	return percentiles
 }
 
-// svg returns a plot as an element of a page.
-func svg(drawing *plot.Plot) template.HTML {
+// renderSVG returns a plot as an element of a page.
+func renderSVG(drawing *plot.Plot) template.HTML {
 	canvas := vgsvg.New(vg.Points(plotWidth), vg.Points(plotHeight))
 	drawing.Draw(draw.New(canvas))
 	var buffer strings.Builder
--- a/internal/faultsim/report_page.go
+++ b/internal/faultsim/report_page.go
@@ -33,7 +33,7 @@
 
 // writePage writes a page with verdicts, table and plots of reports.
 func writePage(path, title string, reports []*Report) error {
-	plots, err := plotsOf(reports)
+	plots, err := drawPlots(reports)
 	if err != nil {
 		return err
 	}
--- a/internal/faultsim/report_table.go
+++ b/internal/faultsim/report_table.go
@@ -14,8 +14,8 @@
 	Values []string // by report: the median over the seeds, and the range unless all are equal
 }
 
-// noFigure is the cell of a report that has not measured the figure.
-const noFigure = "-"
+// notMeasuredCell is the cell of a report that has not measured the figure.
+const notMeasuredCell = "-"
 
 // Table returns a row for each figure of the reports, by name.
 func Table(reports ...*Report) []Row {
@@ -52,7 +52,7 @@
 		}
 	}
 	if len(values) == 0 {
-		return noFigure
+		return notMeasuredCell
 	}
 	text := formatFigure(median(values))
 	if least, most := slices.Min(values), slices.Max(values); least != most {
--- a/internal/faultsim/request_gateways.go
+++ b/internal/faultsim/request_gateways.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	rosterDelayMs = 200.0 // from a change of a gateway's view to the roster that follows from it
-	// gracefulStopMs is how long a terminated gateway's process runs beyond the longest deadline of a request.
+	rosterDelayMs = 200.0 // from a change of a gateway's view to the update of its roster
+	// gracefulStopMs is how long a terminated gateway's process runs after the longest deadline of a request.
 	gracefulStopMs = 500.0
-	// idleGatewayWeight is the traffic of an idle gateway, as a share of the mean.
+	// idleGatewayWeight is the traffic of an idle gateway as a share of the mean.
 	idleGatewayWeight = 0.02
-	// rosterRefreshSeconds is how often each gateway's roster is computed anew for changed loads.
+	// rosterRefreshSeconds is the interval at which each gateway's roster is updated with the loads of the other gateways.
 	rosterRefreshSeconds = 5
 )
 
-// rosterUpdate is the state of one gateway's roster and of the load that it announces.
+// rosterUpdate holds a gateway's roster, its scheduled update and the load that the gateway announces.
 type rosterUpdate struct {
-	dueAt         float64 // when the roster is computed anew; 0: no update is scheduled
+	dueAt         float64 // when the roster is updated; 0: no update is scheduled
 	roster        *fleet.Roster
 	announcer     *fleet.LoadAnnouncer
 	announcedLoad float64
 }
 
-// settings are the routing settings of a gateway, by how the experiment selects hosts.
+// settings returns the routing settings of a gateway. They depend on the mode of host selection.
 func (s *requestSimulation) settings(gateway int) routing.Settings {
 	selection, gateways := s.emulation.options.Selection, s.emulation.result.Gateways
 	settings := model.Settings(&s.world.SlowStart, s.hostConfig, gateways)
@@ -42,7 +42,7 @@
 	return settings
 }
 
-// trafficWeight is a gateway's traffic relative to the mean.
+// trafficWeight returns the traffic of a gateway as a multiple of the mean.
 func (s *requestSimulation) trafficWeight(gateway int) float64 {
 	load := &s.emulation.experiment.Load
 	if load.HeavyGatewayFactor > 0 && gateway == 0 {
@@ -54,7 +54,7 @@
 	return 1
 }
 
-// startGateway starts the core of a gateway whose process has started.
+// startGateway starts the routing core of a gateway whose process has started.
 func (s *requestSimulation) startGateway(index int) error {
 	fleetConfig := &s.emulation.experiment.Fleet
 	for len(s.gateways) <= index {
@@ -70,14 +70,15 @@
 	}
 	gateway := s.emulation.gateways[index]
 	if s.emulation.options.Selection.Mode == SelectRandom {
-		itself := fleet.Gateway{Name: gateway.name, Zone: fleetConfig.zone(index)}
-		s.gateways[index].SetRoster(fleet.NewNamedRoster(itself, nil))
+		self := fleet.Gateway{Name: gateway.name, Zone: fleetConfig.zone(index)}
+		s.gateways[index].SetRoster(fleet.NewNamedRoster(self, nil))
 	}
 	s.viewChanged(gateway)
 	return nil
 }
 
-// endGateway ends a gateway's core. On a graceful stop it answers its pending requests while new ones go elsewhere.
+// endGateway ends a gateway's core. On a graceful stop the core first answers its pending requests, and new requests are
+// sent to other gateways. A negative traffic weight marks a gateway that gets no new requests.
 func (s *requestSimulation) endGateway(index int, graceful bool) {
 	gateway := s.gateways[index]
 	if !graceful {
@@ -93,7 +94,7 @@
 	})
 }
 
-// viewChanged schedules an update of a gateway's roster after its view of the members has changed.
+// viewChanged schedules an update of a gateway's roster after a change of its view, unless one is scheduled.
 func (s *requestSimulation) viewChanged(gateway *emulatedGateway) {
 	index := gateway.index
 	if s.emulation.options.Selection.Mode != SelectByMembers || index >= len(s.gateways) {
@@ -110,7 +111,7 @@
 	})
 }
 
-// updateRoster passes a gateway's view to its core as a roster, if that makes a difference.
+// updateRoster builds a roster from a gateway's view and passes it to the core if it differs from the previous one.
 func (s *requestSimulation) updateRoster(gateway *emulatedGateway) {
 	if gateway.node == nil {
 		return
@@ -120,19 +121,20 @@
 		return
 	}
 	update := &s.rosterUpdates[gateway.index]
-	itself := fleet.Gateway{
+	self := fleet.Gateway{
 		Name: gateway.name,
 		Zone: s.emulation.experiment.Fleet.zone(gateway.index),
 		Load: update.announcedLoad,
 	}
-	roster := transport.NewRoster(itself, view.Members())
+	roster := transport.NewRoster(self, view.Members())
 	if update.roster == nil || !update.roster.Equivalent(roster) {
 		update.roster = roster
 		s.gateways[gateway.index].SetRoster(roster)
 	}
 }
 
-// announceLoads measures each gateway's load of the last second and announces loads that have changed.
+// announceLoads measures the load of each gateway in the last second and announces loads that have changed. It also
+// updates the roster of each gateway every rosterRefreshSeconds.
 func (s *requestSimulation) announceLoads() {
 	second := int(s.Now() / 1000)
 	for index, core := range s.gateways {
--- a/internal/faultsim/request_load.go
+++ b/internal/faultsim/request_load.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	sessionsInUse = 20 // sessions of one gateway that its requests are drawn from
-	// eventualReadShare is the share of the reads that any replica may answer. The others must show what their session
-	// has written.
+	sessionsInUse = 20 // sessions of each gateway, from which its requests are drawn
+	// eventualReadShare is the share of the reads that any replica may answer. The other reads must see the writes of
+	// their session.
 	eventualReadShare = 0.6
 )
 
-// arrive sends a request and schedules the next arrival of the Poisson process.
+// arrive submits a request and schedules the next arrival of the Poisson process.
 func (s *requestSimulation) arrive() {
 	rate := s.emulation.experiment.Load.EmulatedRate
 	if rate <= 0 {
@@ -21,7 +21,7 @@
 	s.At(s.Now()+s.random.ExpFloat64()*1000/rate, s.arrive)
 }
 
-// pickGateway draws the gateway of a request by weight; nil: no gateway gets requests.
+// pickGateway draws the gateway of a request by traffic weight. It returns nil if no gateway gets requests.
 func (s *requestSimulation) pickGateway() *model.Gateway {
 	sum := 0.0
 	for i, gateway := range s.gateways {
@@ -40,10 +40,10 @@
 	return nil
 }
 
-// submitNext draws a request and submits it. A request of which no gateway takes notice is excused.
+// submitNext draws a request and submits it. The request counts as excused if no gateway gets requests.
 func (s *requestSimulation) submitNext() {
 	gateway := s.pickGateway()
-	second := s.presentSecond()
+	second := s.currentSecond()
 	second.sent++
 	s.counts.Sent++
 	if gateway == nil {
@@ -64,7 +64,7 @@
 	case s.random.Float64() > eventualReadShare:
 		class, deadlineMs = model.ClassSessionRead, model.SessionReadDeadlineMs
 	}
-	if class != model.ClassEventualRead { // a session's data is in one group
+	if class != model.ClassEventualRead { // all data of a session is in one group
 		group = statement.Session % len(s.world.Groups)
 	}
 	gateway.Submit(class, statement, group, deadlineMs, func(outcome model.Outcome, latencyMs float64, stale bool) {
@@ -75,7 +75,8 @@
 	})
 }
 
-func (s *requestSimulation) presentSecond() *secondCounts {
+// currentSecond returns the counts of the current second.
+func (s *requestSimulation) currentSecond() *secondCounts {
 	index := int(s.Now() / 1000)
 	if s.seconds[index] == nil {
 		s.seconds[index] = &secondCounts{}
@@ -83,6 +84,7 @@
 	return s.seconds[index]
 }
 
+// countOutcome counts the outcome of a request for its client.
 func (s *requestSimulation) countOutcome(outcome model.Outcome, latencyMs float64, stale bool) {
 	switch outcome {
 	case model.Served:
--- a/internal/faultsim/request_measurements.go
+++ b/internal/faultsim/request_measurements.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// minRequestsPerSecond is how many requests a second needs for its served share to count.
+	// minRequestsPerSecond is the smallest number of requests for which the served share of a second counts.
 	minRequestsPerSecond = 50
-	// unfinishedSeconds are the last seconds of a run, whose requests may not have ended.
+	// unfinishedSeconds is the number of seconds at the end of a run whose requests may not have ended.
 	unfinishedSeconds = 3
 )
 
-// steadyState is what was measured up to the first fault, or to the end where there is none.
+// steadyState holds the measurements up to the first fault, or up to the end if there are no faults.
 type steadyState struct {
 	untilMs          float64
 	counters         model.Counters
-	primaryConns     []float64 // by primary
-	replicaConns     []float64 // by replica
-	gatewayHostConns []float64 // by gateway that is up
+	primaryConns     []float64 // connections, by primary
+	replicaConns     []float64 // connections, by replica
+	gatewayHostConns []float64 // connections to hosts, by gateway that is up
 }
 
-// peakCounts are the largest counts within one second since the first fault.
+// peakCounts are the largest counts in one second after the first fault.
 type peakCounts struct {
 	handshakes, probes, polls, misdirected int
 }
 
-// recordSteadyState records the counters and the open connections of the present.
+// recordSteadyState records the counters and the numbers of open connections at the end of the steady state.
 func (s *requestSimulation) recordSteadyState() {
 	s.steady.counters, s.steady.untilMs = s.world.Counters, s.Now()
 	for _, host := range s.hosts {
@@ -45,7 +45,7 @@
 	}
 }
 
-// closeSecond ends a second: it announces loads and records peaks.
+// closeSecond announces loads and records peaks at the end of each second.
 func (s *requestSimulation) closeSecond() {
 	s.announceLoads()
 	if s.Now() > s.emulation.firstFaultMs {
@@ -116,11 +116,12 @@
 	figures[FigureMisdirectedPeak] = float64(p.misdirected)
 }
 
-// worstServedShare is the least share of served requests in one second; infinite where no second had enough requests.
+// worstServedShare returns the smallest served share of the requests of one second. It is infinite if no second had enough
+// requests.
 func (s *requestSimulation) worstServedShare() float64 {
 	worst := math.Inf(1)
 	end := int(s.emulation.experiment.Seconds) - unfinishedSeconds
-	for second, counts := range s.seconds { // in any order: the least is the same
+	for second, counts := range s.seconds { // the order does not matter for the minimum
 		if counts.sent >= minRequestsPerSecond && second < end {
 			worst = min(worst, float64(counts.served)/float64(counts.sent))
 		}
--- a/internal/faultsim/request_simulation.go
+++ b/internal/faultsim/request_simulation.go
@@ -8,41 +8,41 @@
 	"merlinjunction/internal/faultsim/model"
 )
 
-// requestSimulation is the part of an emulation that plays requests: hosts, discovery, the gateways' cores and the
-// clients' load. It is the models' scheduler.
+// requestSimulation is the part of an emulation that simulates requests: hosts, discovery, the gateways' routing cores and
+// the clients' load. It implements the scheduler of the models.
 type requestSimulation struct {
 	emulation      *Emulation
 	world          *model.World
-	random         *rand.Rand // of the load
+	random         *rand.Rand // draws the load
 	discovery      *model.Discovery
 	hostConfig     *model.HostConfig
 	gateways       []*model.Gateway
-	hosts          []*model.Host // by number in the experiment: the present host in each place
-	trafficWeights []float64     // by gateway; 0 or less: it gets no requests
-	cuts           map[link]int  // by gateway and host index: how many active faults cut the link
-	rosterUpdates  []rosterUpdate
-	publishPending bool // a new endpoint list will be published
+	hosts          []*model.Host  // the present hosts, by their number in the experiment
+	trafficWeights []float64      // by gateway; 0 or less: the gateway gets no requests
+	cuts           map[link]int   // by gateway index and host index: number of active faults that cut the link
+	rosterUpdates  []rosterUpdate // by gateway
+	publishPending bool           // the publication of a new endpoint list is scheduled
 
 	counts         RequestCounts
 	seconds        map[int]*secondCounts // by second
 	closedCounters model.Counters        // at the end of the last second
 	steady         steadyState
-	peaks          *peakCounts // nil: no second has ended since the first fault
+	peaks          *peakCounts // nil until a second ends after the first fault
 }
 
-// secondCounts are the requests of one second.
+// secondCounts counts the requests that were sent in one second, and those of them that were served.
 type secondCounts struct {
 	sent, served int
 }
 
 const (
-	publishDelayMs     = 300.0 // from a change of a host to the endpoint list that shows it
-	electionMs         = 1000.0
-	sessionsPerGateway = 2000 // distance between the session numbers of two gateways
+	publishDelayMs     = 300.0  // from a change of a host to the publication of the new endpoint list
+	electionMs         = 1000.0 // from the end of a primary to the election of another one
+	sessionsPerGateway = 2000   // difference between the first session numbers of two gateways
 
-	hostQueueLimit      = 200
+	hostQueueLimit      = 200 // statements that wait for a core of a host; more are rejected
 	hostHandshakeMs     = 2.0
-	hostWriteMultiple   = 1.5 // work of a write, of that of a read
+	hostWriteMultiple   = 1.5 // work of a write as a multiple of the work of a read
 	hostDedupWindowMs   = 2000.0
 	hostDrainGraceMs    = 2000.0
 	gatewayToHostLinkMs = 0.3
@@ -96,7 +96,7 @@
 	return s
 }
 
-// addHosts adds the experiment's hosts; the first one of each group is its primary.
+// addHosts adds the experiment's hosts. The first host of each group is its primary.
 func (s *requestSimulation) addHosts() {
 	experiment := s.emulation.experiment
 	for index := range experiment.Hosts.Groups {
@@ -113,10 +113,10 @@
 	}
 }
 
-// Now is the emulation's time, ms since second 0.
+// Now returns the emulation's time in ms since second 0.
 func (s *requestSimulation) Now() float64 { return s.emulation.now }
 
-// At schedules a call, at once if the time has passed.
+// At schedules a call. If the time has passed, the call is scheduled for the present time.
 func (s *requestSimulation) At(ms float64, call func()) {
 	s.emulation.queue.push(scheduledEvent{at: max(ms, s.emulation.now), call: call})
 }
--- a/internal/faultsim/result.go
+++ b/internal/faultsim/result.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// The engines, as Experiment.Engines, Result.Engine and the command line name them.
+// The names of the engines in Experiment.Engines, in Result.Engine and on the command line.
 const (
 	EngineEmulated  = "emulated"
 	EngineProcesses = "processes"
@@ -20,30 +20,30 @@
 	Verdicts     []Verdict      `json:"verdicts"`
 	Series       Series         `json:"series"`
 	Datagrams    int            `json:"datagrams"`
-	Trace        uint64         `json:"trace"`             // a hash over all that the gateways did, in order
-	Duration     time.Duration  `json:"-"`                 // of the run itself
-	Hosts        map[string]int `json:"hosts,omitempty"`   // statements by host
-	Latency      []float64      `json:"latency,omitempty"` // ms at each percentile from 0 to 100
+	Trace        uint64         `json:"trace"`             // hash over the state changes, in order, and the request counts
+	Duration     time.Duration  `json:"-"`                 // wall-clock time of the run
+	Hosts        map[string]int `json:"hosts,omitempty"`   // number of statements by host
+	Latency      []float64      `json:"latency,omitempty"` // latency, in ms, at each percentile from 0 to 100
 }
 
-// Series are measurements over time, one entry each sampleIntervalMs.
+// Series holds measurements over time, with one entry for each sampleIntervalMs.
 type Series struct {
-	Seconds         []float64 `json:"seconds"`
-	Up              []float64 `json:"up"`       // gateways
-	Believed        []float64 `json:"believed"` // to be up, by a gateway on average
-	WrongBeliefs    []float64 `json:"wrong"`
-	FalseSuspicions []float64 `json:"doubts"`     // so far
-	BytesMean       []float64 `json:"bytes_mean"` // sent per second and gateway
-	BytesMax        []float64 `json:"bytes_most"` // sent per second by the busiest gateway
+	Seconds         []float64 `json:"seconds"`    // time since second 0
+	Up              []float64 `json:"up"`         // number of gateways that are up
+	Believed        []float64 `json:"believed"`   // mean number of gateways that a gateway believes to be up
+	WrongBeliefs    []float64 `json:"wrong"`      // number of wrong beliefs
+	FalseSuspicions []float64 `json:"doubts"`     // number of false suspicions so far
+	BytesMean       []float64 `json:"bytes_mean"` // bytes sent per second and gateway
+	BytesMax        []float64 `json:"bytes_most"` // bytes sent per second by the busiest gateway
 }
 
-// trafficSample is what the gateways sent in one sample interval.
+// trafficSample is the traffic that the gateways sent in one sample interval.
 type trafficSample struct {
 	bytesPerSecond        float64 // by all gateways
 	busiestBytesPerSecond float64 // by the busiest one
 }
 
-// add adds an entry and reports it as progress, which may be nil.
+// add adds an entry and passes it to progress, which may be nil.
 func (s *Series) add(seconds float64, oracle *Oracle, traffic trafficSample, progress func(Progress)) {
 	up, believed := oracle.CountUp()
 	if progress != nil {
--- a/internal/faultsim/step.go
+++ b/internal/faultsim/step.go
@@ -1,7 +1,7 @@
 package faultsim
 
-// Step is one operation on the fleet at a time. All random choices are made when a plan, a list of steps, is made. So one
-// seed gives the same plan whenever it is made for the same numbers of gateways and hosts.
+// Step is one operation on the fleet at a time. A plan is a list of steps. All random choices are made during planning, so
+// one seed gives one plan in either engine.
 type Step struct {
 	At           float64 // ms since second 0
 	Operation    Operation
@@ -24,7 +24,7 @@
 	Terminate
 	Pause
 	Resume
-	Starve           // marks the beginning of short pauses, which Pause and Resume carry out
+	Starve           // marks the beginning of pauses that are too short to be detected one by one
 	Cut              // datagrams from gateway Target to the gateways Destinations are lost
 	ChangeConditions // changes the network conditions
 	StepClock
