--- a/internal/faultsim/plots.go
+++ b/internal/faultsim/plots.go
@@ -14,22 +14,22 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// curve is one line of a chart.
+// curve is one line of a chart. Its name is the label in the legend.
 type curve struct {
 	name   string
 	values func(*Result) []float64
 }
 
-// chart describes one plot of the first seed of each report.
+// chart describes one plot. It shows the first seed of each report.
 type chart struct {
 	title  string
 	xLabel string
 	yLabel string
-	xs     func(*Result) []float64 // of all curves
+	xs     func(*Result) []float64 // x values of all curves
 	curves []curve
 }
 
-// Sizes on the page.
+// Sizes of plots on the page.
 const (
 	plotWidth  = 430 // points
 	plotHeight = 250 // points
@@ -39,14 +39,14 @@
 
 var charts = []chart{
 	{
-		title: "Gateways alive, and believed alive", xLabel: "s", yLabel: "gateways", xs: secondsOf,
+		title: "Gateways up and believed to be up", xLabel: "s", yLabel: "gateways", xs: secondsOf,
 		curves: []curve{
 			{"up", func(r *Result) []float64 { return r.Series.Up }},
 			{"believed, mean", func(r *Result) []float64 { return r.Series.Believed }},
 		},
 	},
 	{
-		title: "Beliefs that are wrong", xLabel: "s", yLabel: "beliefs", xs: secondsOf,
+		title: "Wrong beliefs", xLabel: "s", yLabel: "beliefs", xs: secondsOf,
 		curves: []curve{
 			{"wrong", func(r *Result) []float64 { return r.Series.WrongBeliefs }},
 		},
@@ -58,21 +58,21 @@
 		},
 	},
 	{
-		title: "Bytes sent a second", xLabel: "s", yLabel: "bytes", xs: secondsOf,
+		title: "Bytes sent per second", xLabel: "s", yLabel: "bytes", xs: secondsOf,
 		curves: []curve{
 			{"mean", func(r *Result) []float64 { return r.Series.BytesMean }},
 			{"busiest", func(r *Result) []float64 { return r.Series.BytesMax }},
 		},
 	},
 	{
-		title: "Latency from the intended time", xLabel: "percentile", yLabel: "ms", xs: percentilesOf,
+		title: "Latency from the intended send time", xLabel: "percentile", yLabel: "ms", xs: percentilesOf,
 		curves: []curve{
 			{"served", func(r *Result) []float64 { return r.Latency }},
 		},
 	},
 }
 
-// drawPlots draws all charts, and the load of the hosts of each report that has any.
+// drawPlots draws all charts as SVG, and for each report with loads of hosts a plot of them.
 func drawPlots(reports []*Report) ([]template.HTML, error) {
 	var plots []template.HTML
 	for i := range charts {
@@ -97,7 +97,7 @@
 	return plots, nil
 }
 
-// draw returns the chart as a plot; nil if no report has its values.
+// draw returns the chart as a plot, or nil if no report has values for it.
 func (c *chart) draw(reports []*Report) (*plot.Plot, error) {
 	drawing := c.newPlot()
 	drawn := 0
@@ -127,7 +127,7 @@
 	return drawing, nil
 }
 
-// newPlot returns a plot with titles and a legend, but without curves.
+// newPlot returns a plot with a title, labels and a legend, but without curves.
 func (c *chart) newPlot() *plot.Plot {
 	drawing := plot.New()
 	drawing.Title.Text = c.title
@@ -143,7 +143,7 @@
 	return drawing
 }
 
-// pointsOf returns nil if there are no values, or if the two lists differ in length.
+// pointsOf combines x and y values to points. It returns nil if there are none or if the numbers of values differ.
 func pointsOf(xs, ys []float64) plotter.XYs {
 	if len(xs) == 0 || len(xs) != len(ys) {
 		return nil
@@ -155,7 +155,7 @@
 	return points
 }
 
-// drawHostLoad draws the statements of each host as bars.
+// drawHostLoad draws the number of statements of each host as a bar.
 func drawHostLoad(report *Report) (*plot.Plot, error) {
 	hosts := report.Results[0].Hosts
 	names := slices.Sorted(maps.Keys(hosts))
@@ -176,9 +176,10 @@
 	return drawing, nil
 }
 
+// secondsOf returns the times of the entries of a result's series.
 func secondsOf(result *Result) []float64 { return result.Series.Seconds }
 
-// percentilesOf returns 0, 1, 2 and so on, for each value of the result's latency.
+// percentilesOf returns the percentile of each value of a result's latency: 0, 1, 2 and so on.
 func percentilesOf(result *Result) []float64 {
 	percentiles := make([]float64, len(result.Latency))
 	for i := range percentiles {
@@ -187,12 +188,12 @@
 	return percentiles
 }
 
-// renderSVG returns a plot as an element of a page.
+// renderSVG renders a plot as an <svg> element, without the XML header before it.
 func renderSVG(drawing *plot.Plot) template.HTML {
 	canvas := vgsvg.New(vg.Points(plotWidth), vg.Points(plotHeight))
 	drawing.Draw(draw.New(canvas))
 	var buffer strings.Builder
-	_, _ = canvas.WriteTo(&buffer) // a Builder returns no errors
+	_, _ = canvas.WriteTo(&buffer) // writes to a strings.Builder return no error
 	text := buffer.String()
 	return template.HTML(text[max(0, strings.Index(text, "<svg")):])
 }
--- a/internal/faultsim/report.go
+++ b/internal/faultsim/report.go
@@ -8,17 +8,17 @@
 	"path/filepath"
 )
 
-// Report holds the results of one experiment.
+// Report holds the results of one experiment's runs.
 type Report struct {
 	Title   string    `json:"title"`
 	About   string    `json:"about"`
-	Results []*Result `json:"results"` // one for each seed
+	Results []*Result `json:"results"` // one result for each seed
 }
 
-// neverText stands for an infinite figure in reports.
+// neverText represents an infinite figure in reports.
 const neverText = "never"
 
-// MarshalJSON writes NaN, nothing to measure, as null and infinity as "never".
+// MarshalJSON encodes NaN as null and infinity as "never".
 func (m Measurements) MarshalJSON() ([]byte, error) {
 	figures := map[string]any{}
 	for name, value := range m {
@@ -34,7 +34,7 @@
 	return json.Marshal(figures)
 }
 
-// UnmarshalJSON reads what MarshalJSON writes. An error means that a figure is of another type.
+// UnmarshalJSON decodes the output of MarshalJSON. It returns an error if a figure is not a number, null or a string.
 func (m *Measurements) UnmarshalJSON(text []byte) error {
 	var figures map[string]any
 	if err := json.Unmarshal(text, &figures); err != nil {
@@ -50,20 +50,20 @@
 		case string:
 			(*m)[name] = math.Inf(1)
 		default:
-			return fmt.Errorf("figure %s: %v is no number", name, value)
+			return fmt.Errorf("figure %s: expected a number, null or %q, got %v", name, neverText, value)
 		}
 	}
 	return nil
 }
 
-// The files of a report.
+// The names of the files of a report.
 const (
 	dataName = "result.json"
 	pageName = "index.html"
 )
 
-// Write writes a report into a folder, which is created if necessary: a page, and the data that Compare reads. Errors
-// name the flag --report.
+// Write writes a report to a directory, which is created if necessary. The files are a page and the data that Compare
+// reads. Errors name the flag --report.
 func (r *Report) Write(dir string) error {
 	if err := r.writeFiles(dir); err != nil {
 		return fmt.Errorf("--report: %w", err)
@@ -85,7 +85,7 @@
 	return writePage(filepath.Join(dir, pageName), r.Title, []*Report{r})
 }
 
-// ReadReport reads the data of a report. An error names the file.
+// ReadReport reads the data of a report from a directory. An error names the file.
 func ReadReport(dir string) (*Report, error) {
 	path := filepath.Join(dir, dataName)
 	text, err := os.ReadFile(path)
@@ -97,12 +97,12 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(report.Results) == 0 {
-		return nil, fmt.Errorf("%s: holds no run", path)
+		return nil, fmt.Errorf("%s: results: expected at least one, got none", path)
 	}
 	return report, nil
 }
 
-// Compare reads two reports and returns their table. It writes a page with both into a folder, unless dir is empty.
+// Compare reads two reports and returns their table. Unless dir is empty, it writes a page with both to that directory.
 func Compare(firstDir, secondDir, dir string) ([]Row, error) {
 	first, err := ReadReport(firstDir)
 	if err != nil {
@@ -124,6 +124,6 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	title := first.Title + " beside " + second.Title
+	title := first.Title + " compared with " + second.Title
 	return writePage(filepath.Join(dir, pageName), title, []*Report{first, second})
 }
--- a/internal/faultsim/report_page.go
+++ b/internal/faultsim/report_page.go
@@ -15,7 +15,7 @@
 {{range .Reports}}<h2>{{.Title}}</h2><p>{{.About}}</p>
 {{range .Results}}<h3>{{.Engine}}, seed {{.Seed}}, {{.Gateways}} gateways</h3>
 <table>{{range .Verdicts}}<tr><td class="{{if not .OK}}FAIL{{end}}">{{.Text}}</td></tr>{{end}}</table>{{end}}{{end}}
-<h2>Figures</h2><p>Median over the seeds, and least to most.</p>
+<h2>Figures</h2><p>Median over the seeds, with the smallest and the largest value.</p>
 <table><tr><th></th>{{range .Reports}}<th>{{.Title}}</th>{{end}}</tr>
 {{range .Rows}}<tr><td>{{.Name}}</td>{{range .Values}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>
 <h2>Over time</h2>
@@ -23,7 +23,7 @@
 </body></html>
 `))
 
-// pageContent is what pageTemplate shows.
+// pageContent is the data of pageTemplate.
 type pageContent struct {
 	Title   string
 	Reports []*Report
@@ -31,7 +31,7 @@
 	Plots   []template.HTML
 }
 
-// writePage writes a page with verdicts, table and plots of reports.
+// writePage writes a page with the verdicts, the table and the plots of reports.
 func writePage(path, title string, reports []*Report) error {
 	plots, err := drawPlots(reports)
 	if err != nil {
--- a/internal/faultsim/report_table.go
+++ b/internal/faultsim/report_table.go
@@ -8,16 +8,16 @@
 	"strconv"
 )
 
-// Row is one figure of one or more reports.
+// Row is one row of a table: a figure of one or more reports.
 type Row struct {
-	Name   string
-	Values []string // by report: the median over the seeds, and the range unless all are equal
+	Name   string   // name of the figure
+	Values []string // by report: the median over the seeds, and the range unless all values are equal
 }
 
-// notMeasuredCell is the cell of a report that has not measured the figure.
+// notMeasuredCell is the text for a report that has no value of the figure.
 const notMeasuredCell = "-"
 
-// Table returns a row for each figure of the reports, by name.
+// Table returns a row for each figure of the reports, sorted by name.
 func Table(reports ...*Report) []Row {
 	var rows []Row
 	for _, name := range figureNames(reports) {
@@ -43,7 +43,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// cell formats one figure of all seeds.
+// cell returns the text for one figure over all seeds.
 func (r *Report) cell(name string) string {
 	var values []float64
 	for _, result := range r.Results {
@@ -61,7 +61,7 @@
 	return text
 }
 
-// formatFigure formats whole and large numbers without decimals, others with four digits.
+// formatFigure formats whole numbers, and numbers of at least 1000, without decimals. Others have four digits.
 func formatFigure(value float64) string {
 	switch {
 	case math.IsInf(value, 1):
--- a/internal/faultsim/swim_baseline.go
+++ b/internal/faultsim/swim_baseline.go
@@ -9,77 +9,78 @@
 	"merlinjunction/membership"
 )
 
-// SWIMBaseline is the published SWIM protocol with suspicion, in the messages of package membership, to compare the
-// program's membership with. It has one direct probe each period, indirect probes after a time, suspicion by a single
-// observer, a fixed time from suspect to dead, and no probes of dead members.
+// SWIMBaseline implements the published SWIM protocol with suspicion, using the messages of package membership. It is the
+// baseline to which experiments compare membership.View. It sends one direct probe in each period, and indirect probes if
+// the answer does not come in time. One observer is enough for a suspicion, the time from suspect to dead is fixed, and
+// dead members are not probed.
 type SWIMBaseline struct {
 	config      membership.Config
 	random      *rand.Rand
 	id          membership.ID
 	incarnation uint64
-	now         float64 // ms since 1970
-	left        bool
-	joined      bool
-	actions     []membership.Action // of the present Step
+	now         float64             // ms since 1970
+	left        bool                // this gateway has left; Step returns nothing
+	joined      bool                // this gateway is a seed, or a seed has answered its Join
+	actions     []membership.Action // actions of the present Step
 	members     map[membership.ID]*swimMember
-	order       []*swimMember // members in the order of probing; shuffled after each pass
-	rumors      []*swimRumor  // to be gossiped, next one first
-	joinAt      float64       // of the next attempt to join
+	order       []*swimMember // members in the order of probing, which is shuffled after each pass
+	rumors      []*swimRumor  // rumors that are still gossiped, next one first
+	joinAt      float64       // time of the next attempt to join
 
-	periodAt   float64 // when the next protocol period begins
-	nextProbe  int     // index in order
-	target     *swimMember
-	sequence   uint32
-	indirectAt float64 // when the target is probed indirectly; 0: it has been
-	acked      bool
+	periodAt   float64     // when the next protocol period begins
+	nextProbe  int         // index in order of the next member to probe
+	target     *swimMember // member that is probed in this period; nil: none
+	sequence   uint32      // sequence number of the probe
+	indirectAt float64     // when the target is probed indirectly; 0: the indirect probes have been sent
+	acked      bool        // the target has answered
 
 	pendingRelays []pendingRelay
 	relaySequence uint32
 }
 
-// swimMember is a member as one gateway knows it.
+// swimMember is a member in the view of one gateway.
 type swimMember struct {
 	membership.Member
 	id        membership.ID
-	suspectAt float64
+	suspectAt float64 // when the member became suspect
 }
 
-// swimRumor is a member's state that is gossiped.
+// swimRumor is a gossiped change of a member's state.
 type swimRumor struct {
 	member *swimMember
-	sent   int // times
+	sent   int // number of messages that have carried the rumor
 }
 
-// pendingRelay is an indirect probe that this gateway makes for another one.
+// pendingRelay is an indirect probe that this gateway sends on behalf of another one.
 type pendingRelay struct {
-	sequence          uint32 // of the probe
-	requesterSequence uint32
+	sequence          uint32 // sequence number of the relayed probe
+	requesterSequence uint32 // sequence number of the requester's own probe
 	requester         netip.AddrPort
 	target            membership.ID
 }
 
-// The protocol period is that of the program's own membership, so that both send about as much. The time from suspect
-// to dead is the paper's: a multiple of the period and of the logarithm of the fleet's size.
+// The protocol period is that of membership.View, so that both protocols send about as much. The time from suspect to dead
+// follows the SWIM paper: it is swimSuspicionFactor times the period times the logarithm of the fleet's size.
 const (
 	swimPeriodMs        = 350.0
 	swimIndirectDelayMs = 100.0
 	swimJoinIntervalMs  = 1000.0
 	swimSuspicionFactor = 3.0
-	swimGossipFactor    = 4.0 // transmissions of a rumor, by the logarithm of the fleet's size
+	swimGossipFactor    = 4.0 // transmissions of a rumor, divided by the logarithm of the fleet's size
 
 	swimIndirectProbes     = 4
 	swimLeaveNotifications = 16
 	swimRumorsPerMessage   = 8
-	swimRecordsPerPage     = 10 // of a SyncResponse
+	swimRecordsPerPage     = 10 // records in one SyncResponse
 	swimMaxRelays          = 64
-	swimDroppedRelays      = 32 // the oldest ones, once there are more than swimMaxRelays
+	swimDroppedRelays      = 32 // number of the oldest relays that are dropped if there are more than swimMaxRelays
 	swimPickAttempts       = 8
 	swimMessageVersion     = 2
-	// swimRelaySequenceBase separates the sequence numbers of relayed probes from those of a gateway's own.
+	// swimRelaySequenceBase separates the sequence numbers of relayed probes from those of a gateway's own probes.
 	swimRelaySequenceBase = 1 << 30
 )
 
-// The reasons of changes that the baseline reports.
+// The reasons of the changes that the baseline reports.
 const (
 	reasonJoined        = "joined"
 	reasonGossip        = "gossip"
@@ -109,7 +110,7 @@
 	return b, nil
 }
 
-// Wake is the time of the next Step without an event.
+// Wake returns the time, in ms since 1970, of the next Step if no event comes earlier.
 func (b *SWIMBaseline) Wake() float64 {
 	at := min(b.periodAt, b.joinAt)
 	if b.target != nil && !b.acked && b.indirectAt > b.now {
@@ -118,12 +119,12 @@
 	return max(at, b.now+1)
 }
 
-// Summary returns how many rumors are pending; the other counts are 0.
+// Summary returns the number of pending rumors. The other counts are 0.
 func (b *SWIMBaseline) Summary() membership.Summary {
 	return membership.Summary{PendingRumors: len(b.rumors)}
 }
 
-// Step processes events and timers, as membership.View's does.
+// Step processes events and timers, like membership.View.Step.
 func (b *SWIMBaseline) Step(ms float64, events []membership.Event) []membership.Action {
 	b.actions = b.actions[:0]
 	b.now = max(b.now, ms)
@@ -151,11 +152,11 @@
 	return b.actions
 }
 
-// leave notifies some members that this gateway leaves. It does nothing afterwards.
+// leave notifies swimLeaveNotifications members that this gateway leaves. The gateway does nothing afterwards.
 func (b *SWIMBaseline) leave() {
-	itself := b.members[b.id]
-	itself.State = membership.Left
-	b.enqueueRumor(itself)
+	self := b.members[b.id]
+	self.State = membership.Left
+	b.enqueueRumor(self)
 	for range swimLeaveNotifications {
 		if member := b.randomMember(nil); member != nil {
 			b.sendWithRumors(member.Addr, &membership.Message{Kind: membership.Gossip})
@@ -164,17 +165,17 @@
 	b.left = true
 }
 
-// join sends a Join to a random seed until it has been answered and a member is known.
+// join sends a Join to a random seed, unless a Join has been answered and another member is known.
 func (b *SWIMBaseline) join() {
 	b.joinAt = b.now + swimJoinIntervalMs
 	seed := b.config.Seeds[b.random.IntN(len(b.config.Seeds))]
 	if seed != b.config.Addr && (!b.joined || len(b.order) < 2) {
-		itself := b.record(b.members[b.id])
-		b.send(seed, &membership.Message{Kind: membership.Join, Records: []membership.Record{itself}})
+		self := b.record(b.members[b.id])
+		b.send(seed, &membership.Message{Kind: membership.Join, Records: []membership.Record{self}})
 	}
 }
 
-// probeIndirectly asks random members to probe the target, which has not answered this gateway.
+// probeIndirectly asks random members to probe the target, which has not answered this gateway's probe.
 func (b *SWIMBaseline) probeIndirectly() {
 	b.indirectAt = 0
 	for range swimIndirectProbes {
@@ -189,7 +190,7 @@
 	}
 }
 
-// beginPeriod ends a protocol period and begins the next one with a probe.
+// beginPeriod ends a protocol period, in which a target without an answer becomes suspect, and begins the next one.
 func (b *SWIMBaseline) beginPeriod() {
 	b.periodAt = b.now + swimPeriodMs
 	if target := b.target; target != nil && !b.acked && target.State == membership.Alive {
@@ -203,7 +204,7 @@
 	b.probeNext()
 }
 
-// declareDeaths declares members dead that have been suspect for the whole suspicion time.
+// declareDeaths declares members dead that have been suspect for the suspicion time.
 func (b *SWIMBaseline) declareDeaths() {
 	suspicionMs := swimSuspicionFactor * math.Log2(float64(len(b.order)+1)) * swimPeriodMs
 	for _, member := range b.order {
@@ -213,7 +214,7 @@
 	}
 }
 
-// probeNext probes the next member in the order that is alive or suspect. The order is shuffled after each pass.
+// probeNext probes the next member in order that is alive or suspect. The order is shuffled after each pass.
 func (b *SWIMBaseline) probeNext() {
 	for range b.order {
 		if b.nextProbe >= len(b.order) {
@@ -231,12 +232,13 @@
 	}
 }
 
-// isProbed reports whether a member is another one that is alive or suspect.
+// isProbed reports whether a member is alive or suspect and is not this gateway itself.
 func (b *SWIMBaseline) isProbed(member *swimMember) bool {
 	return member.id != b.id && believedUp(member.State)
 }
 
-// randomMember draws another member that is alive or suspect; nil if the draws find none.
+// randomMember draws a member, apart from excluded and this gateway itself, that is alive or suspect. It returns nil if it
+// finds none in swimPickAttempts draws.
 func (b *SWIMBaseline) randomMember(excluded *swimMember) *swimMember {
 	for range swimPickAttempts {
 		member := b.order[b.random.IntN(len(b.order))]
--- a/internal/faultsim/swim_messages.go
+++ b/internal/faultsim/swim_messages.go
@@ -8,7 +8,7 @@
 	"merlinjunction/membership"
 )
 
-// record is a member's state as messages carry it.
+// record returns a member's state as a record for messages.
 func (b *SWIMBaseline) record(member *swimMember) membership.Record {
 	return membership.Record{
 		Name:        member.Name,
@@ -21,12 +21,13 @@
 	}
 }
 
-// enqueueRumor makes a member's present state the first rumor, in place of an earlier one about it.
+// enqueueRumor puts a rumor with a member's present state first. It replaces an earlier rumor about the member.
 func (b *SWIMBaseline) enqueueRumor(member *swimMember) {
 	b.rumors = slices.DeleteFunc(b.rumors, func(rumor *swimRumor) bool { return rumor.member == member })
 	b.rumors = slices.Insert(b.rumors, 0, &swimRumor{member: member})
 }
 
+// send completes the header of a message and sends it.
 func (b *SWIMBaseline) send(to netip.AddrPort, message *membership.Message) {
 	message.Version = swimMessageVersion
 	message.From = b.id
@@ -35,7 +36,8 @@
 	b.actions = append(b.actions, membership.Send{To: to, Message: *message})
 }
 
-// sendWithRumors sends a message with the next rumors. A rumor that has been sent often enough is dropped.
+// sendWithRumors sends a message with the next rumors. The number of transmissions after which a rumor is dropped
+// is swimGossipFactor times the logarithm of the fleet's size.
 func (b *SWIMBaseline) sendWithRumors(to netip.AddrPort, message *membership.Message) {
 	maxSent := int(math.Ceil(swimGossipFactor * math.Log10(float64(len(b.order)+2))))
 	count := min(len(b.rumors), swimRumorsPerMessage)
@@ -48,7 +50,7 @@
 	b.send(to, message)
 }
 
-// add adds a member that was not known.
+// add adds a new member and gossips it.
 func (b *SWIMBaseline) add(record *membership.Record) {
 	member := &swimMember{
 		id: membership.IDOf(record.Name),
@@ -112,7 +114,7 @@
 	}
 }
 
-// sendMembers answers a Join with all members, in pages.
+// sendMembers answers a Join with the records of all members, divided into pages.
 func (b *SWIMBaseline) sendMembers(to netip.AddrPort) {
 	page := &membership.Message{Kind: membership.SyncResponse}
 	for _, member := range b.order {
@@ -125,7 +127,7 @@
 	b.send(to, page)
 }
 
-// relayProbe probes a member for another one.
+// relayProbe sends an indirect probe on behalf of a requester.
 func (b *SWIMBaseline) relayProbe(requester netip.AddrPort, request *membership.Message) {
 	target := b.members[request.Target]
 	if target == nil {
@@ -145,7 +147,7 @@
 	})
 }
 
-// acknowledge ends the probe that an Ack answers, and passes it on where the probe was made for another member.
+// acknowledge ends the probe that an Ack answers. If the probe was relayed, it forwards the Ack to the requester.
 func (b *SWIMBaseline) acknowledge(ack *membership.Message) {
 	if b.target != nil && ack.Seq == b.sequence && (ack.From == b.target.id || ack.Target == b.target.id) {
 		b.acked = true
@@ -161,8 +163,8 @@
 	}
 }
 
-// merge takes over a record that is newer than what is known. A false record of this gateway itself is refuted with a
-// higher incarnation; a joining gateway's record replaces that of its previous process.
+// merge applies a record if it is newer than the known state. A false record about this gateway itself is refuted with a
+// higher incarnation. The record of a joining gateway replaces that of its previous process.
 func (b *SWIMBaseline) merge(record *membership.Record, joining bool) {
 	member := b.members[membership.IDOf(record.Name)]
 	switch {
