--- a/cmd/faultsim/main_test.go
+++ b/cmd/faultsim/main_test.go
@@ -47,22 +47,22 @@
 	first, second := filepath.Join(t.TempDir(), "a"), filepath.Join(t.TempDir(), "b")
 	output, err := execute("run", writeExperiment(t, "5000"), "--seeds", "2", "--report", first)
 	if err != nil || strings.Count(output, "small, emulated, seed") != 2 {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("run: got error %v, want the results of 2 seeds: %s", err, output)
 	}
 	output, err = execute("run", writeExperiment(t, "1"), "--report", second)
 	if !errors.Is(err, errExpectationNotMet) || !strings.Contains(output, "FAIL first_ms") {
-		t.Errorf("a bound of 1 ms: %v: %s", err, output)
+		t.Errorf("run with a bound of 1 ms: got error %v, want %v: %s", err, errExpectationNotMet, output)
 	}
 	output, err = execute("compare", first, second)
 	if err != nil || !strings.Contains(output, "first_ms") {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("compare: got error %v, want a row of first_ms: %s", err, output)
 	}
 }
 
 func TestCheck(t *testing.T) {
 	output, err := execute("check", writeExperiment(t, "1"))
 	if err != nil || !strings.Contains(output, "fine") {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("check: got error %v, want the output \"fine\": %s", err, output)
 	}
 }
 
@@ -70,7 +70,7 @@
 func TestRunSkipsOtherEngine(t *testing.T) {
 	output, err := execute("run", "../../experiments/rules/drain.toml")
 	if err != nil || !strings.Contains(output, "passed over") {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("run: got error %v, want the output \"passed over\": %s", err, output)
 	}
 }
 
--- a/cmd/faultsim/program.go
+++ b/cmd/faultsim/program.go
@@ -12,22 +12,22 @@
 	gatewayPackage = "merlinjunction/cmd/merlinjunction"
 )
 
-// findProgram returns the path of the gateway's program. This is the program at path named if named is not empty, else the
+// findProgram returns the path of the gateway's program. This is the program at flagPath if that is not empty, else the
 // one in the directory of this program, else one that it builds from the module in the working directory. cleanUp removes
-// a program that was built. It returns an error if there is no program at path named, or if the build fails.
-func findProgram(named string) (path string, cleanUp func(), err error) {
-	nothing := func() {}
-	if named != "" {
-		if _, err := os.Stat(named); err != nil {
-			return "", nothing, fmt.Errorf("--program: %w", err)
+// a program that was built. It returns an error if there is no program at flagPath, or if the build fails.
+func findProgram(flagPath string) (path string, cleanUp func(), err error) {
+	noCleanUp := func() {}
+	if flagPath != "" {
+		if _, err := os.Stat(flagPath); err != nil {
+			return "", noCleanUp, fmt.Errorf("--program: %w", err)
 		}
-		path, err = filepath.Abs(named)
-		return path, nothing, err
+		path, err = filepath.Abs(flagPath)
+		return path, noCleanUp, err
 	}
 	if self, err := os.Executable(); err == nil {
 		beside := filepath.Join(filepath.Dir(self), gatewayProgram)
 		if _, err := os.Stat(beside); err == nil {
-			return beside, nothing, nil
+			return beside, noCleanUp, nil
 		}
 	}
 	return buildProgram()
--- a/cmd/faultsim/soak.go
+++ b/cmd/faultsim/soak.go
@@ -13,8 +13,8 @@
 	"merlinjunction/internal/faultsim/soak"
 )
 
-// errRuleBroken is the result of a soak in which a run violated a rule of the service.
-var errRuleBroken = errors.New("a soak run violated a rule")
+// errRuleViolated is the result of a soak in which a run violated a rule of the service.
+var errRuleViolated = errors.New("a soak run violated a rule")
 
 // soakOptions are the flags of the soak command.
 type soakOptions struct {
@@ -51,7 +51,7 @@
 		return err
 	}
 	defer cleanUp()
-	broken := 0
+	violatingRuns := 0
 	for i := range o.runs {
 		result, err := soak.Run(program, o.seed+uint64(i))
 		if err != nil {
@@ -62,12 +62,12 @@
 		}
 		printSoakResult(out, result)
 		if len(result.Violations) > 0 {
-			broken++
+			violatingRuns++
 		}
 	}
-	printf(out, "%d runs, %d broke a rule\n", o.runs, broken)
-	if broken > 0 {
-		return errRuleBroken
+	printf(out, "%d runs, %d broke a rule\n", o.runs, violatingRuns)
+	if violatingRuns > 0 {
+		return errRuleViolated
 	}
 	return nil
 }
--- a/internal/faultsim/emulate.go
+++ b/internal/faultsim/emulate.go
@@ -17,7 +17,7 @@
 	Step(ms float64, events []membership.Event) []membership.Action
 	// Wake returns the time, in ms since 1970, of the next Step if no event comes earlier.
 	Wake() float64
-	// Summary counts members by state.
+	// Summary returns the counts of members by state, and whether the view is partial.
 	Summary() membership.Summary
 }
 
--- a/internal/faultsim/event_queue.go
+++ b/internal/faultsim/event_queue.go
@@ -22,8 +22,8 @@
 // heapArity is the number of children of a node in the queue's heap.
 const heapArity = 4
 
-// eventQueue is a four-ary heap of events, ordered by time. Events of the same time are ordered by their entry, so that a
-// run repeats.
+// eventQueue is a four-ary heap of events, ordered by time. Events of the same time keep their order of entry, so that one
+// seed gives one result.
 type eventQueue struct {
 	heap    []scheduledEvent
 	entered uint64 // number of events pushed so far
--- a/internal/faultsim/expect.go
+++ b/internal/faultsim/expect.go
@@ -16,16 +16,16 @@
 	AllDetectedMs         *float64 `toml:"everyone_ms"`   // longest time from a crash until no viewer believes the gateway up
 	AgreementMs           *float64 `toml:"agree_ms"`      // time from the last step until all beliefs are right
 	RecoveryMs            *float64 `toml:"back_ms"`       // longest time from a return to right beliefs by and of the gateway
-	FalseDeaths           *float64 `toml:"false_deaths"`  // declared deaths of members that were up, running and reachable
-	FalseSuspicions       *float64 `toml:"false_doubts"`  // suspicions of such members, counted for each viewer
+	FalseDeaths           *float64 `toml:"false_deaths"`  // declared deaths of up, running and reachable members
+	FalseSuspicions       *float64 `toml:"false_doubts"`  // suspicions of up, running and reachable members, per viewer
 	SuspicionsAfterReturn *float64 `toml:"return_blames"` // suspicions by members that had just been paused
 	Flaps                 *float64 `toml:"flaps"`         // most times that one gateway believed another dead or unreachable
 	BytesPerSecond        *float64 `toml:"bytes_s"`       // bytes sent per second by the busiest gateway, steady state
-	Isolated              []int    `toml:"deaf"`          // gateways that reported StatusIsolated
-	Disputed              []int    `toml:"unheard"`       // gateways that reported StatusDisputed
-	Slow                  []int    `toml:"slow"`          // gateways that reported StatusSlow
-	NameTaken             []int    `toml:"taken"`         // gateways that reported StatusNameTaken
-	PartialViews          []int    `toml:"part"`          // gateways that reported a partial view
+	Isolated              []int    `toml:"deaf"`          // number of gateways that reported StatusIsolated
+	Disputed              []int    `toml:"unheard"`       // number of gateways that reported StatusDisputed
+	Slow                  []int    `toml:"slow"`          // number of gateways that reported StatusSlow
+	NameTaken             []int    `toml:"taken"`         // number of gateways that reported StatusNameTaken
+	PartialViews          []int    `toml:"part"`          // number of gateways that reported a partial view
 
 	Lost                 *float64 `toml:"lost"`    // requests without an answer although no fault affected their gateway
 	DuplicateWrites      *float64 `toml:"doubled"` // idempotent writes that a host executed twice
@@ -34,7 +34,7 @@
 	Stale                *float64 `toml:"stale"`   // reads that miss a write of their session
 	P99Ms                *float64 `toml:"p99_ms"`  // 99th percentile of the latency, measured from the intended send time
 
-	HostConnsSpread     *float64 `toml:"conns_host_spread"` // most connections of a replica, by the mean; steady state
+	HostConnsSpread     *float64 `toml:"conns_host_spread"` // ratio of most to mean connections of a replica; steady state
 	GatewayConns        *float64 `toml:"conns_gateway"`     // mean number of connections of a gateway to hosts; steady state
 	ProbesPerSecond     *float64 `toml:"probes_s"`          // health checks of the whole fleet; steady state
 	HandshakesPerSecond *float64 `toml:"handshakes_s"`      // handshakes of the whole fleet with hosts; steady state
--- a/internal/faultsim/fault.go
+++ b/internal/faultsim/fault.go
@@ -15,7 +15,7 @@
 	Destination  string    `toml:"to"`      // FaultCut: all other gateways by default; FaultHostCut: the hosts
 	OneWay       bool      `toml:"oneway"`  // FaultCut: cuts only the direction from Target to Destination
 	Reverse      bool      `toml:"from"`    // FaultCut with OneWay: cuts only the direction from Destination to Target
-	Spread       float64   `toml:"spread"`  // time over which the fault affects its targets, one after another
+	Spread       float64   `toml:"spread"`  // time over which targets are affected, one after another; not for cuts
 	RestartDelay float64   `toml:"after"`   // FaultRestart, FaultRoll, FaultHostReplace: time from the end to the new start
 	StopMs       float64   `toml:"stop_ms"` // FaultStarve: length of each pause
 	RunMs        float64   `toml:"run_ms"`  // FaultStarve: time between two pauses
--- a/internal/faultsim/oracle.go
+++ b/internal/faultsim/oracle.go
@@ -28,7 +28,7 @@
 	lastStepAt        float64
 
 	FalseDeaths           int       // declared deaths of members that were up and reachable
-	FalseSuspicions       int       // suspicions of such members, counted for each viewer
+	FalseSuspicions       int       // suspicions of members that were up and reachable, per viewer
 	SuspicionsAfterReturn int       // suspicions by members that had just been paused
 	RecoveryTimes         []float64 // time from each return to right beliefs by and of the gateway
 }
@@ -40,7 +40,7 @@
 	starved        bool
 	wrongBeliefsBy int     // number of its wrong beliefs about others
 	wrongBeliefsOf int     // number of wrong beliefs of others about it
-	excusedUntil   float64 // until then, a suspicion or death declared of it or by it is not false
+	excusedUntil   float64 // until then, no suspicion or death declared of it or by it is false
 	returnedAt     float64 // when its last pause or starvation ended
 }
 
