--- a/cmd/faultsim/engines.go
+++ b/cmd/faultsim/engines.go
@@ -18,8 +18,8 @@
 	progressInterval = 200 * time.Millisecond
 )
 
-// emulate runs an experiment with all seeds on the emulated engine. It runs as many seeds
-// at a time as there are processors.
+// emulate runs an experiment with all seeds on the emulated engine. It runs as many seeds at a time as there are
+// processors.
 func (o *runOptions) emulate(experiment *faultsim.Experiment, log *zap.Logger) ([]*faultsim.Result, error) {
 	options := faultsim.Options{Gateways: o.gateways, Log: log}
 	if err := o.applyBaseline(&options, experiment); err != nil {
--- a/cmd/faultsim/main_test.go
+++ b/cmd/faultsim/main_test.go
@@ -90,7 +90,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if output, err := execute(test.arguments...); err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got error %v, want one of one line: %s", err, output)
+				t.Errorf("got error %v, want an error of one line: %s", err, output)
 			}
 		})
 	}
--- a/internal/faultsim/oracle.go
+++ b/internal/faultsim/oracle.go
@@ -21,11 +21,11 @@
 	givenUp           map[belief]bool // the viewer gave up the member: it believes it to be dead or unreachable
 	pendingReturns    []pendingReturn
 	crashes           []*crash
-	undetectedCrashes map[int]*crash // by gateway: crashes that some gateway has not detected yet
-	statuses          map[membership.Status]map[int]bool
-	partialViews      map[int]bool
-	lastWrongAt       float64 // the last time at which any belief was wrong
-	lastStepAt        float64
+	undetectedCrashes map[int]*crash                     // by gateway: crashes that some gateway has not detected yet
+	statuses          map[membership.Status]map[int]bool // by status: the gateways that reported it
+	partialViews      map[int]bool                       // the gateways that reported a partial view
+	lastWrongAt       float64                            // the last time at which any belief was wrong
+	lastStepAt        float64                            // the time of the last step, at least second 0
 
 	FalseDeaths           int       // declared deaths of members that were up and reachable
 	FalseSuspicions       int       // suspicions of members that were up and reachable, per viewer
@@ -40,7 +40,7 @@
 	starved        bool
 	wrongBeliefsBy int     // number of its wrong beliefs about others
 	wrongBeliefsOf int     // number of wrong beliefs of others about it
-	excusedUntil   float64 // until then, no suspicion or death declared of it or by it is false
+	excusedUntil   float64 // until then, suspicions and deaths by it or of it don't count as false
 	returnedAt     float64 // when its last pause or starvation ended
 }
 
