--- a/cmd/faultsim/main_test.go
+++ b/cmd/faultsim/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// execute executes a command line and returns its output.
+// execute runs a command line and returns its output.
 func execute(arguments ...string) (string, error) {
 	cmd := rootCommand()
 	var output bytes.Buffer
@@ -32,7 +32,7 @@
 first_ms = BOUND
 `
 
-// writeExperiment writes a small experiment with a bound on first_ms and returns its path.
+// writeExperiment writes the file of a small experiment with a bound on first_ms and returns its path.
 func writeExperiment(t *testing.T, bound string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "small.toml")
@@ -47,34 +47,35 @@
 	first, second := filepath.Join(t.TempDir(), "a"), filepath.Join(t.TempDir(), "b")
 	output, err := execute("run", writeExperiment(t, "5000"), "--seeds", "2", "--report", first)
 	if err != nil || strings.Count(output, "small, emulated, seed") != 2 {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("run: got error %v, want the results of 2 seeds: %s", err, output)
 	}
 	output, err = execute("run", writeExperiment(t, "1"), "--report", second)
 	if !errors.Is(err, errExpectationNotMet) || !strings.Contains(output, "FAIL first_ms") {
-		t.Errorf("a bound of 1 ms: %v: %s", err, output)
+		t.Errorf("run with a bound of 1 ms: got error %v, want %v: %s", err, errExpectationNotMet, output)
 	}
 	output, err = execute("compare", first, second)
 	if err != nil || !strings.Contains(output, "first_ms") {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("compare: got error %v, want a row of first_ms: %s", err, output)
 	}
 }
 
 func TestCheck(t *testing.T) {
 	output, err := execute("check", writeExperiment(t, "1"))
 	if err != nil || !strings.Contains(output, "fine") {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("check: got error %v, want the output \"fine\": %s", err, output)
 	}
 }
 
-func TestRunPassesOverOtherEngine(t *testing.T) {
+// The run command skips an experiment that is only for another engine.
+func TestRunSkipsOtherEngine(t *testing.T) {
 	output, err := execute("run", "../../experiments/rules/drain.toml")
 	if err != nil || !strings.Contains(output, "passed over") {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("run: got error %v, want the output \"passed over\": %s", err, output)
 	}
 }
 
-// A wrong command line or file is an error of one line.
-func TestWrongCalls(t *testing.T) {
+// An invalid command line or file gives an error of one line.
+func TestInvalidCommandLines(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		arguments []string
@@ -89,7 +90,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if output, err := execute(test.arguments...); err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v: %s", err, output)
+				t.Errorf("got error %v, want an error of one line: %s", err, output)
 			}
 		})
 	}
