--- a/internal/faultsim/model/conn.go
+++ b/internal/faultsim/model/conn.go
@@ -29,7 +29,7 @@
 	}
 	delayMs := world.LinkMs
 	if c.gateway.Zone != c.host.Zone {
-		delayMs += world.FarMs
+		delayMs += world.CrossZoneDelayMs
 	}
 	generation := c.gateway.generation
 	world.At(world.Now()+delayMs, func() {
--- a/internal/faultsim/model/model.go
+++ b/internal/faultsim/model/model.go
@@ -17,14 +17,14 @@
 // World is the state that all models of one run share.
 type World struct {
 	Scheduler
-	Random    *rand.Rand
-	LinkMs    float64                      // one-way delay between a gateway and a host
-	FarMs     float64                      // additional one-way delay between zones
-	IsCut     func(gateway, host int) bool // whether the link between them loses everything
-	Groups    []*Group
-	Hosts     []*Host // including those that have ended
-	SlowStart SlowStart
-	Counters  Counters
+	Random           *rand.Rand
+	LinkMs           float64                      // one-way delay between a gateway and a host
+	CrossZoneDelayMs float64                      // additional one-way delay between zones
+	IsCut            func(gateway, host int) bool // whether the link between them loses everything
+	Groups           []*Group
+	Hosts            []*Host // including those that have ended
+	SlowStart        SlowStart
+	Counters         Counters
 
 	CheckAccounting bool  // have each core's accounting checked after each of its steps
 	AccountingError error // what the check found first
