--- a/internal/faultsim/model/conn.go
+++ b/internal/faultsim/model/conn.go
@@ -27,7 +27,7 @@
 	if world.IsCut(c.gateway.Index, c.host.Index) {
 		return
 	}
-	delayMs := world.LinkMs
+	delayMs := world.LinkDelayMs
 	if c.gateway.Zone != c.host.Zone {
 		delayMs += world.CrossZoneDelayMs
 	}
--- a/internal/faultsim/model/model.go
+++ b/internal/faultsim/model/model.go
@@ -18,7 +18,7 @@
 type World struct {
 	Scheduler
 	Random           *rand.Rand
-	LinkMs           float64                      // one-way delay between a gateway and a host
+	LinkDelayMs      float64                      // one-way delay between a gateway and a host
 	CrossZoneDelayMs float64                      // additional one-way delay between zones
 	IsCut            func(gateway, host int) bool // whether the link between them loses everything
 	Groups           []*Group
--- a/internal/faultsim/model/model_test.go
+++ b/internal/faultsim/model/model_test.go
@@ -49,10 +49,10 @@
 func newTestWorld() (*World, *testScheduler) {
 	scheduler := &testScheduler{}
 	world := &World{
-		Scheduler: scheduler,
-		Random:    rand.New(rand.NewPCG(1, 1)),
-		LinkMs:    0.3,
-		IsCut:     func(int, int) bool { return false },
+		Scheduler:   scheduler,
+		Random:      rand.New(rand.NewPCG(1, 1)),
+		LinkDelayMs: 0.3,
+		IsCut:       func(int, int) bool { return false },
 		SlowStart: SlowStart{
 			MinShare:         0.2,
 			WindowMs:         10_000,
--- a/internal/faultsim/model/watcher.go
+++ b/internal/faultsim/model/watcher.go
@@ -63,7 +63,7 @@
 			w.after(w.policy.TimedOut(polledAt, world.Now(), w.random.Float64()), w.poll)
 		}
 	})
-	w.after(world.LinkMs, func() {
+	w.after(world.LinkDelayMs, func() {
 		if w.pollNumber == number {
 			w.pollArrived(number, waitMs)
 		}
@@ -76,7 +76,7 @@
 	switch {
 	case w.revision == noRevision && !discovery.takeToken():
 		discovery.world.Counters.PollsRejected++
-		w.after(discovery.world.LinkMs, w.failed)
+		w.after(discovery.world.LinkDelayMs, w.failed)
 	case discovery.version > w.revision:
 		w.answer()
 	default:
@@ -99,7 +99,7 @@
 	updated := discovery.version > w.revision
 	version := discovery.version
 	hosts := append([]proxy.Host(nil), discovery.hosts...)
-	w.after(discovery.world.LinkMs, func() {
+	w.after(discovery.world.LinkDelayMs, func() {
 		_, notifiedAt := w.policy.Answered(discovery.world.Now())
 		w.revision = version
 		if updated {
--- a/internal/faultsim/request_simulation.go
+++ b/internal/faultsim/request_simulation.go
@@ -75,7 +75,7 @@
 	s.world = &model.World{
 		Scheduler:        s,
 		Random:           rand.New(rand.NewPCG(emulation.options.Seed, 12)),
-		LinkMs:           gatewayToHostLinkMs,
+		LinkDelayMs:      gatewayToHostLinkMs,
 		CrossZoneDelayMs: experiment.Network.CrossZoneDelayMs,
 		IsCut:            func(gateway, host int) bool { return len(s.cuts) > 0 && s.cuts[link{gateway, host}] > 0 },
 		CheckAccounting:  emulation.options.CheckAccounting,
