--- a/internal/faultsim/model/host.go
+++ b/internal/faultsim/model/host.go
@@ -106,7 +106,7 @@
 // accept accepts a new connection after a handshake, or refuses it.
 func (h *Host) accept(client *conn) {
 	if !h.Up || len(h.conns) >= h.MaxConns {
-		h.world.Counters.Refusals++
+		h.world.Counters.ConnsRefused++
 		client.refuse()
 		return
 	}
--- a/internal/faultsim/model/model.go
+++ b/internal/faultsim/model/model.go
@@ -50,7 +50,7 @@
 // Counters count events over all hosts and gateways.
 type Counters struct {
 	Handshakes           int
-	Refusals             int // of connections
+	ConnsRefused         int // of connections
 	Probes               int
 	Polls                int // of discovery
 	PollsRejected        int
--- a/internal/faultsim/model/model_test.go
+++ b/internal/faultsim/model/model_test.go
@@ -128,7 +128,7 @@
 		established, refused = established+handler.established, refused+handler.closed
 	}
 	if established != 3 || refused != 1 || host.Conns() != 3 ||
-		world.Counters.Handshakes != 3 || world.Counters.Refusals != 1 {
+		world.Counters.Handshakes != 3 || world.Counters.ConnsRefused != 1 {
 		t.Errorf("%d established, %d refused, %d open, %+v", established, refused, host.Conns(), world.Counters)
 	}
 	host.Kill()
