--- a/internal/faultsim/model/conn.go
+++ b/internal/faultsim/model/conn.go
@@ -8,20 +8,22 @@
 )
 
 var (
-	errRefused = errors.New("refused")
-	errReset   = errors.New("reset")
+	errRefused = errors.New("connection refused by the host")
+	errReset   = errors.New("connection reset by the host")
 )
 
-// conn is a connection between a gateway and a host. It is the gateway's end, and the host answers through it.
+// conn is a connection between a gateway and a host. Both ends use it: the gateway sends its commands through it, and the
+// host its answers.
 type conn struct {
 	gateway *Gateway
 	host    *Host
 	handler proxy.UpstreamHandler
-	closed  bool // by either end
+	closed  bool // the gateway has closed it, or was notified that the host has
 }
 
-// deliverToHost calls a function after the link's delay. If the link is cut at the beginning or at the end of the delay
-// the message is lost and the connection stays silent.
+// deliverToHost calls a function after the link's delay. The message is lost if the link is cut at the beginning or at the
+// end of the delay; neither end is notified of the loss. It is also dropped if the connection is closed or the gateway's
+// process ends in the meantime.
 func (c *conn) deliverToHost(deliver func()) {
 	world := c.host.world
 	if world.IsCut(c.gateway.Index, c.host.Index) {
@@ -39,8 +41,8 @@
 	})
 }
 
-// deliverToGateway calls a function within a round of the gateway's event loop, after the link's delay, which is the
-// same in both directions.
+// deliverToGateway calls a function in a round of the gateway's event loop after the link's delay. It uses deliverToHost, as
+// delay and losses are the same in both directions.
 func (c *conn) deliverToGateway(deliver func()) {
 	c.deliverToHost(func() { c.gateway.receive(deliver) })
 }
@@ -58,7 +60,7 @@
 	c.deliverToGateway(func() { c.handler.ResponseReceived(response) })
 }
 
-// reset ends the connection from the host's side.
+// reset closes the connection from the host's side.
 func (c *conn) reset() {
 	c.removeFromHost()
 	c.deliverToGateway(func() {
@@ -67,7 +69,7 @@
 	})
 }
 
-// Send sends a command, which counts as written at once.
+// Send sends a command, which must be a *Statement. It counts as written at once.
 func (c *conn) Send(command any, _ float64) {
 	statement := command.(*Statement)
 	c.handler.RequestWritten()
@@ -78,7 +80,7 @@
 	})
 }
 
-// Close ends the connection from the gateway's side. The handler is not called any more.
+// Close closes the connection from the gateway's side. No callback of the handler follows.
 func (c *conn) Close() {
 	c.closed = true
 	c.removeFromHost()
--- a/internal/faultsim/model/discovery.go
+++ b/internal/faultsim/model/discovery.go
@@ -9,18 +9,18 @@
 	"merlinjunction/routing"
 )
 
-// Discovery is the model of the service that publishes the endpoint list. It answers a bounded number of polls for the
-// full list each second and rejects the others; watches are answered without a bound.
+// Discovery is the model of the service that publishes the endpoint list. It answers a limited number of polls for the
+// full list per second and rejects the others. It answers watches without a limit.
 type Discovery struct {
 	MaxFullListsPerSecond float64 // 0: no limit
-	HideStartTimes        bool    // the list leaves out when hosts started
+	HideStartTimes        bool    // the list omits the times at which hosts started
 
 	world        *World
-	version      int // of the list
-	hosts        []proxy.Host
-	tokens       float64 // full lists that may be answered at once (token bucket)
-	refilledAtMs float64 // when tokens was last refilled
-	waiting      []*Watcher
+	revision     int          // of the endpoint list
+	hosts        []proxy.Host // entries of the endpoint list
+	tokens       float64      // token bucket: polls for the full list that may be answered at once
+	refilledAtMs float64      // when tokens was last refilled
+	waiting      []*Watcher   // watchers whose watch waits for the next revision
 }
 
 // NewDiscovery returns a Discovery whose list is empty.
@@ -28,9 +28,10 @@
 	return &Discovery{world: w, MaxFullListsPerSecond: maxFullListsPerSecond}
 }
 
-// Publish makes a new version of the list from the hosts' present state and answers all waiting watches with it.
+// Publish makes a new revision of the list from the hosts' current state and answers all waiting watches with it. Only
+// hosts that are up are listed.
 func (d *Discovery) Publish() {
-	d.version++
+	d.revision++
 	d.hosts = d.hosts[:0]
 	for _, host := range d.world.Hosts {
 		if host.Up {
@@ -44,7 +45,7 @@
 	}
 }
 
-// listEntry is a host as the list shows it. Listing a drain for the first time notifies the gateways of it.
+// listEntry returns the list's entry of a host. The time at which a drain is listed first becomes the host's NotifiedAt.
 func (d *Discovery) listEntry(host *Host) proxy.Host {
 	endpoint := routing.Endpoint{
 		ID:      host.ID,
@@ -65,7 +66,7 @@
 	return proxy.Host{Address: strconv.Itoa(host.Index), Endpoint: endpoint}
 }
 
-// takeToken admits one poll for the full list; false where the rate limit is exceeded.
+// takeToken reports whether the rate limit allows one more poll for the full list, and counts that poll if so.
 func (d *Discovery) takeToken() bool {
 	limit := d.MaxFullListsPerSecond
 	if limit <= 0 {
--- a/internal/faultsim/model/gateway.go
+++ b/internal/faultsim/model/gateway.go
@@ -14,48 +14,49 @@
 	"merlinjunction/routing"
 )
 
-// Gateway runs the program's own core of one gateway on virtual time.
+// Gateway runs the program's own core on virtual time, as the process of one gateway.
 type Gateway struct {
 	Index int
 	Zone  string
 
 	world              *World
-	core               *proxy.Core // nil while the process does not run
+	core               *proxy.Core // nil while the process is not running
 	timers             *eventloop.Timers
-	generation         int // of the process: events of earlier processes are void
+	generation         int // counts starts and ends of the process; events of an earlier process are ignored
 	paused             bool
-	received           []func() // input for the next round of the event loop
-	nextRoundAt        float64  // of the scheduled round; infinite: none
-	roundNumber        uint64   // of the scheduled round; earlier ones are void
+	inputQueue         []func() // calls that the next round of the event loop makes
+	nextRoundAt        float64  // time of the scheduled round; infinite: none
+	roundNumber        uint64   // number of the scheduled round; rounds with lower numbers are canceled
 	watcher            *Watcher
 	conns              map[*gatewayConn]struct{} // open connections to hosts
-	acknowledged       map[int]float64           // by session: position of the newest write that this process has acknowledged
-	pendingRequests    map[uint64]func()         // by request number: excuses a request whose process ends
+	acknowledged       map[int]float64           // by session: log position of its newest write that this process acknowledged
+	pendingRequests    map[uint64]func()         // by request number: ends the request as Excused
 	requestCount       uint64
 	requestsThisSecond float64
 }
 
-// maxTimerPasses bounds how often one round of the event loop fires timers.
+// maxTimerPasses is how many times one round of the event loop fires timers at most.
 const maxTimerPasses = 100
 
 // gatewayLimits are the connection and request limits of all gateways.
 var gatewayLimits = proxy.Limits{ConnectTimeoutMs: 250, HostIdleTimeoutMs: 10_000, MaxConns: 400, MaxRequests: 600}
 
-// NewGateway returns a gateway whose process does not run.
+// NewGateway returns a gateway whose process is not running.
 func (w *World) NewGateway(index int, zone string) *Gateway {
 	return &Gateway{Index: index, Zone: zone, world: w}
 }
 
-// Up reports whether the process runs.
+// Up reports whether the process is running.
 func (g *Gateway) Up() bool { return g.core != nil }
 
-// Conns is the number of open connections to hosts.
+// Conns returns the number of open connections to hosts.
 func (g *Gateway) Conns() int { return len(g.conns) }
 
-// Start starts the process. It knows no hosts until discovery has answered. An error means that settings are invalid.
+// Start starts the process, which knows no hosts until discovery has answered. It returns an error if settings are
+// invalid.
 func (g *Gateway) Start(settings routing.Settings, discovery *Discovery, seed uint64) error {
 	g.generation++
-	g.paused, g.received, g.nextRoundAt, g.requestsThisSecond = false, nil, math.Inf(1), 0
+	g.paused, g.inputQueue, g.nextRoundAt, g.requestsThisSecond = false, nil, math.Inf(1), 0
 	g.conns = map[*gatewayConn]struct{}{}
 	g.acknowledged, g.pendingRequests = map[int]float64{}, map[uint64]func(){}
 	clock := eventloop.VirtualClock(func() float64 { return Epoch + g.world.Now() })
@@ -67,18 +68,19 @@
 	if err != nil {
 		return err
 	}
-	g.watcher = discovery.watch(g, settings, seed)
+	g.watcher = discovery.startWatcher(g, settings, seed)
 	g.runRound()
 	return nil
 }
 
-// readProbeAnswer reads the body of a health check's answer. It holds nothing that proxy.Response does not.
+// readProbeAnswer reads nothing from the body of a health check's answer: proxy.Response already holds the host's role and
+// log position.
 func readProbeAnswer([]byte) (routing.Role, float64, bool) { return 0, 0, false }
 
-// Kill ends the process: its connections are closed, and its pending requests end as Excused.
+// Kill ends the process. Its connections are closed, and its pending requests end with the outcome Excused.
 func (g *Gateway) Kill() {
 	g.generation++
-	g.core, g.timers, g.received = nil, nil, nil
+	g.core, g.timers, g.inputQueue = nil, nil, nil
 	for _, host := range g.world.Hosts {
 		for _, conn := range append([]*conn(nil), host.connOrder...) {
 			if conn.gateway == g {
@@ -94,7 +96,7 @@
 	}
 }
 
-// Pause stops the process, as SIGSTOP does, or continues it.
+// Pause suspends the process, as SIGSTOP does, or resumes it if paused is false.
 func (g *Gateway) Pause(paused bool) {
 	g.paused = paused
 	if !paused && g.core != nil {
@@ -102,7 +104,7 @@
 	}
 }
 
-// SetRoster passes on which gateways share the hosts.
+// SetRoster sets, for a running process, which gateways share the hosts. The core and the schedule of polls depend on it.
 func (g *Gateway) SetRoster(roster *fleet.Roster) {
 	if g.core != nil {
 		g.core.SetRoster(roster)
@@ -111,25 +113,26 @@
 	}
 }
 
-// receive queues input and runs a round of the event loop at once, or when the process continues.
+// receive queues a call for the event loop and runs a round at once. While the process is paused, the call stays queued
+// until it resumes.
 func (g *Gateway) receive(input func()) {
-	g.received = append(g.received, input)
+	g.inputQueue = append(g.inputQueue, input)
 	if !g.paused {
 		g.runRound()
 	}
 }
 
-// runRound runs one round of the event loop and schedules the next one.
+// runRound runs one round of the event loop and schedules the next one for the time of the next timer.
 func (g *Gateway) runRound() {
 	if g.core == nil || g.paused {
 		return
 	}
-	received := g.received
-	g.received = nil
-	for _, input := range received {
+	inputs := g.inputQueue
+	g.inputQueue = nil
+	for _, input := range inputs {
 		input()
 	}
-	for range maxTimerPasses { // timers that are due at once are part of the round
+	for range maxTimerPasses { // timers that become due during the round are part of it
 		fired := g.timers.Fire()
 		g.core.Step()
 		g.checkAccounting()
@@ -142,8 +145,8 @@
 	}
 }
 
-// checkAccounting records the first connection or request that the core doesn't account for, where the World has that
-// checked.
+// checkAccounting records the first connection or request that the core does not account for. It does nothing unless
+// World.CheckAccounting is set.
 func (g *Gateway) checkAccounting() {
 	if !g.world.CheckAccounting || g.world.AccountingError != nil {
 		return
@@ -157,7 +160,7 @@
 	}
 }
 
-// scheduleRound schedules a round in place of the scheduled one, unless that one comes before it.
+// scheduleRound schedules a round at the given time. It replaces the round that is scheduled, unless that one is no later.
 func (g *Gateway) scheduleRound(at float64) {
 	if g.nextRoundAt <= at && g.nextRoundAt > g.world.Now() {
 		return
@@ -173,7 +176,7 @@
 	})
 }
 
-// TakeRequestCount returns the number of requests since its last call.
+// TakeRequestCount returns the number of requests since its last call or since the start of the process.
 func (g *Gateway) TakeRequestCount() float64 {
 	count := g.requestsThisSecond
 	g.requestsThisSecond = 0
--- a/internal/faultsim/model/model.go
+++ b/internal/faultsim/model/model.go
@@ -1,16 +1,16 @@
-// Package model has the fault simulator's models of a gateway's environment on virtual time: database hosts with cores,
-// a queue, a connection limit, a replicated log and slow start; discovery with a rate limit; and a driver that runs the
-// program's own core (package proxy, with the decisions in routing and fleet) against them. The models follow the
-// protocol pages. All times are milliseconds of virtual time, all rates are per second.
+// Package model holds the fault simulator's models of a gateway's environment, which run on virtual time. A database host
+// has cores, a queue, a connection limit, a replicated log and slow start. Discovery has a rate limit. A Gateway runs the
+// program's own core (package proxy, which uses the decisions of routing and fleet) against them. The models follow the
+// protocol pages. All times are milliseconds of virtual time, and all rates are per second.
 package model
 
 import "math/rand/v2"
 
-// Scheduler is the virtual clock. Functions that are scheduled for one time are called in the order of the At calls.
+// Scheduler is the virtual clock. It calls functions that are scheduled for the same time in the order of the At calls.
 type Scheduler interface {
-	// Now is the present time, ms.
+	// Now returns the current time in ms.
 	Now() float64
-	// At calls a function at a time in ms.
+	// At schedules a call of a function at the time ms.
 	At(ms float64, call func())
 }
 
@@ -20,26 +20,27 @@
 	Random           *rand.Rand
 	LinkDelayMs      float64                      // one-way delay between a gateway and a host
 	CrossZoneDelayMs float64                      // additional one-way delay between zones
-	IsCut            func(gateway, host int) bool // whether the link between them loses everything
+	IsCut            func(gateway, host int) bool // reports whether the link between them loses all messages
 	Groups           []*Group
-	Hosts            []*Host // including those that have ended
+	Hosts            []*Host // including those whose process has ended
 	SlowStart        SlowStart
 	Counters         Counters
 
-	CheckAccounting bool  // have each core's accounting checked after each of its steps
-	AccountingError error // what the check found first
+	CheckAccounting bool  // check the accounting of each gateway's core after each of its steps
+	AccountingError error // first error that the check found; nil: none
 }
 
-// SlowStart is how the capacity of a host grows after its start, as the gateways' settings describe it.
+// SlowStart describes how the capacity of a host grows after its start. The gateways' settings state the same.
 type SlowStart struct {
-	MinShare         float64 // share of its capacity that a host has at its start
-	WindowMs         float64 // until it has its full capacity
-	OverloadMultiple float64 // multiple of its share of UsualRate above which a host in slow start is overloaded
-	UsualRate        float64 // requests per second of one host when the load is spread evenly
-	OverloadWindowMs float64 // over which the rate of arrivals counts
+	MinShare         float64 // share of its full capacity that a host has at its start
+	WindowMs         float64 // time from its start until a host has its full capacity
+	OverloadMultiple float64 // a host in slow start is overloaded above this multiple of its capacity share of UsualRate
+	UsualRate        float64 // requests per second at one host when the load is spread evenly
+	OverloadWindowMs float64 // time over which arrivals are counted
 }
 
-// CapacityShare is the share of its full capacity that a host has which started at a time; NaN stands for long ago.
+// CapacityShare returns the share of its full capacity that a host has at the time now. startedAt is the time of its
+// start; NaN means long ago.
 func (s *SlowStart) CapacityShare(startedAt, now float64) float64 {
 	if !(now-startedAt < s.WindowMs) {
 		return 1
@@ -49,35 +50,37 @@
 
 // Counters count events over all hosts and gateways.
 type Counters struct {
-	Handshakes           int
-	ConnsRefused         int // of connections
-	Probes               int
-	Polls                int // of discovery
+	Handshakes           int // connections that hosts accepted
+	ConnsRefused         int // connections that hosts refused
+	Probes               int // health checks
+	Polls                int // polls of discovery
 	PollsRejected        int
-	Misdirected          int // writes at a replica
-	Overloads            int // of hosts in slow start
-	StatementsAfterDrain int // statements at a host past the grace period of its drain
-	DuplicateWrites      int // writes repeated past the deduplication window
-	Statements           int
+	Misdirected          int // writes misdirected to a replica
+	Overloads            int // times that a host in slow start became overloaded
+	StatementsAfterDrain int // statements that arrived after the grace period of the host's drain
+	DuplicateWrites      int // writes repeated after the deduplication window
+	Statements           int // requests that arrived at hosts
 }
 
-// Group is the hosts that hold the same data. At most one is the primary. Positions of its log are times.
+// Group is a set of hosts that hold the same data. At most one of them is the primary. Positions in its replicated log
+// are times.
 type Group struct {
 	Index   int
 	Primary *Host // nil: none
 
-	keys map[uint64]float64 // when each idempotency key was last used
+	keyUsedAt map[uint64]float64 // by idempotency key: when a write with it last completed
 }
 
-// SetPrimary makes a host the primary of its group; nil: none. The previous primary retains the position it had applied.
+// SetPrimary makes a host the primary of its group, or leaves the group without a primary if host is nil. The previous
+// primary keeps the log position that it has applied.
 func (g *Group) SetPrimary(host *Host) {
 	if previous := g.Primary; previous != nil && previous != host {
-		previous.appliedAsPrimary = previous.world.Now()
+		previous.positionAtDemotion = previous.world.Now()
 	}
 	g.Primary = host
 }
 
-// Statement is a command from a gateway to a host: a request, or a health check where Probe is set.
+// Statement is a command from a gateway to a host. It is a health check if Probe is set, and a request otherwise.
 type Statement struct {
 	Probe   bool
 	Write   bool
--- a/internal/faultsim/model/model_test.go
+++ b/internal/faultsim/model/model_test.go
@@ -26,7 +26,7 @@
 	s.entries = append(s.entries, scheduledCall{max(ms, s.now), call})
 }
 
-// runUntil makes the calls that are due until a time, earliest first.
+// runUntil makes the calls that are scheduled up to a time, earliest first, and advances the clock to that time.
 func (s *testScheduler) runUntil(ms float64) {
 	for {
 		next := -1
@@ -79,7 +79,7 @@
 	}
 }
 
-// recordingHandler is the gateway's side of a connection: it records what it is notified of.
+// recordingHandler is the gateway's handler of a connection. It counts its callbacks and records the responses.
 type recordingHandler struct {
 	established, closed, written int
 	responses                    []proxy.Response
@@ -94,7 +94,7 @@
 	h.responses = append(h.responses, response)
 }
 
-// dial connects to a host from a gateway of its own.
+// dial connects to a host from a new gateway.
 func dial(t *testing.T, world *World, address string) (*recordingHandler, proxy.UpstreamConn) {
 	t.Helper()
 	handler, gateway := &recordingHandler{}, world.NewGateway(0, "")
@@ -109,7 +109,8 @@
 	return handler, conn
 }
 
-// A host accepts connections up to its limit, each after a handshake, and refuses more. It resets all when killed.
+// Tests that a host accepts connections up to its limit, each after the work of a handshake, that it refuses more, and that
+// it resets all of them when it is killed.
 func TestConnectionLimitAndReset(t *testing.T) {
 	world, scheduler := newTestWorld()
 	host := world.AddHost(testHostConfig(), "h", "", world.Groups[0], math.NaN())
@@ -120,7 +121,7 @@
 	}
 	scheduler.runUntil(1)
 	if handlers[0].established != 0 {
-		t.Error("established before its handshake")
+		t.Error("the first connection is established before the work of its handshake is done")
 	}
 	scheduler.runUntil(20)
 	established, refused := 0, 0
@@ -129,7 +130,7 @@
 	}
 	if established != 3 || refused != 1 || host.Conns() != 3 ||
 		world.Counters.Handshakes != 3 || world.Counters.ConnsRefused != 1 {
-		t.Errorf("%d established, %d refused, %d open, %+v", established, refused, host.Conns(), world.Counters)
+		t.Errorf("%d established, %d refused, %d open, %+v; want 3, 1 and 3", established, refused, host.Conns(), world.Counters)
 	}
 	host.Kill()
 	scheduler.runUntil(40)
@@ -138,15 +139,16 @@
 		closed += handler.closed
 	}
 	if host.Conns() != 0 || closed != 4 {
-		t.Error("connections outlive their host")
+		t.Error("a killed host has connections, or a gateway was not notified of their end")
 	}
 	if _, err := (dialer{world.NewGateway(0, "")}).Dial("7", &recordingHandler{}); err == nil {
-		t.Error("an address without a host accepts connections")
+		t.Error("dialing an address without a host returned no error")
 	}
 }
 
-// A write runs at the primary only, its key is remembered for the deduplication window, and a replica shows the log of
-// one replication lag ago. A host that ceases to be the primary retains what it had applied.
+// Tests that a write runs at the primary only, that its idempotency key is remembered for the deduplication window, that a
+// replica is one replication lag behind the primary, and that the log position of a host does not go back when the host
+// ceases to be the primary.
 func TestReplicatedLog(t *testing.T) {
 	world, scheduler := newTestWorld()
 	group := world.Groups[0]
@@ -162,35 +164,35 @@
 	atFirst, atSecond := firstHandler.responses, secondHandler.responses
 	if len(atFirst) != 1 || atFirst[0].Outcome != routing.OutcomeOK || atFirst[0].Role != routing.RolePrimary ||
 		len(atSecond) != 1 || atSecond[0].Outcome != routing.OutcomeMisdirected {
-		t.Fatalf("%+v, %+v", atFirst, atSecond)
+		t.Fatalf("the primary answered %+v, want one OK; the replica answered %+v, want one misdirected", atFirst, atSecond)
 	}
 	if world.Counters.Misdirected != 1 || world.Counters.Statements != 2 {
-		t.Errorf("%+v", world.Counters)
+		t.Errorf("%+v; want 1 misdirected write and 2 statements", world.Counters)
 	}
 	if lag := first.appliedPosition() - second.appliedPosition(); lag != 30 {
-		t.Errorf("the replica is %.0f behind", lag)
+		t.Errorf("the replica is %.0f ms behind the primary, want 30", lag)
 	}
 	before := first.appliedPosition()
 	group.SetPrimary(second)
 	scheduler.runUntil(210)
 	if first.appliedPosition() < before || second.appliedPosition() != 210 {
-		t.Errorf("the previous primary's position is %.0f after %.0f", first.appliedPosition(), before)
+		t.Errorf("the previous primary's log position is %.0f, was %.0f before the change", first.appliedPosition(), before)
 	}
 	secondConn.Send(&Statement{Write: true, Key: 1}, 0)
 	scheduler.runUntil(300)
 	if world.Counters.DuplicateWrites != 0 {
-		t.Error("a repetition within the window counts as a duplicate")
+		t.Error("a write repeated within the deduplication window counts as a duplicate")
 	}
 	scheduler.runUntil(3000)
 	secondConn.Send(&Statement{Write: true, Key: 1}, 0)
 	scheduler.runUntil(3100)
 	if world.Counters.DuplicateWrites != 1 {
-		t.Error("a repetition past the window does not count as a duplicate")
+		t.Error("a write repeated after the deduplication window does not count as a duplicate")
 	}
 }
 
-// A host with a full queue rejects. A host in slow start is overloaded where more arrives than the rule allows, not
-// before.
+// Tests that a host with a full queue rejects statements, and that a host in slow start becomes overloaded and answers with
+// errors only once more statements arrive than the overload rule allows.
 func TestQueueLimitAndOverload(t *testing.T) {
 	world, scheduler := newTestWorld()
 	host := world.AddHost(testHostConfig(), "h", "", world.Groups[0], math.NaN())
@@ -206,28 +208,30 @@
 			rejected++
 		}
 	}
-	if rejected != 18 { // two run, twenty wait
-		t.Errorf("%d rejected", rejected)
+	if rejected != 18 { // of 40 statements 2 run and 20 wait
+		t.Errorf("%d statements were rejected, want 18", rejected)
 	}
 	scheduler.runUntil(2000)
 	host.StartedAt = 2000
 	handler.responses = nil
-	// 2.5 times a fifth of 50 per second are 25; with three times its root and three more 43 are allowed.
+	// The rule allows 2.5 times the share 0.2 of 50 statements per second, which is 25. The margin of 3*sqrt(25)+3 raises
+	// the limit to 43.
 	for i := range 60 {
 		scheduler.runUntil(2000 + 10*float64(i))
 		conn.Send(&Statement{}, 0)
 		if overloads := world.Counters.Overloads; i < 40 && overloads > 0 || i == 50 && overloads == 0 {
-			t.Fatalf("%d overloads after %d statements", overloads, i)
+			t.Fatalf("%d overloads after %d statements, want none before 40 and one by 50", overloads, i)
 		}
 	}
 	scheduler.runUntil(3000)
 	last := handler.responses[len(handler.responses)-1]
 	if world.Counters.Overloads != 1 || last.Outcome != routing.OutcomeError {
-		t.Errorf("%d overloads, the last answer is %+v", world.Counters.Overloads, last)
+		t.Errorf("%d overloads, the last answer is %+v; want 1 overload and an error", world.Counters.Overloads, last)
 	}
 }
 
-// Discovery answers polls for the full list up to its rate limit; a waiting watch is answered at once after a change.
+// Tests that discovery answers polls for the full list up to its rate limit, and that it answers waiting watches at once
+// when the list changes.
 func TestDiscoveryRateLimitAndWatch(t *testing.T) {
 	world, scheduler := newTestWorld()
 	config := testHostConfig()
@@ -246,7 +250,7 @@
 	}
 	scheduler.runUntil(5010)
 	if world.Counters.PollsRejected != 4 {
-		t.Errorf("%d of 6 polls at once were rejected, the limit is 2", world.Counters.PollsRejected)
+		t.Errorf("%d of 6 simultaneous polls were rejected, want 4 with a limit of 2 per second", world.Counters.PollsRejected)
 	}
 	scheduler.runUntil(20_000)
 	host := world.AddHost(config, "h1", "", world.Groups[0], 20_000)
@@ -260,6 +264,6 @@
 		}
 	}
 	if updated != 6 || host.NotifiedAt != 20_000 {
-		t.Errorf("%d of 6 have the update, notified at %.0f", updated, host.NotifiedAt)
+		t.Errorf("%d of 6 gateways have the update, which was notified at %.0f ms; want 6 and 20000", updated, host.NotifiedAt)
 	}
 }
--- a/internal/faultsim/model/request.go
+++ b/internal/faultsim/model/request.go
@@ -8,7 +8,7 @@
 	"merlinjunction/internal/proxy"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request as its client sees it.
 type Outcome int
 
 // The outcomes of requests.
@@ -17,30 +17,30 @@
 	Rejected
 	Failed
 	Lost    // no answer within lateAnswerLimitMs after its deadline
-	Excused // its gateway's process ended
+	Excused // the gateway's process ended during the request
 )
 
-// lateAnswerLimitMs is how long after a request's deadline an answer still counts.
+// lateAnswerLimitMs is how long after a request's deadline its answer is still accepted.
 const lateAnswerLimitMs = 500.0
 
-// noPosition is the position of a session that has written nothing.
+// noPosition is the required log position of a session without acknowledged writes.
 var noPosition = math.Inf(-1)
 
-// Completion is called with the outcome of a request, its latency in ms, and whether a read missed a write that its
-// session had been acknowledged.
+// Completion is called with the outcome of a request and its latency in ms. stale means that the request was a read, and
+// that its answer lacks a write of its session that had been acknowledged before the read was submitted.
 type Completion func(outcome Outcome, latencyMs float64, stale bool)
 
-// requestResponder receives a request's final answer. It implements the responder of proxy.Request.
+// requestResponder receives the final answer of a request, as the Responder of its proxy.Request.
 type requestResponder struct {
 	gateway          *Gateway
 	statement        *Statement
 	submittedAt      float64
-	requiredPosition float64 // newest write of the session that this process had acknowledged
+	requiredPosition float64 // log position of the session's newest write that the process had acknowledged
 	done             bool
 	complete         Completion
 }
 
-// finish ends the request once; later calls are ignored. position is the log position that the answer shows.
+// finish completes the request. Calls after the first are ignored. position is the log position of the answer.
 func (r *requestResponder) finish(outcome Outcome, position float64) {
 	if r.done {
 		return
@@ -55,24 +55,25 @@
 	r.complete(outcome, r.gateway.world.Now()-r.submittedAt, stale)
 }
 
-// Succeed ends the request with a host's answer, whose body is a log position.
+// Succeed completes the request as served. body is the body of the host's answer, a log position.
 func (r *requestResponder) Succeed(body []byte) {
 	r.finish(Served, math.Float64frombits(binary.LittleEndian.Uint64(body)))
 }
 
-// Reject ends a request that was shed.
+// Reject completes the request as rejected by load shedding.
 func (r *requestResponder) Reject(float64) { r.finish(Rejected, 0) }
 
-// Fail ends the request with an error.
+// Fail completes the request as failed.
 func (r *requestResponder) Fail([]byte) { r.finish(Failed, 0) }
 
-// acknowledge records that a write of a session is acknowledged.
+// acknowledge records the log position of an acknowledged write of a session, if it is the newest.
 func (g *Gateway) acknowledge(session int, position float64) {
 	if previous, ok := g.acknowledged[session]; !ok || position > previous {
 		g.acknowledged[session] = position
 	}
 }
 
+// acknowledgedPosition returns the log position of the newest acknowledged write of a session, or noPosition.
 func (g *Gateway) acknowledgedPosition(session int) float64 {
 	if position, ok := g.acknowledged[session]; ok {
 		return position
@@ -80,7 +81,8 @@
 	return noPosition
 }
 
-// Submit sends a client's request to the gateway, whose process must run. complete is called once.
+// Submit sends a client's request to the gateway, whose process must be running. complete is called once. timeLeftMs is the
+// time until the request's deadline.
 func (g *Gateway) Submit(class int, statement *Statement, group int, timeLeftMs float64, complete Completion) {
 	g.requestsThisSecond++
 	g.requestCount++
--- a/internal/faultsim/model/settings.go
+++ b/internal/faultsim/model/settings.go
@@ -6,10 +6,10 @@
 	"merlinjunction/routing"
 )
 
-// The classes of Settings, by their index in requests.
+// Indexes of the classes in Settings. Requests name their class by its index.
 const (
 	ClassEventualRead = iota // any replica may answer
-	ClassSessionRead         // must show what its session has written
+	ClassSessionRead         // must show the writes of its session
 	ClassWrite
 )
 
@@ -20,7 +20,7 @@
 	WriteDeadlineMs        = 2000.0
 )
 
-// Settings returns the routing settings of a deployment with such hosts and so many gateways.
+// Settings returns the routing settings of a deployment with the given slow start, hosts and number of gateways.
 func Settings(slowStart *SlowStart, hosts *HostConfig, gateways int) routing.Settings {
 	return routing.Settings{
 		Classes: []routing.Class{
--- a/internal/faultsim/model/watcher.go
+++ b/internal/faultsim/model/watcher.go
@@ -10,21 +10,22 @@
 	"merlinjunction/routing"
 )
 
-// noRevision is the revision of a Watcher that has received no list.
+// noRevision is the revision of a Watcher that has not received an endpoint list.
 const noRevision = -1
 
-// Watcher polls a Discovery for one process of a gateway, at the times that fleet.PollPolicy decides.
+// Watcher polls a Discovery for one process of a gateway. fleet.PollPolicy determines the times of the polls.
 type Watcher struct {
 	discovery  *Discovery
 	gateway    *Gateway
 	policy     fleet.PollPolicy
 	random     *rand.Rand
-	revision   int // of the list that the gateway has; noRevision: none
-	generation int // of the gateway's process
-	pollNumber int // of the outstanding poll; answers and time-outs of earlier polls are void
+	revision   int // of the gateway's endpoint list; noRevision: it has none
+	generation int // generation of the gateway's process that it polls for
+	pollNumber int // number of the outstanding poll; answers and time-outs of earlier polls are ignored
 }
 
-func (d *Discovery) watch(gateway *Gateway, settings routing.Settings, seed uint64) *Watcher {
+// startWatcher returns a Watcher that makes its first poll at once.
+func (d *Discovery) startWatcher(gateway *Gateway, settings routing.Settings, seed uint64) *Watcher {
 	watcher := &Watcher{
 		discovery:  d,
 		gateway:    gateway,
@@ -50,7 +51,7 @@
 	})
 }
 
-// poll sends a poll: for the full list at first, later a watch for a newer version.
+// poll sends a poll. It is for the full list until the gateway has one, and a watch for a newer revision afterwards.
 func (w *Watcher) poll() {
 	world := w.discovery.world
 	waitMs, timeoutMs := w.policy.NextPoll(w.revision != noRevision)
@@ -70,14 +71,16 @@
 	})
 }
 
-// pollArrived is what discovery does with a poll: it rejects it, answers it, or holds it as a watch for at most waitMs.
+// pollArrived handles a poll on the side of discovery. A poll for the full list is rejected above the rate limit. Any other
+// poll is answered at once if the list is newer than the gateway's. Otherwise it is held as a watch, which is answered at
+// the next Publish or after waitMs.
 func (w *Watcher) pollArrived(number int, waitMs float64) {
 	discovery := w.discovery
 	switch {
 	case w.revision == noRevision && !discovery.takeToken():
 		discovery.world.Counters.PollsRejected++
-		w.after(discovery.world.LinkDelayMs, w.failed)
-	case discovery.version > w.revision:
+		w.after(discovery.world.LinkDelayMs, w.pollFailed)
+	case discovery.revision > w.revision:
 		w.answer()
 	default:
 		discovery.waiting = append(discovery.waiting, w)
@@ -89,19 +92,19 @@
 	}
 }
 
-// answer ends the outstanding poll with the list in its present version.
+// answer ends the outstanding poll with the current revision of the list.
 func (w *Watcher) answer() {
 	discovery := w.discovery
 	if i := slices.Index(discovery.waiting, w); i >= 0 {
 		discovery.waiting = append(discovery.waiting[:i], discovery.waiting[i+1:]...)
 	}
 	w.pollNumber++
-	updated := discovery.version > w.revision
-	version := discovery.version
+	updated := discovery.revision > w.revision
+	revision := discovery.revision
 	hosts := append([]proxy.Host(nil), discovery.hosts...)
 	w.after(discovery.world.LinkDelayMs, func() {
 		_, notifiedAt := w.policy.Answered(discovery.world.Now())
-		w.revision = version
+		w.revision = revision
 		if updated {
 			w.gateway.receive(func() { w.gateway.core.UpdateHostsNotifiedAt(true, hosts, notifiedAt) })
 		}
@@ -109,8 +112,8 @@
 	})
 }
 
-// failed ends the outstanding poll with an error.
-func (w *Watcher) failed() {
+// pollFailed ends the outstanding poll with an error and schedules the next one.
+func (w *Watcher) pollFailed() {
 	w.pollNumber++
 	w.after(w.policy.Failed(w.discovery.world.Now(), w.random.Float64()), w.poll)
 }
