--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// floodRepetitions is how often a message is sent with the word FLOOD.
+// floodRepetitions is how many times a step with the word FLOOD sends its messages.
 const floodRepetitions = 5000
 
-// How expect names the ways in which a connection ends.
+// The ends of a connection, as the verb expect names them.
 const (
 	answerEOF    = "eof"
-	answerBroken = "broken" // in the middle of a message, or by a reset
-	answerCut    = "cut"    // broken, or an end after a row
+	answerBroken = "broken" // it ended in the middle of a message or with a reset
+	answerCut    = "cut"    // as answerBroken, or it ended after a complete row
 )
 
-// clientStep plays a step of one client.
+// clientStep plays a step on one client's connection.
 func (p *Player) clientStep(verb, client, rest string) error {
 	if verb == "send" {
 		return p.send(client, rest)
 	}
 	conn := p.clients[client]
 	if conn == nil {
-		return fmt.Errorf("no client %q", client)
+		return fmt.Errorf("client %q has no open connection", client)
 	}
 	switch verb {
 	case "expect":
@@ -35,13 +35,13 @@
 	case "half":
 		return conn.CloseWrite()
 	case "reset":
-		_ = conn.SetLinger(0) // an error means that the connection is gone already
+		_ = conn.SetLinger(0) // an error means that the connection has already ended
 	}
 	delete(p.clients, client)
 	return conn.Close()
 }
 
-// connect returns a client's connection, or a new one.
+// connect returns a client's connection, and opens it if the client has none.
 func (p *Player) connect(client string) (*net.TCPConn, error) {
 	if conn := p.clients[client]; conn != nil {
 		return conn, nil
@@ -55,7 +55,8 @@
 	return p.clients[client], nil
 }
 
-// send sends messages of a client in one packet.
+// send sends a client's messages in one packet. It replaces each $CLIENT followed by a space by that client's
+// BackendKeyData in hex.
 func (p *Player) send(client, text string) error {
 	conn, err := p.connect(client)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return err
 }
 
-// expect reads answers and compares them with what is wanted.
+// expect reads a client's answers and compares them with the wanted ones.
 func (p *Player) expect(client string, conn net.Conn, wanted []string) error {
 	if err := conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return err
@@ -87,20 +88,20 @@
 	for i, want := range wanted {
 		got, err := readAnswerOrEnd(conn, want)
 		if err != nil {
-			return fmt.Errorf("after %v: %w", wanted[:i], err)
+			return fmt.Errorf("after the answers %v: %w", wanted[:i], err)
 		}
-		if key, ok := strings.CutPrefix(got, answerKeyPrefix); ok {
+		if key, ok := strings.CutPrefix(got, backendKeyPrefix); ok {
 			p.cancelKeys[client] = key
 		}
 		if got != want && !strings.HasPrefix(got, want+":") {
-			return fmt.Errorf("after %v: want %s, got %s", wanted[:i], want, got)
+			return fmt.Errorf("after the answers %v: want %s, got %s", wanted[:i], want, got)
 		}
 	}
 	return nil
 }
 
-// readAnswerOrEnd reads a message, or the end of the connection, and names it as scenarios do. Where a cut is wanted,
-// the row before the end may arrive complete or not.
+// readAnswerOrEnd reads a message or the end of the connection, and names it as scenarios do. If answerCut is wanted, a
+// complete row may arrive before the end.
 func readAnswerOrEnd(conn net.Conn, want string) (string, error) {
 	got, err := ReadAnswer(conn)
 	if errors.Is(err, io.EOF) {
--- a/internal/testkit/client_message.go
+++ b/internal/testkit/client_message.go
@@ -12,11 +12,11 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// messageText is a client's message as scenarios write it: its kind and its arguments.
+// messageText is a client's message as scenarios write it, divided into its kind and its arguments.
 type messageText struct {
 	kind      string
 	rest      string   // everything after the kind
-	arguments []string // of rest; "-" stands for an empty one
+	arguments []string // the words of rest; "-" stands for an empty name
 }
 
 func parseMessageText(text string) messageText {
@@ -24,7 +24,7 @@
 	return messageText{kind: kind, rest: rest, arguments: strings.Fields(rest)}
 }
 
-// argument returns an argument by its index; empty if it is not given.
+// argument returns the argument at an index. It returns an empty string if the argument is missing or "-".
 func (m *messageText) argument(i int) string {
 	if i < len(m.arguments) && m.arguments[i] != "-" {
 		return m.arguments[i]
@@ -32,15 +32,19 @@
 	return ""
 }
 
-// EncodeMessage appends a client's message that is written as in scenarios:
+// EncodeMessage appends a client's message, which is written as in scenarios:
 //
-//	startup [DATABASE]                 of the user svc; the database is main by default
-//	query SQL                          close and describe: KIND NAME
-//	parse STATEMENT SQL                bind PORTAL STATEMENT [VALUES...]; NULL is a null
-//	execute PORTAL [ROW_LIMIT]         sync, flush, terminate
-//	raw HEX...                         these bytes
+//	startup [DATABASE]                      for the user svc; the default database is main
+//	query SQL
+//	parse STATEMENT SQL
+//	bind PORTAL STATEMENT [VALUES...]       NULL is the null value
+//	describe KIND NAME                      KIND is S for a statement, P for a portal
+//	execute PORTAL [ROW_LIMIT]
+//	close KIND NAME                         KIND as for describe
+//	sync, flush, terminate
+//	raw HEX...                              the bytes of the hex digits, without framing
 //
-// It fails on unknown kinds and on wrong hex digits.
+// A "-" stands for an empty name. EncodeMessage returns an error if the kind is unknown or if hex digits are invalid.
 func EncodeMessage(out []byte, text string) ([]byte, error) {
 	message := parseMessageText(text)
 	switch message.kind {
@@ -68,10 +72,10 @@
 	case "terminate":
 		return pg.AppendMessage(out, pg.MsgTerminate), nil
 	}
-	return nil, fmt.Errorf("unknown message %q", message.kind)
+	return nil, fmt.Errorf("unknown message kind %q", message.kind)
 }
 
-// appendStartup appends the startup message of the user svc; its argument is the database, main unless given.
+// appendStartup appends the startup message of the user svc. Its argument is the database; the default is main.
 func (m *messageText) appendStartup(out []byte) []byte {
 	database := "main"
 	if m.argument(0) != "" {
@@ -85,7 +89,7 @@
 	return pg.EndMessage(out, mark)
 }
 
-// appendParse appends a Parse: the statement's name, then its text.
+// appendParse appends a Parse with the statement's name and text.
 func (m *messageText) appendParse(out []byte) []byte {
 	_, sql, _ := strings.Cut(m.rest, " ")
 	out, mark := pg.BeginMessage(out, pg.MsgParse)
@@ -93,7 +97,7 @@
 	return pg.EndMessage(out, mark)
 }
 
-// appendBind appends a Bind: portal, statement, then the values as text.
+// appendBind appends a Bind with the portal, the statement and the values in text format.
 func (m *messageText) appendBind(out []byte) []byte {
 	out, mark := pg.BeginMessage(out, pg.MsgBind)
 	out = append(out, m.argument(0)+"\x00"+m.argument(1)+"\x00\x00\x00"...)
@@ -109,7 +113,7 @@
 	return pg.EndMessage(append(out, 0, 0), mark)
 }
 
-// appendExecute appends an Execute: the portal and the row limit.
+// appendExecute appends an Execute with the portal and the row limit. The default limit 0 means no limit.
 func (m *messageText) appendExecute(out []byte) []byte {
 	rowLimit, _ := strconv.Atoi(m.argument(1))
 	out, mark := pg.BeginMessage(out, pg.MsgExecute)
@@ -117,11 +121,11 @@
 	return pg.EndMessage(binary.BigEndian.AppendUint32(out, uint32(rowLimit)), mark)
 }
 
-// answerKeyPrefix begins the name of a BackendKeyData, before its body in hex.
-const answerKeyPrefix = "K:"
+// backendKeyPrefix is the prefix of a BackendKeyData in the name that ReadAnswer returns. The body in hex follows.
+const backendKeyPrefix = "K:"
 
-// ReadAnswer reads one message of the gateway and names it as scenarios do. Parameters and notices are skipped. At the
-// end of the connection the error is io.EOF or io.ErrUnexpectedEOF.
+// ReadAnswer reads one message of the gateway and names it as scenarios do. It skips messages of the types ParameterStatus
+// and NoticeResponse. At the end of the connection it returns io.EOF, or io.ErrUnexpectedEOF in the middle of a message.
 func ReadAnswer(r io.Reader) (string, error) {
 	for {
 		kind, body, err := stubserver.ReadMessage(r, maxMessageBody)
@@ -133,7 +137,7 @@
 		case pg.MsgParameterStatus, pg.MsgNoticeResponse:
 			continue
 		case pg.MsgBackendKeyData:
-			return answerKeyPrefix + hex.EncodeToString(body), nil
+			return backendKeyPrefix + hex.EncodeToString(body), nil
 		case pg.MsgCommandComplete:
 			return "C:" + strings.ReplaceAll(fields.Text(), " ", "_"), nil
 		case pg.MsgDataRow:
@@ -146,7 +150,7 @@
 	}
 }
 
-// errorName names an ErrorResponse by its SQLSTATE and, where there is one, its detail.
+// errorName returns the name of an ErrorResponse, which consists of its SQLSTATE and, if it has one, its detail.
 func errorName(fields *pg.FieldReader) string {
 	parts := map[byte]string{}
 	for part := fields.Byte(); part != 0; part = fields.Byte() {
--- a/internal/testkit/cluster.go
+++ b/internal/testkit/cluster.go
@@ -1,5 +1,5 @@
-// Package testkit holds what tests of several packages share: stub database hosts and a stub discovery, written from
-// the public descriptions of the protocols, and a small language for scenarios.
+// Package testkit holds test helpers that several packages share: stub database hosts, a stub discovery, and a Player
+// for scenario files. The stubs are written from the public descriptions of the protocols.
 package testkit
 
 import (
@@ -11,19 +11,20 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// Cluster is one group of stub hosts. They share a record of which value ran where. It serves their endpoint list.
+// Cluster is one group of stub hosts. It records which statement values ran at which hosts, and it is the HTTP handler of
+// the stub discovery, which serves the hosts' endpoint list.
 type Cluster struct {
-	mutex    sync.Mutex
-	hosts    map[string]*StubHost
-	order    []string // of the hosts' names
-	primary  string
-	runs     map[string][]string // by value: the hosts where it ran
-	revision int                 // of the endpoint list
-	changed  chan struct{}       // closed with the next revision
+	mutex     sync.Mutex
+	hosts     map[string]*StubHost
+	hostNames []string // in the order of the endpoint list
+	primary   string
+	runs      map[string][]string // by value: the names of the hosts where it ran, in order
+	revision  int                 // revision of the endpoint list
+	changed   chan struct{}       // closed when the next revision is published
 }
 
-// UnreachableHostConfig ends an operator's file whose test needs no host. It has one host at an address where nothing
-// listens, and the class "read" that any host may answer.
+// UnreachableHostConfig is the last part of an operator's file for tests that need no host. It has one host, at an address
+// where nothing listens, and the class "read", which any host may answer.
 const UnreachableHostConfig = `[[database]]
 name = "main"
 group = 0
@@ -39,22 +40,22 @@
 group = 0
 `
 
-// HostChange is a change of a stub host, in the words of scenarios.
+// HostChange is a change of a stub host, as scenarios write it.
 type HostChange string
 
 // The changes of a host.
 const (
-	ListDraining    HostChange = "drain"   // in the endpoint list
-	ListActive      HostChange = "active"  // in the endpoint list
-	ListLeft        HostChange = "left"    // in the endpoint list
-	MakePrimary     HostChange = "primary" // in place of the present primary
-	RejectAll       HostChange = "refuse"  // every statement gets SQLSTATE 53300
+	ListDraining    HostChange = "drain"   // the endpoint list shows the host as draining
+	ListActive      HostChange = "active"  // the endpoint list shows the host as active
+	ListLeft        HostChange = "left"    // the endpoint list shows that the host has left
+	MakePrimary     HostChange = "primary" // the host replaces the current primary
+	RejectAll       HostChange = "refuse"  // the host answers every statement with SQLSTATE 53300
 	AcceptAll       HostChange = "well"    // ends RejectAll
-	StopHost        HostChange = "down"    // connections are closed and refused
-	StartHost       HostChange = "up"
-	HoldGreeting    HostChange = "hold"    // new connections are accepted but not answered
+	StopHost        HostChange = "down"    // the host closes its connections and refuses new ones
+	StartHost       HostChange = "up"      // ends StopHost
+	HoldGreeting    HostChange = "hold"    // the host accepts new connections but does not answer their startup
 	ReleaseGreeting HostChange = "release" // ends HoldGreeting
-	CloseConns      HostChange = "drop"    // as a host does with idle ones
+	CloseConns      HostChange = "drop"    // the host closes its connections, as hosts do with idle ones
 )
 
 // Phases of a host in the endpoint list, as the discovery protocol names them.
@@ -64,7 +65,7 @@
 	phaseLeft     = "left"
 )
 
-// NewCluster starts hosts; the first one is the primary.
+// NewCluster starts a host for each name. The first host is the primary.
 func NewCluster(names ...string) (*Cluster, error) {
 	cluster := &Cluster{
 		hosts:   map[string]*StubHost{},
@@ -75,7 +76,7 @@
 	for _, name := range names {
 		host := newStubHost(cluster, name)
 		cluster.hosts[name] = host
-		cluster.order = append(cluster.order, name)
+		cluster.hostNames = append(cluster.hostNames, name)
 		if err := host.listener.Open(); err != nil {
 			return nil, err
 		}
@@ -83,13 +84,14 @@
 	return cluster, nil
 }
 
-// Change changes a host. It fails on unknown names and changes, and if the host can't listen again.
+// Change applies a change to a host. It returns an error if the name or the change is unknown, or if the host cannot listen
+// again.
 func (c *Cluster) Change(name string, change HostChange) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	host := c.hosts[name]
 	if host == nil {
-		return fmt.Errorf("no host %q", name)
+		return fmt.Errorf("the cluster has no host %q", name)
 	}
 	switch change {
 	case ListDraining:
@@ -117,12 +119,13 @@
 	case CloseConns:
 		host.listener.CloseConns()
 	default:
-		return fmt.Errorf("unknown word %q", change)
+		return fmt.Errorf("unknown host change %q", change)
 	}
 	return nil
 }
 
-// publish makes a new revision of the endpoint list and answers the waiting watches. The caller holds the lock.
+// publish sets a host's phase in a new revision of the endpoint list and answers the waiting watches. The caller holds the
+// mutex.
 func (c *Cluster) publish(host *StubHost, phase string) {
 	host.phase = phase
 	c.revision++
@@ -130,17 +133,17 @@
 	c.changed = make(chan struct{})
 }
 
-// Addr is the address that a host listens on.
+// Addr returns the address that a host listens on.
 func (c *Cluster) Addr(name string) string { return c.hosts[name].Addr() }
 
-// Runs returns the hosts where a value ran, in order.
+// Runs returns the names of the hosts where a value ran, in the order of the runs.
 func (c *Cluster) Runs(value string) []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return slices.Clone(c.runs[value])
 }
 
-// ServeHTTP answers a poll of discovery: with the list at once, or as a watch.
+// ServeHTTP answers a poll of discovery with the endpoint list. A watch is answered when its wait ends or the list changes.
 func (c *Cluster) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	stubserver.AwaitChange(r, func(since int) (bool, <-chan struct{}) {
 		c.mutex.Lock()
@@ -150,7 +153,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var endpoints []stubserver.Endpoint
-	for _, name := range c.order {
+	for _, name := range c.hostNames {
 		host := c.hosts[name]
 		endpoints = append(endpoints, stubserver.Endpoint{ID: name, Address: host.Addr(), Phase: host.phase})
 	}
--- a/internal/testkit/execute.go
+++ b/internal/testkit/execute.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	stateDivisionByZero = "22012" // an error in the statement itself
+	stateDivisionByZero = "22012" // an error that the statement itself causes
 	stateInternalError  = "XX000"
 
-	slowAnswer   = 80 * time.Millisecond  // of a statement with the word slow
-	pausedAnswer = 350 * time.Millisecond // between the halves of a large row with the word pause
+	slowAnswerDelay   = 80 * time.Millisecond  // delay of the answer to a statement with the directive slow
+	pausedAnswerDelay = 350 * time.Millisecond // pause between the halves of a large row with the directive pause
 )
 
-var rawBytes = regexp.MustCompile(`raw-([0-9a-f]+)`)
+var rawDirective = regexp.MustCompile(`raw-([0-9a-f]+)`)
 
-// execute runs the statement and records its values. It returns false if the connection has to end.
+// execute runs the statement and records a run of each of its values. It returns false if the connection has to end.
 func (s *hostSession) execute() bool {
 	write := strings.HasPrefix(s.statement.Text, "INSERT")
-	times, sqlstate := s.recordRun(write)
+	maxRuns, sqlstate := s.recordRun(write)
 	if sqlstate != "" {
 		return s.fail(sqlstate)
 	}
-	if done, open := s.injectFault(times); done {
+	if done, open := s.injectFault(maxRuns); done {
 		return open
 	}
 	if write {
@@ -41,9 +41,10 @@
 	return s.answerRead()
 }
 
-// recordRun records a run of each value and returns how often the one that ran most has run. If the host rejects the
-// statement, or a write is at a replica, it records nothing and returns the SQLSTATE to answer with.
-func (s *hostSession) recordRun(write bool) (times int, sqlstate string) {
+// recordRun records a run of each value. maxRuns is the largest number of runs that any of the values now has. If the host
+// rejects the statement, or if the statement is a write and the host a replica, recordRun records nothing and returns the
+// SQLSTATE of the answer.
+func (s *hostSession) recordRun(write bool) (maxRuns int, sqlstate string) {
 	cluster := s.host.cluster
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
@@ -55,42 +56,42 @@
 	}
 	for _, value := range s.statement.Values {
 		cluster.runs[value] = append(cluster.runs[value], s.host.Name)
-		times = max(times, len(cluster.runs[value]))
+		maxRuns = max(maxRuns, len(cluster.runs[value]))
 	}
-	return times, ""
+	return maxRuns, ""
 }
 
-// injectFault causes the fault that a word of the values asks for. done means that the statement has been answered, or
-// never will be; open that the connection remains open.
-func (s *hostSession) injectFault(times int) (done, open bool) {
-	words := s.words()
+// injectFault causes the fault that the directives of the statement request. done reports that the statement needs no
+// further answer. open reports that the connection remains open.
+func (s *hostSession) injectFault(maxRuns int) (done, open bool) {
+	directives := s.directives()
 	switch {
-	case strings.Contains(words, "fail"):
+	case strings.Contains(directives, "fail"):
 		return true, s.fail(stateDivisionByZero)
-	case strings.Contains(words, "error"):
+	case strings.Contains(directives, "error"):
 		return true, s.fail(stateInternalError)
-	case strings.Contains(words, "resetonce") && times > 1:
-	case strings.Contains(words, "reset"):
+	case strings.Contains(directives, "resetonce") && maxRuns > 1:
+	case strings.Contains(directives, "reset"):
 		stubserver.Reset(s.conn)
 		return true, false
-	case times == 1 && rawBytes.MatchString(words):
-		text, _ := hex.DecodeString(rawBytes.FindStringSubmatch(words)[1])
+	case maxRuns == 1 && rawDirective.MatchString(directives):
+		text, _ := hex.DecodeString(rawDirective.FindStringSubmatch(directives)[1])
 		_, _ = s.conn.Write(text)
 		s.hang()
 		return true, false
-	case strings.Contains(words, "hang"):
+	case strings.Contains(directives, "hang"):
 		s.hang()
 		return true, false
-	case strings.Contains(words, "slow"):
-		time.Sleep(slowAnswer)
+	case strings.Contains(directives, "slow"):
+		time.Sleep(slowAnswerDelay)
 	}
 	return false, true
 }
 
-// hang sends nothing until the gateway closes the connection.
+// hang sends nothing and discards input until the gateway closes the connection.
 func (s *hostSession) hang() { _, _ = io.Copy(io.Discard, s.conn) }
 
-// answerWrite answers an INSERT.
+// answerWrite answers an INSERT, with a row if it has RETURNING.
 func (s *hostSession) answerWrite() {
 	if strings.Contains(s.statement.Text, "RETURNING") {
 		s.out = stubserver.AppendRow(s.out, "v")
@@ -98,14 +99,15 @@
 	s.out = pg.AppendStrings(s.out, pg.MsgCommandComplete, "INSERT 0 1")
 }
 
-// answerRead answers a SELECT. It returns false if the connection has to end.
+// answerRead answers a SELECT with the rows that its directives request, or with one row. It returns false if the connection
+// has to end.
 func (s *hostSession) answerRead() bool {
-	words := s.words()
-	if _, size, ok := strings.Cut(words, "large"); ok {
-		return s.answerLarge(words, size)
+	directives := s.directives()
+	if _, size, ok := strings.Cut(directives, "large"); ok {
+		return s.answerLarge(directives, size)
 	}
 	rows := 1
-	if _, count, ok := strings.Cut(words, "rows"); ok {
+	if _, count, ok := strings.Cut(directives, "rows"); ok {
 		rows, _ = strconv.Atoi(count[:1])
 	}
 	for i := range rows {
@@ -115,12 +117,12 @@
 	return true
 }
 
-// answerLarge answers with one long row whose size begins with its length in KiB. It returns false if the connection
-// has to end.
-func (s *hostSession) answerLarge(words, size string) bool {
-	cut := strings.Contains(words, "cut")
-	pause := strings.Contains(words, "pause")
-	noise := strings.Contains(words, "noise")
+// answerLarge answers with one large row. size begins with the row's size in KiB; other text may follow. It returns false if
+// the connection has to end.
+func (s *hostSession) answerLarge(directives, size string) bool {
+	cut := strings.Contains(directives, "cut")
+	pause := strings.Contains(directives, "pause")
+	noise := strings.Contains(directives, "noise")
 	out := pg.AppendMessage(s.out, pg.MsgDataRow, largeRow(leadingNumber(size)<<10)...)
 	s.out = nil
 	if cut {
@@ -129,7 +131,7 @@
 	if pause {
 		_, _ = s.conn.Write(out[:len(out)/2])
 		out = out[len(out)/2:]
-		time.Sleep(pausedAnswer)
+		time.Sleep(pausedAnswerDelay)
 	}
 	if _, err := s.conn.Write(out); err != nil {
 		return false
@@ -145,7 +147,7 @@
 	return true
 }
 
-// largeRow returns the body of a DataRow with one value of a size in bytes.
+// largeRow returns the body of a DataRow whose only value has the given size in bytes.
 func largeRow(size int) []byte {
 	body := append([]byte{0, 1}, binary.BigEndian.AppendUint32(nil, uint32(size))...)
 	for i := range size {
@@ -154,7 +156,7 @@
 	return body
 }
 
-// leadingNumber returns the number that a text begins with; 0 if there is none.
+// leadingNumber returns the decimal number at the beginning of a text. It returns 0 if there is none.
 func leadingNumber(text string) int {
 	digits := strings.IndexFunc(text, func(char rune) bool { return char < '0' || char > '9' })
 	if digits < 0 {
--- a/internal/testkit/host.go
+++ b/internal/testkit/host.go
@@ -10,25 +10,27 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// StubHost is one host of a Cluster. Words in the values of a statement say what it does with it:
+// StubHost is one host of a Cluster. A value of a statement may contain these directives, which determine how the host
+// handles the statement:
 //
-//	fail           an error in the statement itself
-//	error          an internal error
-//	hang           no answer
-//	slow           a late answer
-//	reset          a reset of the connection; resetonce: only the first time
-//	raw-HEX        these bytes, only the first time
-//	twice          the answer is sent twice
-//	rowsN          N rows, of one digit
-//	largeN         one row of N KiB; with cut its second half is not sent, with pause it is sent later, and with noise
-//	               it is followed by bytes that are no message
+//	fail           answers with an error of the statement itself (22012)
+//	error          answers with an internal error (XX000)
+//	hang           does not answer
+//	slow           answers late
+//	reset          resets the connection
+//	resetonce      resets the connection at the value's first run only
+//	raw-HEX        sends these bytes instead of an answer and then hangs, at the value's first run only
+//	twice          sends the answer twice
+//	rowsN          answers with N rows; N is one digit
+//	largeN         answers with one row of N KiB. With cut, its second half is not sent. With pause, its second half is sent
+//	               later. With noise, bytes that are not a message follow it.
 type StubHost struct {
 	Name         string
 	cluster      *Cluster
 	listener     *stubserver.Listener
-	rejecting    bool          // every statement gets SQLSTATE 53300
-	greetingHeld chan struct{} // not nil: new connections wait until it is closed
-	phase        string        // in the endpoint list
+	rejecting    bool          // every statement is answered with SQLSTATE 53300
+	greetingHeld chan struct{} // if not nil, new connections wait until it is closed
+	phase        string        // phase in the endpoint list
 }
 
 func newStubHost(cluster *Cluster, name string) *StubHost {
@@ -37,10 +39,10 @@
 	return host
 }
 
-// Addr is the address that the host listens on.
+// Addr returns the address that the host listens on.
 func (h *StubHost) Addr() string { return h.listener.Address() }
 
-// serve answers one connection until it ends.
+// serve answers the messages of one connection until it ends.
 func (h *StubHost) serve(conn net.Conn) {
 	out, err := stubserver.AcceptStartup(conn)
 	if err != nil {
@@ -62,22 +64,22 @@
 	}
 }
 
-// maxMessageBody is far above what any test sends, bytes.
+// maxMessageBody is the largest accepted message body in bytes. It is far above what any test sends.
 const maxMessageBody = 64 << 20
 
 // hostSession is one connection to a stub host. It has one statement and one portal, both unnamed.
 type hostSession struct {
 	host      *StubHost
 	conn      net.Conn
-	out       []byte
+	out       []byte // answers that are not sent yet
 	statement stubserver.Statement
-	failed    bool // messages up to Sync are skipped
+	failed    bool // an error was sent; messages up to Sync are skipped
 }
 
-// words returns the values of the statement, whose words say what the host has to do.
-func (s *hostSession) words() string { return strings.Join(s.statement.Values, " ") }
+// directives returns the values of the statement in one text. The directives in it are described at StubHost.
+func (s *hostSession) directives() string { return strings.Join(s.statement.Values, " ") }
 
-// sendReady sends the pending answers and ReadyForQuery, with the host's role and log position.
+// sendReady sends the pending answers, the host's role and log position, and ReadyForQuery.
 func (s *hostSession) sendReady() {
 	cluster := s.host.cluster
 	cluster.mutex.Lock()
@@ -91,14 +93,14 @@
 	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "node_role", role)
 	s.out = pg.AppendStrings(s.out, pg.MsgParameterStatus, "replay_position", position)
 	s.out = pg.AppendReadyForQuery(s.out)
-	if strings.Contains(s.words(), "twice") {
+	if strings.Contains(s.directives(), "twice") {
 		s.out = append(s.out, s.out...)
 	}
 	_, _ = s.conn.Write(s.out)
 	s.out = nil
 }
 
-// fail answers with an error and skips the messages up to Sync. It returns true, as the connection remains open.
+// fail answers with an error and has the messages up to Sync skipped. It returns true because the connection remains open.
 func (s *hostSession) fail(sqlstate string) bool {
 	s.out = pg.ErrorResponse{SQLState: sqlstate, Message: "stub"}.AppendTo(s.out)
 	s.failed = true
@@ -133,7 +135,7 @@
 	return true
 }
 
-// query answers a simple Query.
+// query answers a simple Query. It returns false if the connection has to end.
 func (s *hostSession) query(body []byte) bool {
 	s.statement.ReadQuery(body)
 	text := s.statement.Text
--- a/internal/testkit/knownred_test.go
+++ b/internal/testkit/knownred_test.go
@@ -13,12 +13,12 @@
 import "testing"
 
 func TestGreen(t *testing.T) {}
-func TestRed(t *testing.T) { t.Error("red as ever") }
-func TestRedder(t *testing.T) {BODY}
+func TestRed(t *testing.T) { t.Error("this test always fails") }
+func TestRedVariant(t *testing.T) {BODY}
 `
 
-// writeModule writes a module with a test that passes, one that fails, and TestRedder with a body; it returns its
-// folder.
+// writeModule writes a module and returns its folder. Of its tests TestGreen passes, TestRed fails, and TestRedVariant has
+// the given body.
 func writeModule(t *testing.T, body string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -34,22 +34,22 @@
 	}
 }
 
-// The check passes over exactly the tests that KNOWN-RED.txt lists, prints and runs them separately, and fails on a
-// list that is not well formed.
+// Tests that .ci/test ignores failures of exactly the tests that KNOWN-RED.txt lists, that it prints these and runs them
+// separately, and that it fails if the list is malformed.
 func TestKnownRedTests(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/test")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const noList = "-"
-	const wrongForm = "TestRed: TestName | command and seed | what was seen | issue is asked for"
+	const malformedLineMessage = "TestRed: TestName | command and seed | what was seen | issue is asked for"
 	for _, test := range []struct {
-		name   string
-		list   string // noList: the file does not exist
-		redder string // body of TestRedder
-		passes bool
-		want   []string // in the output
-		not    string   // in the output
+		name        string
+		list        string   // content of KNOWN-RED.txt; noList: the file does not exist
+		variantBody string   // body of TestRedVariant
+		passes      bool     // whether .ci/test must pass
+		want        []string // texts that the output must contain
+		absent      string   // text that the output must not contain; empty: none
 	}{
 		{
 			name: "no list",
@@ -57,15 +57,15 @@
 			want: []string{"--- FAIL: TestRed "},
 		},
 		{
-			name: "empty list",
-			want: []string{"--- FAIL: TestRed "},
-			not:  "known red",
+			name:   "empty list",
+			want:   []string{"--- FAIL: TestRed "},
+			absent: "known red",
 		},
 		{
-			name: "comments only",
-			list: "# nothing yet\n\n",
-			want: []string{"--- FAIL: TestRed "},
-			not:  "known red",
+			name:   "comments only",
+			list:   "# nothing yet\n\n",
+			want:   []string{"--- FAIL: TestRed "},
+			absent: "known red",
 		},
 		{
 			name:   "listed test",
@@ -74,14 +74,14 @@
 			want: []string{
 				"known red: TestRed: a real fault (issue 16; go test ., seed 3)",
 				"TestRed is still red",
-				"red as ever",
+				"this test always fails",
 			},
 		},
 		{
-			name:   "a listed name is no prefix of others",
-			list:   "TestRed | go test . | a real fault | 16",
-			redder: `t.Error("worse")`,
-			want:   []string{"TestRed is still red", "worse"},
+			name:        "listed name is a prefix of another name",
+			list:        "TestRed | go test . | a real fault | 16",
+			variantBody: `t.Error("worse")`,
+			want:        []string{"TestRed is still red", "worse"},
 		},
 		{
 			name:   "listed test that passes",
@@ -91,33 +91,33 @@
 		},
 		{
 			name: "no such test",
-			list: "TestGone | go test . | a fault | 16\n",
-			want: []string{"no test has the name TestGone"},
+			list: "TestMissing | go test . | a fault | 16\n",
+			want: []string{"no test has the name TestMissing"},
 		},
 		{
 			name: "empty issue",
 			list: "TestRed | go test . | a fault |\n",
-			want: []string{"line 1: " + wrongForm},
+			want: []string{"line 1: " + malformedLineMessage},
 		},
 		{
 			name: "three fields",
 			list: "TestRed | a fault | 16\n",
-			want: []string{"line 1: " + wrongForm},
+			want: []string{"line 1: " + malformedLineMessage},
 		},
 		{
 			name: "empty command",
 			list: "TestRed | | a fault | 16\n",
-			want: []string{"line 1: " + wrongForm},
+			want: []string{"line 1: " + malformedLineMessage},
 		},
 		{
 			name: "name only",
 			list: "TestRed\n",
-			want: []string{"line 1: " + wrongForm},
+			want: []string{"line 1: " + malformedLineMessage},
 		},
 		{
 			name: "five fields",
 			list: "\nTestRed | a | b | c | d\n",
-			want: []string{"line 2: " + wrongForm},
+			want: []string{"line 2: " + malformedLineMessage},
 		},
 		{
 			name: "pattern",
@@ -125,26 +125,26 @@
 			want: []string{`line 1: "Test.*" is no test's name`},
 		},
 		{
-			name: "days and runs of the soak pass over nothing",
+			name: "entries for days and soak runs skip no test",
 			list: "day herd+mass | bench, seed 3 | a drain | 16\nsoak 27 | faultsim soak | a loss | 16\nTestRed | c | a | 1\n",
 			want: []string{
 				"known red: day herd+mass: a drain (issue 16; bench, seed 3)", "known red: soak 27: a loss", "TestRed is still red",
 			},
-			redder: `t.Error("not listed")`,
+			variantBody: `t.Error("not listed")`,
 		},
 		{
-			name: "a day without a name",
+			name: "day entry without a name",
 			list: "day | c | a | 1\n",
 			want: []string{`line 1: "day" is no test's name`},
 		},
 		{
 			name: "too many tests",
-			list: "TestRed|c|a|1\nTestRedder|c|a|1\nTestGreen|c|a|1\nTestGreen|c|a|1\n",
+			list: "TestRed|c|a|1\nTestRedVariant|c|a|1\nTestGreen|c|a|1\nTestGreen|c|a|1\n",
 			want: []string{"lists 4 tests, 3 at most"},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			dir := writeModule(t, test.redder)
+			dir := writeModule(t, test.variantBody)
 			if test.list != noList {
 				writeFile(t, filepath.Join(dir, "KNOWN-RED.txt"), test.list)
 			}
@@ -153,15 +153,15 @@
 			cmd.Env = append(os.Environ(), "GOFLAGS=-mod=mod", "GOWORK=off")
 			output, err := cmd.CombinedOutput()
 			if (err == nil) != test.passes {
-				t.Errorf("passes %v, %v\n%s", err == nil, err, output)
+				t.Errorf("passes: %v (%v), want %v\n%s", err == nil, err, test.passes, output)
 			}
 			for _, want := range test.want {
 				if !strings.Contains(string(output), want) {
-					t.Errorf("%q is not in\n%s", want, output)
+					t.Errorf("%q is missing in the output\n%s", want, output)
 				}
 			}
-			if test.not != "" && strings.Contains(string(output), test.not) {
-				t.Errorf("%q is in\n%s", test.not, output)
+			if test.absent != "" && strings.Contains(string(output), test.absent) {
+				t.Errorf("%q must not be in the output\n%s", test.absent, output)
 			}
 		})
 	}
--- a/internal/testkit/player.go
+++ b/internal/testkit/player.go
@@ -13,33 +13,34 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// stepTimeout bounds each wait of a scenario. It is generous: a slow machine must not change a verdict.
+// stepTimeout limits each wait of a scenario. It is long so that a slow machine does not change a verdict.
 const stepTimeout = 10 * time.Second
 
-// readyPollInterval is the time between attempts to use a gateway that is starting.
+// readyPollInterval is the time between attempts to query a gateway that is starting.
 const readyPollInterval = 10 * time.Millisecond
 
 // Gateway is the program under test.
 type Gateway interface {
-	// Addrs are the addresses for clients, for the agent check and for the HTTP health check.
+	// Addrs returns the addresses for clients, for the agent check and for the HTTP health check.
 	Addrs() (clients, agent, http string)
 	// Stop begins a graceful shutdown.
 	Stop()
-	// Wait returns when the program has ended, with its error.
+	// Wait waits until the program has ended and returns its error.
 	Wait() error
 }
 
-// Player plays scenarios against a gateway.
+// Player plays the steps of scenarios against a gateway.
 type Player struct {
 	Cluster *Cluster
 	Gateway Gateway
 
 	clients    map[string]*net.TCPConn
-	variables  map[string]string // $NAME stands for its value
-	cancelKeys map[string]string // by client: its BackendKeyData in hex; $CLIENT stands for it in messages
+	variables  map[string]string // by name: the value that replaces $NAME in a step
+	cancelKeys map[string]string // by client: its BackendKeyData in hex, which replaces $CLIENT in messages
 }
 
-// NewPlayer starts hosts and the gateway and waits until it serves. Both end with the test.
+// NewPlayer starts the hosts and the gateway and waits until the gateway serves queries. At the end of the test it stops the
+// gateway, and the test fails if the gateway ends with an error.
 func NewPlayer(tb testing.TB, start StartGateway, hosts ...string) *Player {
 	tb.Helper()
 	cluster, err := NewCluster(hosts...)
@@ -62,19 +63,19 @@
 		if p.Step("send ready startup | query") == nil && p.Step("expect ready R K Z I Z") == nil {
 			return p
 		}
-		_ = p.Step("close ready") // it may not have been opened
+		_ = p.Step("close ready") // an error means that the connection was not opened
 	}
-	tb.Fatal("the gateway never got ready")
+	tb.Fatal("the gateway did not become ready within the step timeout")
 	return nil
 }
 
-// Init prepares a Player that NewPlayer has not made.
+// Init initializes a Player that NewPlayer did not create. The caller sets the exported fields that its steps need.
 func (p *Player) Init() {
 	p.clients = map[string]*net.TCPConn{}
 	p.cancelKeys = map[string]string{}
 }
 
-// Step plays one line of a scenario. An error says what differs from the expectation, or what is wrong with the line.
+// Step plays one line of a scenario. It returns an error if the outcome differs from the expectation or the line is invalid.
 func (p *Player) Step(line string) error {
 	for name, value := range p.variables {
 		line = strings.ReplaceAll(line, "$"+name, value)
@@ -104,27 +105,27 @@
 	case "exit":
 		return p.Gateway.Wait()
 	}
-	return fmt.Errorf("unknown word %q", verb)
+	return fmt.Errorf("unknown verb %q", verb)
 }
 
-// hostStep plays a step on hosts, or checks what ran at them.
+// hostStep plays a step that changes hosts or checks what ran at them.
 func (p *Player) hostStep(verb, name, rest string) error {
 	switch verb {
 	case "host":
 		return p.Cluster.Change(name, HostChange(rest))
 	case "all":
-		for _, host := range p.Cluster.order {
+		for _, host := range p.Cluster.hostNames {
 			if err := p.Cluster.Change(host, HostChange(name)); err != nil {
 				return err
 			}
 		}
 	case "ran":
 		if runs := p.Cluster.Runs(name); !slices.Equal(strings.Fields(rest), runs) {
-			return fmt.Errorf("got %v", runs)
+			return fmt.Errorf("the value %q ran at the hosts %v, want [%s]", name, runs, rest)
 		}
 	case "count":
 		if count := strconv.Itoa(len(p.Cluster.Runs(name))); count != rest {
-			return fmt.Errorf("got %s", count)
+			return fmt.Errorf("the value %q ran %s times, want %s", name, count, rest)
 		}
 	}
 	return nil
@@ -135,11 +136,11 @@
 	return time.Duration(ms) * time.Millisecond, err
 }
 
-// awaitIdle waits until the gateway has no request in flight.
+// awaitIdle waits until the gateway has no request in flight. It returns an error if that takes longer than the time-out.
 func (p *Player) awaitIdle(timeoutMs string) error {
 	gateway, ok := p.Gateway.(interface{ RequestsInFlight() int })
 	if !ok {
-		return errors.New("the gateway doesn't report what is in flight")
+		return errors.New("the gateway does not report its number of requests in flight")
 	}
 	timeout, err := parseMilliseconds(timeoutMs)
 	if err != nil {
@@ -147,7 +148,7 @@
 	}
 	for deadline := time.Now().Add(timeout); gateway.RequestsInFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d requests are in flight", gateway.RequestsInFlight())
+			return fmt.Errorf("%d requests are in flight after %v, want none", gateway.RequestsInFlight(), timeout)
 		}
 	}
 	return nil
--- a/internal/testkit/seed/seed.go
+++ b/internal/testkit/seed/seed.go
@@ -1,11 +1,11 @@
-// Package seed makes the property tests of a package that imports it draw the same cases each time, so that CI has one
-// verdict; -rapid.seed draws others.
+// Package seed fixes the random seed of property tests, so that every run of CI checks the same cases and gives the same
+// verdict. The test files of a package import it for this effect. The flag -rapid.seed sets another seed.
 package seed
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // whose flag this sets
+	_ "pgregory.net/rapid" // registers the flag that init sets
 )
 
 func init() {
