--- a/internal/faultsim/model/gateway.go
+++ b/internal/faultsim/model/gateway.go
@@ -35,7 +35,7 @@
 	requestsThisSecond float64
 }
 
-// maxTimerPasses is how many times one round of the event loop fires timers at most.
+// maxTimerPasses limits how many times one round of the event loop fires timers.
 const maxTimerPasses = 100
 
 // gatewayLimits are the connection and request limits of all gateways.
