--- a/internal/faultsim/soak/client.go
+++ b/internal/faultsim/soak/client.go
@@ -13,7 +13,7 @@
 const (
 	// startupTimeout is how long a client waits for the answer to a startup message that it sent along with a request.
 	startupTimeout = 2 * time.Second
-	// firstRequestWindow is how long the gateway must wait at least for the first request of a new connection.
+	// firstRequestWindow is the minimum time that the gateway must wait for the first request of a new connection.
 	firstRequestWindow = 100 * time.Millisecond
 )
 
--- a/internal/faultsim/soak/client_requests.go
+++ b/internal/faultsim/soak/client_requests.go
@@ -124,7 +124,7 @@
 	c.requestCount++
 	drawn := &deployed.Classes[c.draw.IntN(len(deployed.Classes))]
 	switch {
-	case c.behavior == clientOverlaps && c.draw.chance(0.5): // stays open longest at a host that hangs
+	case c.behavior == clientOverlaps && c.draw.chance(0.5): // such requests stay open longest at a host that hangs
 		drawn = deployed.longestWriteClass()
 	case deployed.Extended && c.draw.chance(0.5):
 		drawn = c.preparedClass
--- a/internal/faultsim/soak/config_file.go
+++ b/internal/faultsim/soak/config_file.go
@@ -110,10 +110,10 @@
 	Group int
 }
 
-// operatorClass adds the methods to a class that the template calls.
+// operatorClass adds to a class the methods that the template calls.
 type operatorClass struct{ class }
 
-// IsWrite reports whether the class is one of writes.
+// IsWrite reports whether the requests of the class are writes.
 func (c operatorClass) IsWrite() bool { return c.isWrite() }
 
 // operatorConfig returns the operator's configuration file, with discovery at an address.
--- a/internal/faultsim/soak/deployment.go
+++ b/internal/faultsim/soak/deployment.go
@@ -45,7 +45,7 @@
 	ObjectiveMs   float64 // latency objective
 	DeadlineMs    float64
 	Weight        float64 // priority weight
-	LateWeight    float64 // share of Weight that an answer after the latency objective has
+	LateWeight    float64 // share of Weight that counts for an answer after the latency objective
 }
 
 func (c *class) isWrite() bool { return c.Consistency == consistencyWrite }
--- a/internal/faultsim/soak/discovery.go
+++ b/internal/faultsim/soak/discovery.go
@@ -17,7 +17,7 @@
 	discoverySilent         discoveryFault = "silent" // polls and watches get no response
 	discoveryBusy           discoveryFault = "busy"   // responds with status 503
 	discoveryCutsResponses  discoveryFault = "cuts"   // closes the connection in the middle of a response
-	discoveryIgnoresWatches discoveryFault = "quiet"  // watches open at its start get no response, new ones do
+	discoveryIgnoresWatches discoveryFault = "quiet"  // watches that are open when the fault begins get no response
 )
 
 var discoveryFaults = []discoveryFault{discoverySilent, discoveryBusy, discoveryCutsResponses, discoveryIgnoresWatches}
@@ -31,7 +31,7 @@
 	fault    discoveryFault
 	revision int
 	changed  chan struct{} // closed at the next change of revision or fault
-	frozen   chan struct{} // closed when discoveryIgnoresWatches begins; the open watches then get no response
+	frozen   chan struct{} // closed when discoveryIgnoresWatches begins; the watches that are open then get no response
 	// notifiedOnPublish means that the gateway counts as notified of an endpoint update as soon as it is published: lists are
 	// pushed, and no step of the run can delay the notification.
 	notifiedOnPublish bool
@@ -83,7 +83,8 @@
 	d.recordPublished()
 }
 
-// wakeWatches makes the waiting watches check the revision and the fault again. The caller holds the lock.
+// wakeWatches ends the wait of all open watches. ServeHTTP then responds to each as the present fault requires. The caller
+// holds the lock.
 func (d *discovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
--- a/internal/faultsim/soak/host_session.go
+++ b/internal/faultsim/soak/host_session.go
@@ -218,8 +218,8 @@
 }
 
 // sendAnswerTwice sends the answer, and the same answer again after repeatDelay. It omits the copy if more than
-// maxRepeatDelay has passed: the gateway cannot wait longer before it uses the connection again, and could then not tell the
-// copy from the answer to the next command.
+// maxRepeatDelay has passed. The gateway cannot wait longer before it uses the connection again, and could not distinguish a
+// later copy from the answer to the next command.
 func (s *hostSession) sendAnswerTwice() bool {
 	again := append([]byte(nil), s.out...)
 	if !s.sendReady() {
--- a/internal/faultsim/soak/record.go
+++ b/internal/faultsim/soak/record.go
@@ -25,7 +25,7 @@
 	value       int  // the value that a write stores
 	firstOnConn bool // the first one on its connection, sent within firstRequestWindow
 
-	sentAt        time.Time // when the write of its last byte returned; zero: it was not sent whole
+	sentAt        time.Time // when the write of its last byte returned, even with an error; zero: it was never written
 	deadlineStart time.Time // the later of sentAt and the previous answer on its connection
 	answeredAt    time.Time
 	outcome       outcome
@@ -89,7 +89,7 @@
 	return found, started
 }
 
-// recordIdleClose records that a host closed a connection because the gateway left it unused for the idle limit of hosts.
+// recordIdleClose records that a host closed a connection because the gateway left it unused for HostIdleMs.
 func (r *recorder) recordIdleClose(h *host) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/faultsim/soak/rules.go
+++ b/internal/faultsim/soak/rules.go
@@ -12,8 +12,9 @@
 	answerTolerance    = 500 * time.Millisecond // how long after its deadline an answer is still accepted
 	extraReadTime      = 500 * time.Millisecond // how much longer a client waits, to tell a late answer from a missing one
 	timeTolerance      = 50 * time.Millisecond  // added to each time limit that is checked on sockets
-	abandonedTolerance = 300 * time.Millisecond // how long an abandoned request may still be sent to hosts
-	// processEndTolerance is the last part of the process's lifetime. A request that is sent in it may stay unread.
+	abandonedTolerance = 300 * time.Millisecond // how long after its client has left a request may still be sent to hosts
+	// processEndTolerance is the time before the end of the gateway's process in which a request may be sent without being
+	// read.
 	processEndTolerance = 20 * time.Millisecond
 )
 
