--- a/internal/faultsim/model/conn.go
+++ b/internal/faultsim/model/conn.go
@@ -21,9 +21,9 @@
 	closed  bool // the gateway has closed it, or was notified that the host has
 }
 
-// deliverToHost calls a function after the link's delay. The message is lost if the link is cut at the beginning or at the
-// end of the delay; neither end is notified of the loss. It is also dropped if the connection is closed or the gateway's
-// process ends in the meantime.
+// deliverToHost calls a function after the link's delay, as the delivery of a message. The message is lost if the link is
+// cut at the beginning or at the end of the delay, and neither end is notified of the loss. The message is also dropped if
+// the connection is closed or the gateway's process ends during the delay.
 func (c *conn) deliverToHost(deliver func()) {
 	world := c.host.world
 	if world.IsCut(c.gateway.Index, c.host.Index) {
--- a/internal/faultsim/model/gateway.go
+++ b/internal/faultsim/model/gateway.go
@@ -19,20 +19,20 @@
 	Index int
 	Zone  string
 
-	world              *World
-	core               *proxy.Core // nil while the process is not running
-	timers             *eventloop.Timers
-	generation         int // counts starts and ends of the process; events of an earlier process are ignored
-	paused             bool
-	inputQueue         []func() // calls that the next round of the event loop makes
-	nextRoundAt        float64  // time of the scheduled round; infinite: none
-	roundNumber        uint64   // number of the scheduled round; rounds with lower numbers are canceled
-	watcher            *Watcher
-	conns              map[*gatewayConn]struct{} // open connections to hosts
-	acknowledged       map[int]float64           // by session: log position of its newest write that this process acknowledged
-	pendingRequests    map[uint64]func()         // by request number: ends the request as Excused
-	requestCount       uint64
-	requestsThisSecond float64
+	world           *World
+	core            *proxy.Core // nil while the process is not running
+	timers          *eventloop.Timers
+	generation      int // counts starts and ends of the process; events of an earlier process are ignored
+	paused          bool
+	inputQueue      []func() // calls that the next round of the event loop makes
+	nextRoundAt     float64  // time of the scheduled round; infinite: none
+	roundNumber     uint64   // number of the scheduled round; rounds with lower numbers are canceled
+	watcher         *Watcher
+	conns           map[*gatewayConn]struct{} // open connections to hosts
+	acknowledged    map[int]float64           // by session: log position of its newest write that this process acknowledged
+	pendingRequests map[uint64]func()         // by request number: a function that ends the request as Excused
+	requestCount    uint64                    // number of requests over all processes; it numbers the requests
+	newRequestCount float64                   // requests since the last TakeRequestCount or the start of the process
 }
 
 // maxTimerPasses limits how many times one round of the event loop fires timers.
@@ -56,7 +56,7 @@
 // invalid.
 func (g *Gateway) Start(settings routing.Settings, discovery *Discovery, seed uint64) error {
 	g.generation++
-	g.paused, g.inputQueue, g.nextRoundAt, g.requestsThisSecond = false, nil, math.Inf(1), 0
+	g.paused, g.inputQueue, g.nextRoundAt, g.newRequestCount = false, nil, math.Inf(1), 0
 	g.conns = map[*gatewayConn]struct{}{}
 	g.acknowledged, g.pendingRequests = map[int]float64{}, map[uint64]func(){}
 	clock := eventloop.VirtualClock(func() float64 { return Epoch + g.world.Now() })
@@ -178,7 +178,7 @@
 
 // TakeRequestCount returns the number of requests since its last call or since the start of the process.
 func (g *Gateway) TakeRequestCount() float64 {
-	count := g.requestsThisSecond
-	g.requestsThisSecond = 0
+	count := g.newRequestCount
+	g.newRequestCount = 0
 	return count
 }
--- a/internal/faultsim/model/request.go
+++ b/internal/faultsim/model/request.go
@@ -84,7 +84,7 @@
 // Submit sends a client's request to the gateway, whose process must be running. complete is called once. timeLeftMs is the
 // time until the request's deadline.
 func (g *Gateway) Submit(class int, statement *Statement, group int, timeLeftMs float64, complete Completion) {
-	g.requestsThisSecond++
+	g.newRequestCount++
 	g.requestCount++
 	number, generation := g.requestCount, g.generation
 	responder := &requestResponder{
