--- a/internal/frontend/extended/keywordless_test.go
+++ b/internal/frontend/extended/keywordless_test.go
@@ -18,7 +18,7 @@
 			s := &session{frontend: &Frontend{Rules: &Rules{}}}
 			_, rejection := s.prepare(text)
 			if rejection == nil || rejection.SQLState != pg.StateNotSupported {
-				t.Errorf("got %+v", rejection)
+				t.Errorf("got the rejection %+v, want SQLSTATE %s", rejection, pg.StateNotSupported)
 			}
 		})
 	}
--- a/internal/frontend/extended/scanner_test.go
+++ b/internal/frontend/extended/scanner_test.go
@@ -20,7 +20,8 @@
 		{"SELECT a$1$b;SELECT 2", "SELECT a$1$b;SELECT 2", 2},
 	} {
 		if strippedText, statements := scan(test.text); strippedText != test.strippedText || statements != test.statements {
-			t.Errorf("%q: got %q, %d", test.text, strippedText, statements)
+			t.Errorf("%q: got %q with %d statements, want %q with %d",
+				test.text, strippedText, statements, test.strippedText, test.statements)
 		}
 	}
 }
@@ -29,7 +30,7 @@
 	f.Add("SELECT $x$ ; 'a' /* -- */ E'\\'' \"")
 	f.Fuzz(func(t *testing.T, text string) {
 		if _, n := scan(text); n < 0 || n > len(text) {
-			t.Errorf("%q: %d statements", text, n)
+			t.Errorf("%q: got %d statements, want 0 to %d", text, n, len(text))
 		}
 	})
 }
--- a/internal/frontend/extended/session.go
+++ b/internal/frontend/extended/session.go
@@ -171,8 +171,8 @@
 	s.flush()
 }
 
-// finishSimpleQuery ends the answer to a simple query with ReadyForQuery and sends it. It does nothing for an Execute, whose
-// answer is sent at the next Flush or Sync.
+// finishSimpleQuery ends the answer to a simple query with ReadyForQuery and sends it. It does nothing for an Execute, after
+// which ReadyForQuery is sent only for the Sync.
 func (s *session) finishSimpleQuery() {
 	if s.simpleQuery {
 		s.output = pg.AppendReadyForQuery(s.output)
--- a/internal/frontend/extended/session_test.go
+++ b/internal/frontend/extended/session_test.go
@@ -36,6 +36,6 @@
 	}
 	// With a NULL session parameter the statement belongs to the session of its connection.
 	if got, _ := rule.sessionAndKey("SELECT 1", [][]byte{nil}, 1); got == "s:" || !seen[got] {
-		t.Errorf("NULL session parameter: got the session %q", got)
+		t.Errorf("NULL session parameter: got the session %q, want the session of the connection", got)
 	}
 }
--- a/internal/frontend/extended/statement.go
+++ b/internal/frontend/extended/statement.go
@@ -24,8 +24,10 @@
 // prepare returns a prepared statement, or the error to send to the client. The statement is empty, has a localCommand, or
 // has the rule that applies to it.
 func (s *session) prepare(text string) (*preparedStatement, *pg.ErrorResponse) {
-	stripped, count := scan(text)
-	statement := &preparedStatement{text: text, strippedText: stripped, reservedBytes: len(text) + len(stripped) + overheadBytes}
+	strippedText, count := scan(text)
+	statement := &preparedStatement{
+		text: text, strippedText: strippedText, reservedBytes: len(text) + len(strippedText) + overheadBytes,
+	}
 	if count > 1 {
 		return nil, &multipleStatements
 	}
@@ -35,7 +37,7 @@
 	if rejection := s.prepareLocalCommand(statement); rejection != nil || statement.localCommand != nil {
 		return statement, rejection
 	}
-	if statement.rule = s.frontend.Rules.match(stripped); statement.rule == nil {
+	if statement.rule = s.frontend.Rules.match(strippedText); statement.rule == nil {
 		return nil, &noMatchingRule
 	}
 	return statement, nil
--- a/internal/frontend/management/management_test.go
+++ b/internal/frontend/management/management_test.go
@@ -72,13 +72,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := respond(&c.gateway, httpd.Request{Method: c.method, Path: c.path, Body: []byte(c.body)})
 			if r.Status != c.status || r.Body != c.want+"\n" {
-				t.Errorf("got status %d and body %q", r.Status, r.Body)
+				t.Errorf("got status %d and body %q, want status %d and body %q", r.Status, r.Body, c.status, c.want+"\n")
 			}
 			if calls := strings.Join(c.gateway.calls, ", "); calls != c.call {
 				t.Errorf("got the calls %q, want %q", calls, c.call)
 			}
 			if allowed := r.Allow != ""; allowed != (c.status == http.StatusMethodNotAllowed) {
-				t.Errorf("Allow: %q", r.Allow)
+				t.Errorf("status %d: got the Allow header %q, want one for status 405 only", c.status, r.Allow)
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 	} {
 		r := respond(g, httpd.Request{Method: "GET", Path: path})
 		if r.Body != want+"\n" || r.ContentType != "application/json" || !json.Valid([]byte(r.Body)) {
-			t.Errorf("%s: got content type %s and body %s", path, r.ContentType, r.Body)
+			t.Errorf("%s: got content type %s and body %s, want JSON: %s", path, r.ContentType, r.Body, want)
 		}
 	}
 }
--- a/internal/frontend/platform/annotation.go
+++ b/internal/frontend/platform/annotation.go
@@ -27,7 +27,7 @@
 	id             string
 	class, tenant  string
 	idempotencyKey string
-	timeLeftMs     float64 // until the client gives up
+	timeLeftMs     float64 // the time until the client gives up
 	group          int
 	clientRetry    bool
 }
