--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -26,13 +26,13 @@
 func TestEmptyBatch(t *testing.T) {
 	out, err := runAdapter(t, "begin_batch 1\nyour_turn\n")
 	if err != nil || out != "yield\n" {
-		t.Fatalf("got %q, %v", out, err)
+		t.Fatalf("got the output %q and the error %v, want \"yield\\n\" and no error", out, err)
 	}
 }
 
 func TestTruncatedBatchIsAnError(t *testing.T) {
 	if _, err := runAdapter(t, "begin_batch 1\n"); err == nil {
-		t.Fatal("no error")
+		t.Fatal("got no error for an input that ends inside a batch")
 	}
 }
 
@@ -40,7 +40,7 @@
 	bad := strings.Replace(createLine, `"MaxAttempts": 8`, `"MaxAttempts": 0`, 1)
 	if _, err := runAdapter(t, "begin_batch 1\nswitch_to 0\n"+bad+"your_turn\n"); err == nil ||
 		!strings.Contains(err.Error(), "MaxAttempts") {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want an error that names MaxAttempts", err)
 	}
 }
 
--- a/internal/protocol/simulator/decoder_test.go
+++ b/internal/protocol/simulator/decoder_test.go
@@ -62,12 +62,12 @@
 		create.Settings.PositionEpoch != 1000500*time.Microsecond ||
 		create.Settings.Classes[1].Consistency != routing.ConsistencyWrite ||
 		create.Settings.Classes[1].DedupWindow != 1200*time.Millisecond {
-		t.Fatalf("create: %+v", create)
+		t.Fatalf("create: got %+v, want the seed and settings of the create line", create)
 	}
 	update := got[1].Event.(routing.EndpointUpdate)
 	if !update.Full || len(update.Endpoints) != 2 || !update.Endpoints[0].Primary ||
 		update.Endpoints[1].State != routing.StateDraining || update.Endpoints[1].StartedAt != 6100*time.Millisecond {
-		t.Fatalf("view: %+v", update)
+		t.Fatalf("view: got %+v, want a full list of the two members", update)
 	}
 	want := []routing.Event{
 		routing.Request{
@@ -89,10 +89,10 @@
 		}
 	}
 	if update := got[8].Event.(routing.EndpointUpdate); !update.Failed {
-		t.Errorf("failed view: %+v", update)
+		t.Errorf("failed view: got %+v, want Failed", update)
 	}
 	if !got[9].Kill || got[9].Instance != 3 {
-		t.Errorf("kill: %+v", got[9])
+		t.Errorf("kill: got %+v, want a kill of instance 3", got[9])
 	}
 }
 
--- a/internal/protocol/simulator/encoder_test.go
+++ b/internal/protocol/simulator/encoder_test.go
@@ -28,6 +28,6 @@
 	want := "from 3\nattempt 1 m:1 8492.25\ndrop_attempt 1 0\nrefuse 2 250\nlose 3\ntouch m:1\nlisten 1\nsleep 0.5 0\n" +
 		"log two lines\nfrom 5\ninternal_error broke here\nyield\n"
 	if out.String() != want {
-		t.Fatalf("got %q", out.String())
+		t.Fatalf("got %q, want %q", out.String(), want)
 	}
 }
--- a/internal/protocol/simulator/settings_test.go
+++ b/internal/protocol/simulator/settings_test.go
@@ -53,7 +53,7 @@
 			}
 			_, err := DecodeSettings(bad)
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %v", test.new, err)
+				t.Errorf("%s: got the error %v, want one line with %q", test.new, err, test.want)
 			}
 		})
 	}
