--- a/internal/frontend/platform/fuzz_test.go
+++ b/internal/frontend/platform/fuzz_test.go
@@ -22,7 +22,8 @@
 		}
 		var timeLeft annotation
 		if !timeLeft.setTimeLeft(text[parsed.timeLeftStart:parsed.timeLeftEnd]) || timeLeft.timeLeftMs != parsed.timeLeftMs {
-			t.Errorf("%q: got %q as the text of the time left", text, text[parsed.timeLeftStart:parsed.timeLeftEnd])
+			t.Errorf("%q: got %q as the text of the time left, want that of %v ms",
+				text, text[parsed.timeLeftStart:parsed.timeLeftEnd], parsed.timeLeftMs)
 		}
 	})
 }
