--- a/cmd/merlinjunction/main_test.go
+++ b/cmd/merlinjunction/main_test.go
@@ -39,7 +39,7 @@
 }
 
 func (p *program) Addrs() (string, string, string) { return p.address, "", "" }
-func (p *program) Management() string              { return p.management }
+func (p *program) ManagementAddr() string          { return p.management }
 func (p *program) Stop()                           { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
 func (p *program) Wait() error {
--- a/internal/server/fuzz_test.go
+++ b/internal/server/fuzz_test.go
@@ -131,7 +131,7 @@
 		f.Add([]byte(seed))
 	}
 	player := testkit.NewPlayer(f, startManagedPlatform, "a", "b")
-	management := player.Gateway.(*runningGateway).Management()
+	management := player.Gateway.(*runningGateway).ManagementAddr()
 	f.Fuzz(func(t *testing.T, input []byte) {
 		sendFuzzed(t, management, input)
 		if err := player.Step("manage 200 GET /api/telemetry"); err != nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -115,7 +115,7 @@
 		s.acceptWhenReady()
 	}
 	s.log.Info("serving", zap.String("name", s.config.Name), zap.String("listen", s.clientListener.Addr()),
-		zap.String("management", s.Management()), zap.String("fleet", s.fleetAddress()))
+		zap.String("management", s.ManagementAddr()), zap.String("fleet", s.fleetAddress()))
 	err := s.loop.Run(s.onLoopRound)
 	s.log.Info("stopped",
 		zap.Int("open_connections", s.abandonedConnections), zap.Int("open_requests", s.core.OpenRequests()))
@@ -136,8 +136,8 @@
 	return listenerAddress(s.clientListener), listenerAddress(s.agentCheckListener), listenerAddress(s.httpCheckListener)
 }
 
-// Management returns the address of the management listener, or "" without one.
-func (s *Server) Management() string { return listenerAddress(s.managementListener) }
+// ManagementAddr returns the address of the management listener, or "" without one.
+func (s *Server) ManagementAddr() string { return listenerAddress(s.managementListener) }
 
 // listenerAddress returns the address of a listener, or "" if it is nil.
 func listenerAddress(listener *eventloop.Listener) string {
--- a/internal/testkit/checks.go
+++ b/internal/testkit/checks.go
@@ -53,7 +53,7 @@
 // method, the path and optionally a text. The text is the body of the call, and the answer to a GET must contain it.
 func (p *Player) manage(status string, call []string) error {
 	const bigBodySize = 1 << 16
-	gateway, ok := p.Gateway.(interface{ Management() string })
+	gateway, ok := p.Gateway.(interface{ ManagementAddr() string })
 	if !ok || len(call) < 2 {
 		return errors.New("the gateway has no management address, or the step has no METHOD and PATH")
 	}
@@ -61,7 +61,7 @@
 	if text == "BIG" {
 		text = strings.Repeat("x", bigBodySize)
 	}
-	request, err := http.NewRequest(method, "http://"+gateway.Management()+path, strings.NewReader(text))
+	request, err := http.NewRequest(method, "http://"+gateway.ManagementAddr()+path, strings.NewReader(text))
 	if err != nil {
 		return err
 	}
