--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -46,13 +46,13 @@
 // Plays each pair of overlapping events, in both orders, with each deployment.
 func TestOverlappingEvents(t *testing.T) {
 	for _, d := range deployments {
-		t.Run(d.name, func(t *testing.T) { testkit.PlayScenariosWith(t, "testdata/crossings", d.variables, d.start) })
+		t.Run(d.name, func(t *testing.T) { testkit.PlayScenariosWith(t, "testdata/overlapping", d.variables, d.start) })
 	}
 }
 
 // The extended frontend must follow the same rules for overlapping events.
 func TestExtendedOverlappingEvents(t *testing.T) {
-	testkit.PlayScenarios(t, "testdata/crossingsextended", startSlowConnectExtended)
+	testkit.PlayScenarios(t, "testdata/overlappingextended", startSlowConnectExtended)
 }
 
 // A gateway at its limit of clients must close idle ones and keep serving.
