--- a/internal/protocol/health/health.go
+++ b/internal/protocol/health/health.go
@@ -14,7 +14,7 @@
 
 // States of a gateway.
 const (
-	Starting State = iota // no host can be reached, or no host is known yet
+	Starting State = iota // no host is known or can be reached, or the gateway awaits its first endpoint list
 	Ready
 	Draining
 )
--- a/internal/protocol/pg/client.go
+++ b/internal/protocol/pg/client.go
@@ -87,7 +87,7 @@
 	}
 	c.closing = true
 	c.pool.closingCount++
-	if c.pool.closingCount > maxLingering { // their file descriptors are needed for new connections
+	if c.pool.closingCount > maxLingering { // new connections need the file descriptors
 		c.close()
 		return
 	}
--- a/internal/protocol/pg/client_drain.go
+++ b/internal/protocol/pg/client_drain.go
@@ -13,7 +13,7 @@
 	if c.readMore() || c.halfClosed {
 		return true
 	}
-	if len(c.conn.In()) == 0 { // at once: a request that crosses the close stays unread, so that the client may retry it
+	if len(c.conn.In()) == 0 { // close at once: a request that arrives meanwhile stays unread, so the client may retry it
 		c.close()
 	}
 	return false
--- a/internal/protocol/pg/client_pool_test.go
+++ b/internal/protocol/pg/client_pool_test.go
@@ -38,8 +38,7 @@
 	return h
 }
 
-// accept advances the clock by one millisecond and connects a client. It returns nil if the pool gained no
-// client.
+// accept advances the clock by one millisecond and connects a client. It returns nil if the pool gained no client.
 func (h *poolHarness) accept() *Client {
 	h.t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -181,8 +180,8 @@
 	}
 }
 
-// TestDrainClosesHalfMessageAtEndOfInput checks that a drain closes a connection whose input ends within a
-// message. The rest of the message can't arrive any more.
+// TestDrainClosesHalfMessageAtEndOfInput checks that a drain closes a connection whose input ends within a message. The
+// rest of the message can't arrive any more.
 func TestDrainClosesHalfMessageAtEndOfInput(t *testing.T) {
 	h := newPoolHarness(t, &ClientPool{MaxClients: 2})
 	client := h.accept()
--- a/internal/protocol/pg/host_dialer.go
+++ b/internal/protocol/pg/host_dialer.go
@@ -18,8 +18,8 @@
 	// PositionParameter is the name of the parameter that reports a host's position in a ParameterStatus message, in
 	// milliseconds since 1970.
 	PositionParameter string
-	// RoleOnChange means that a host reports its role when the connection starts and whenever the role changes,
-	// as PostgreSQL does with in_hot_standby. Otherwise the host reports its role with each answer.
+	// RoleOnChange means that a host reports its role when the connection starts and whenever the role changes, as
+	// PostgreSQL does with in_hot_standby. Otherwise the host reports its role with each answer.
 	RoleOnChange bool
 }
 
--- a/internal/protocol/pg/row_stream.go
+++ b/internal/protocol/pg/row_stream.go
@@ -57,8 +57,8 @@
 	return true, nil
 }
 
-// forwardStream forwards as much of the stream as the client's window has space for. It returns false if the window is full or
-// the connection has been closed.
+// forwardStream forwards as much of the stream as the client's window has space for. It returns false if the window is
+// full or the connection has been closed.
 func (c *hostConn) forwardStream() (progress bool, err error) {
 	stream := &c.stream
 	if len(stream.buffered) > 0 {
