--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -30,7 +30,7 @@
 	HostIdleTimeoutMs float64 // time after which an unused connection to a host is closed
 
 	KnownHosts    []proxy.Host // hosts that are known before discovery responds
-	KnownRevision int64        // revision of the endpoint list with KnownHosts; discovery.NoRevision: unknown
+	KnownRevision int64        // revision of the endpoint list that holds KnownHosts; discovery.NoRevision: unknown
 
 	Operator *OperatorConfig // configuration of the extended frontend; nil: the platform's frontend is used
 }
--- a/internal/server/exclusion_file_test.go
+++ b/internal/server/exclusion_file_test.go
@@ -60,12 +60,12 @@
 			t.Fatal(err)
 		}
 		if newer := exclusions.readNewer(); len(newer) > 0 {
-			t.Errorf("%q: %v", text, newer)
+			t.Errorf("%q: read %v, want no entry", text, newer)
 		}
 		exclusions.record("b", exclusion{Excluded: true, AtMs: 5})
 		sibling := newExclusionFile(zap.NewNop(), exclusions.path)
 		if newer := sibling.readNewer(); len(newer) != 1 || !newer["b"].Excluded {
-			t.Errorf("%q: replaced by %v", text, newer)
+			t.Errorf("%q: read %v after the next exclusion, want only the exclusion of b", text, newer)
 		}
 		state.close()
 	}
--- a/internal/server/fleet_test.go
+++ b/internal/server/fleet_test.go
@@ -34,10 +34,10 @@
 // An invalid [fleet] must be reported in one line that names the key.
 func TestInvalidFleetTableNamesKey(t *testing.T) {
 	if c, err := loadFleetTable(t, validFleet); err != nil || c.Operator.Fleet == nil || len(c.Operator.Fleet.Seeds) != 1 {
-		t.Fatalf("%+v, %v", c, err)
+		t.Fatalf("valid [fleet]: got %+v, error %v, want a fleet with one seed", c, err)
 	}
 	if c, err := loadFleetTable(t, ""); err != nil || c.Operator.Fleet != nil {
-		t.Fatalf("without [fleet]: %+v, %v", c, err)
+		t.Fatalf("without [fleet]: got %+v, error %v, want no fleet", c, err)
 	}
 	for _, c := range []struct{ old, new, want, key string }{
 		{`name = "f"`, ``, "fleet.name", "fleet.name"},
@@ -81,7 +81,7 @@
 	t.Cleanup(inFleet.Close)
 	_, err = open(strings.Replace(validFleet, "127.0.0.1:0", inFleet.fleetAddress(), 1))
 	if err == nil || !strings.HasPrefix(err.Error(), "fleet.listen: ") || !strings.Contains(err.Error(), "in use") {
-		t.Errorf("start with an address in use: got error %v, want one of fleet.listen", err)
+		t.Errorf("start with an address in use: got error %v, want one that begins with fleet.listen and contains \"in use\"", err)
 	}
 	alone, err := open("")
 	if err != nil {
--- a/internal/server/operator_config.go
+++ b/internal/server/operator_config.go
@@ -225,7 +225,7 @@
 		Consistency:       consistency,
 		MaxStaleness:      milliseconds(t.MaxStalenessMs),
 		Idempotency:       idempotency,
-		DedupAcrossGroups: t.DedupOnAnyHost,
+		DedupAcrossGroups: t.DedupAcrossGroups,
 		DedupWindow:       milliseconds(t.DedupWindowMs),
 		LatencyObjective:  milliseconds(t.LatencyObjectiveMs),
 		Deadline:          milliseconds(t.DeadlineMs),
--- a/internal/server/operator_file.go
+++ b/internal/server/operator_file.go
@@ -101,7 +101,7 @@
 	MaxStalenessMs     float64 `toml:"max_age_ms"`
 	Idempotency        string  `toml:"effect"`
 	DedupWindowMs      float64 `toml:"repeat_window_ms"`
-	DedupOnAnyHost     bool    `toml:"repeat_any_host"`
+	DedupAcrossGroups  bool    `toml:"repeat_any_host"`
 	LatencyObjectiveMs float64 `toml:"aim_ms"`
 	DeadlineMs         float64 `toml:"deadline_ms"`
 	PriorityWeight     float64 `toml:"worth"`
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -15,7 +15,7 @@
 func TestReload(t *testing.T) {
 	var path string
 	fileText := func(cluster *testkit.Cluster, state string) string {
-		_, text, _ := strings.Cut(operatorText(t, "127.0.0.1:1"), "\n") // without the line with discovery, which hosts replace
+		_, text, _ := strings.Cut(operatorText(t, "127.0.0.1:1"), "\n") // without the first line, the discovery address
 		for _, id := range []string{"a", "b"} {
 			text += fmt.Sprintf("[[host]]\nid = %q\naddress = %q\nstate = %q\n", id, cluster.Addr(id), state)
 			state = "ready"
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -28,8 +28,8 @@
 }
 
 // deployments differ in the names and the number of classes, in whether writes have an idempotency key, whether endpoint
-// lists are pushed or polled, and whether there are tenants and health checks. Their grace periods and deadlines differ
-// by a factor of several.
+// lists are pushed or polled, and whether there are tenants and health checks. The grace period and most deadlines of the
+// first one are longer, up to four times.
 var deployments = []deployment{
 	{"keyed", "../../cmd/merlinjunction/testdata/platform/config.json", map[string]string{
 		"slow": "long", "write": "write", "td": "t=x,d", "pastgrace": "2100", "repeated": "T D C", "runs": "2"}},
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -15,8 +15,8 @@
 	// maxKillDeadlineMs, plus killMarginMs.
 	maxKillDeadlineMs = 3000.0
 	killMarginMs      = 700.0
-	// finalResponseMarginMs is the time between the final deadline, by which all requests are answered, even those that
-	// still arrive, and the end of the drain or SIGKILL, whichever comes first.
+	// finalResponseMarginMs is the time from the final deadline to the end of the drain or to SIGKILL, whichever comes
+	// first. All requests, including those that still arrive, are answered by the final deadline.
 	finalResponseMarginMs = 50.0
 	// idlePollMs is the interval at which a draining gateway checks whether all clients have disconnected.
 	idlePollMs = 5.0
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -10,8 +10,9 @@
 	"merlinjunction/internal/eventloop"
 )
 
-// signalQueue holds signals until handleSignals reads them, which it starts to do once the event loop is set up. The
-// queue holds at most one signal to stop and one to reload, so a SIGTERM is not lost behind a series of SIGHUPs.
+// signalQueue holds signals until handleSignals reads them, which it starts to do once the event loop is set up. Signals
+// to stop and signals to reload are queued separately. One queued signal stands for all of its kind that have arrived, so
+// a SIGTERM is not lost behind a series of SIGHUPs.
 type signalQueue struct {
 	stop   chan os.Signal
 	reload chan os.Signal
