--- a/internal/faultsim/host_steps.go
+++ b/internal/faultsim/host_steps.go
@@ -7,7 +7,7 @@
 	"merlinjunction/internal/faultsim/model"
 )
 
-// applyHostStep carries out a step on a host, or on links from a gateway to hosts.
+// applyHostStep carries out a step on a host, or on links from a gateway to hosts, in the emulated engine.
 func (s *requestSimulation) applyHostStep(step *Step) {
 	switch step.Operation {
 	case HostCut:
@@ -43,7 +43,7 @@
 	}
 }
 
-// drainHost begins to drain a host. A primary is succeeded at once.
+// drainHost starts the drain of a host. If the host is a primary, another primary is elected at once.
 func (s *requestSimulation) drainHost(number int) {
 	host := s.hosts[number]
 	host.DrainAt = s.Now()
@@ -53,7 +53,7 @@
 	s.publishLater()
 }
 
-// killHost ends a host. A primary is succeeded after an election.
+// killHost stops a host. If the host was a primary, another primary is elected after electionMs.
 func (s *requestSimulation) killHost(number int) {
 	host := s.hosts[number]
 	wasPrimary := host.Group.Primary == host
@@ -64,7 +64,7 @@
 	s.publishLater()
 }
 
-// startHost starts a host in the place of one that has ended; it has a new ID if the step asks for that.
+// startHost starts a host in place of one that is down. It has a new ID if the step sets NewHost.
 func (s *requestSimulation) startHost(step *Step) {
 	previous := s.hosts[step.Target]
 	if previous.Up {
@@ -82,8 +82,8 @@
 	s.publishLater()
 }
 
-// primaryCandidate is the host of a group, apart from an excluded one, that has been up longest and is not draining;
-// nil: there is none.
+// primaryCandidate returns the host of a group that has been up longest and is neither draining nor the excluded host, or
+// nil if there is none.
 func (s *requestSimulation) primaryCandidate(group *model.Group, excluded *model.Host) *model.Host {
 	var candidate *model.Host
 	for _, host := range s.hosts {
@@ -97,12 +97,13 @@
 	return candidate
 }
 
-// startedBefore compares start times; NaN stands for long ago.
+// startedBefore reports whether a host started before another one. The start time NaN is earlier than any other.
 func startedBefore(host, other *model.Host) bool {
 	return math.IsNaN(host.StartedAt) && !math.IsNaN(other.StartedAt) || host.StartedAt < other.StartedAt
 }
 
-// electPrimary makes another host of the group the primary, if there is a candidate.
+// electPrimary makes another host of the group the primary if there is a candidate. It schedules a new
+// endpoint list in any case.
 func (s *requestSimulation) electPrimary(group *model.Group, excluded *model.Host) {
 	if candidate := s.primaryCandidate(group, excluded); candidate != nil {
 		group.SetPrimary(candidate)
@@ -110,7 +111,7 @@
 	s.publishLater()
 }
 
-// publishLater schedules the publication of a new endpoint list, unless one is scheduled.
+// publishLater schedules the publication of a new endpoint list, unless a publication is already scheduled.
 func (s *requestSimulation) publishLater() {
 	if s.publishPending {
 		return
--- a/internal/faultsim/spawner.go
+++ b/internal/faultsim/spawner.go
@@ -5,13 +5,13 @@
 	"runtime"
 )
 
-// Spawner starts processes from one thread that lives as long as the Spawner. The system ends a child that has a
-// parent-death signal with the thread that started it.
+// Spawner starts processes from one OS thread that runs until Close. Linux sends a parent-death signal when the thread
+// that started the process exits, so a process that any other thread started could be killed during the run.
 type Spawner struct {
 	calls chan func()
 }
 
-// NewSpawner returns a Spawner with its thread.
+// NewSpawner returns a Spawner and starts its thread.
 func NewSpawner() *Spawner {
 	s := &Spawner{calls: make(chan func())}
 	go s.run()
@@ -25,12 +25,12 @@
 	}
 }
 
-// Start starts a command.
+// Start starts a command from the Spawner's thread.
 func (s *Spawner) Start(cmd *exec.Cmd) error {
 	started := make(chan error)
 	s.calls <- func() { started <- cmd.Start() }
 	return <-started
 }
 
-// Close ends the thread, and with it the processes that it started with a parent-death signal.
+// Close ends the thread, so processes that it started with a parent-death signal receive that signal.
 func (s *Spawner) Close() { close(s.calls) }
--- a/internal/faultsim/stub_session.go
+++ b/internal/faultsim/stub_session.go
@@ -10,19 +10,19 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// maxMessageBody is the longest body of a message that the stub hosts and the clients accept, bytes.
+// maxMessageBody is the size limit of a message body that the stub hosts and the load generator accept, in bytes.
 const maxMessageBody = 1<<20 - 4
 
-// hostSession is one connection to a stub host. It has one unnamed statement and its values.
+// hostSession is one connection to a stub host. It holds only the unnamed prepared statement and its parameter values.
 type hostSession struct {
 	host      *stubHost
 	conn      net.Conn
-	out       []byte // answers that are not sent yet
+	out       []byte // encoded answers that have not been sent
 	statement stubserver.Statement
-	failed    bool // messages up to Sync are skipped
+	failed    bool // a statement failed: messages up to the next Sync are skipped
 }
 
-// run answers messages until the client ends the session.
+// run answers messages until the client ends the session or the connection breaks.
 func (s *hostSession) run() {
 	for s.sendReady() {
 		for {
@@ -37,8 +37,9 @@
 	}
 }
 
-// position is the time up to which the host has applied the log. It is reported in whole milliseconds, and a commit
-// must not be later than the position that is reported with it, so the primary's is rounded up.
+// position returns the time up to which the host has applied the log. Positions are reported in whole milliseconds, and
+// the position that is reported with a commit must not be earlier than the commit. The primary's position is therefore one
+// millisecond ahead, which rounds it up.
 func (s *hostSession) position() time.Time {
 	if s.host.isPrimary() {
 		return time.Now().Add(time.Millisecond)
@@ -46,7 +47,8 @@
 	return time.Now().Add(-s.host.all.lag)
 }
 
-// sendReady ends an answer and sends it; false where the connection is broken.
+// sendReady completes an answer with the host's role, position and ReadyForQuery, and sends it. It returns false if the
+// connection is broken.
 func (s *hostSession) sendReady() bool {
 	standby := "on"
 	if s.host.isPrimary() {
@@ -61,7 +63,7 @@
 	return err == nil
 }
 
-// handle handles one message. It returns true if the answer is complete and has to be sent.
+// handle processes one message and reports whether the answer is complete and has to be sent.
 func (s *hostSession) handle(kind byte, body []byte) bool {
 	switch {
 	case kind == pg.MsgSync:
@@ -87,13 +89,15 @@
 	return false
 }
 
-// fail answers with an error and skips the messages up to Sync.
+// fail answers with an error and makes the session skip the messages up to the next Sync.
 func (s *hostSession) fail(sqlstate string) {
 	s.out = pg.ErrorResponse{SQLState: sqlstate, Message: "stub"}.AppendTo(s.out)
 	s.failed = true
 }
 
-// execute runs the statement: INSERT ... VALUES ('session', 'key', 'value') or SELECT ... WHERE greenhouse = 'session'.
+// execute runs the current statement: INSERT ... VALUES ('session', 'key', 'value') or SELECT ... WHERE greenhouse =
+// 'session'. It answers any other statement with a syntax error. simple means the simple query protocol, in which the
+// answer to a SELECT describes the column.
 func (s *hostSession) execute(simple bool) {
 	host, all, now := s.host, s.host.all, time.Now()
 	text, values := s.statement.Text, s.statement.Values
