--- a/internal/faultsim/datagram_relay.go
+++ b/internal/faultsim/datagram_relay.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	relayReadBufferBytes = 1 << 20
-	relayDatagramBytes   = 2048 // longest datagram that is relayed
+	socketReadBufferBytes   = 1 << 20
+	maxRelayedDatagramBytes = 2048 // longer datagrams are truncated
 )
 
-// DatagramRelays pass datagrams between gateways: each gateway advertises the address of its relay. The sender of a
-// datagram is recognized by its own address, so Network can treat each directed pair of gateways as a link.
+// DatagramRelays relays datagrams between gateways. Each gateway advertises the address of its relay in place of its own.
+// A relay identifies the sender of a datagram by the source address, so Network can treat each ordered pair of gateways as
+// a link.
 type DatagramRelays struct {
 	mutex     sync.Mutex
 	network   *Network
 	random    *rand.Rand
 	endpoints []*relayEndpoint
-	bySource  map[netip.AddrPort]*relayEndpoint // by the gateway's own address
+	bySource  map[netip.AddrPort]*relayEndpoint // by the sending gateway's own address
 	closed    bool
 }
 
 // relayEndpoint is the relay of one gateway.
 type relayEndpoint struct {
-	index     int // of the gateway in the network
-	conn      *net.UDPConn
-	address   netip.AddrPort // where other gateways send to
-	own       netip.AddrPort // where the gateway itself listens
-	sentBytes int            // by the gateway
+	index          int // index of the gateway in the network
+	conn           *net.UDPConn
+	address        netip.AddrPort // address that the gateway advertises, and to which other gateways send
+	gatewayAddress netip.AddrPort // address on which the gateway itself listens
+	sentBytes      int            // bytes that the gateway has sent, with headers
 }
 
 func newDatagramRelays(network *Network, seed uint64) *DatagramRelays {
@@ -44,31 +45,31 @@
 	}
 }
 
-// add starts the relay of a gateway that will listen on its own address.
-func (r *DatagramRelays) add(index int, own netip.AddrPort) (*relayEndpoint, error) {
+// add starts the relay of a gateway that will listen on gatewayAddress.
+func (r *DatagramRelays) add(index int, gatewayAddress netip.AddrPort) (*relayEndpoint, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("cannot listen for the datagram relay of gateway g%d: %w", index, err)
 	}
-	_ = conn.SetReadBuffer(relayReadBufferBytes) // the system's default will do
+	_ = conn.SetReadBuffer(socketReadBufferBytes) // after an error the system's default size is sufficient
 	endpoint := &relayEndpoint{
-		index:   index,
-		conn:    conn,
-		address: conn.LocalAddr().(*net.UDPAddr).AddrPort(),
-		own:     own,
+		index:          index,
+		conn:           conn,
+		address:        conn.LocalAddr().(*net.UDPAddr).AddrPort(),
+		gatewayAddress: gatewayAddress,
 	}
 	r.mutex.Lock()
 	r.endpoints = append(r.endpoints, endpoint)
-	r.bySource[own] = endpoint
+	r.bySource[gatewayAddress] = endpoint
 	r.mutex.Unlock()
 	go r.serve(endpoint)
 	return endpoint, nil
 }
 
-// serve relays datagrams to a gateway until the relays are closed. Other errors are refusals of a process that has
-// ended.
+// serve relays datagrams to a gateway until the relays are closed. It ignores other read errors: they report that the port
+// of a gateway whose process has exited refused a datagram.
 func (r *DatagramRelays) serve(receiver *relayEndpoint) {
-	buffer := make([]byte, relayDatagramBytes)
+	buffer := make([]byte, maxRelayedDatagramBytes)
 	for {
 		size, source, err := receiver.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -87,20 +88,22 @@
 	return r.closed
 }
 
-// relay sends the copies of a datagram that arrive, after their delays. Datagrams of unknown sources are dropped.
+// relay sends the copies of a datagram that Network delivers, each after its delay. It drops datagrams from unknown sources.
 func (r *DatagramRelays) relay(source netip.AddrPort, receiver *relayEndpoint, datagram []byte) {
 	source = netip.AddrPortFrom(source.Addr().Unmap(), source.Port())
-	sender, delivery := r.admit(source, receiver, len(datagram))
+	sender, delivery := r.decideDelivery(source, receiver, len(datagram))
 	for _, delayMs := range delivery.delaysMs() {
 		data := append([]byte(nil), datagram...)
 		time.AfterFunc(millisecondsToDuration(delayMs), func() {
-			_, _ = sender.conn.WriteToUDPAddrPort(data, receiver.own) // an error is a lost datagram
+			_, _ = sender.conn.WriteToUDPAddrPort(data, receiver.gatewayAddress) // on an error the datagram is lost
 		})
 	}
 }
 
-// admit counts a datagram and decides what happens to it.
-func (r *DatagramRelays) admit(source netip.AddrPort, receiver *relayEndpoint, size int) (*relayEndpoint, Delivery) {
+// decideDelivery counts the bytes of a datagram, and returns the relay of its sender and the datagram's delivery.
+func (r *DatagramRelays) decideDelivery(
+	source netip.AddrPort, receiver *relayEndpoint, size int,
+) (*relayEndpoint, Delivery) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	sender := r.bySource[source]
@@ -111,7 +114,7 @@
 	return sender, r.network.Send(r.random, sender.index, receiver.index)
 }
 
-// apply carries out a step that concerns the network.
+// apply carries out a step on the network.
 func (r *DatagramRelays) apply(step *Step) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/faultsim/gateway_process.go
+++ b/internal/faultsim/gateway_process.go
@@ -14,40 +14,41 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// gatewayProcess is one gateway with its addresses and relays, and its present process. It outlives its processes.
+// gatewayProcess is one gateway with its addresses and relays, and its current process. It stays the same when a step ends
+// the process and starts another one.
 type gatewayProcess struct {
 	index      int
 	name       string
-	udpAddress netip.AddrPort // of its membership, the same for each process
+	udpAddress netip.AddrPort // listen address of its membership protocol, the same for each process
 	relay      *relayEndpoint
-	hostRelays []*hostRelay // by host
-	discovery  *http.Server // nil: hosts are in its configuration
+	hostRelays []*hostRelay // indexed by host
+	discovery  *http.Server // nil: its configuration file lists the hosts
 	duplicate  bool         // a second process under the name of another gateway
 
-	clientAddress string // of its clients' listener; empty: it has never served
+	clientAddress string // address of its client listener; empty: it has never served
 	cmd           *exec.Cmd
-	generation    int           // of the process
-	ended         chan struct{} // closed when the process has ended; nil: there was none
-	up            bool          // no step has ended it
+	generation    int           // number of processes started so far
+	exited        chan struct{} // closed when the process has exited; nil: no process was started
+	expectedUp    bool          // it has served, and no step has ended it since
 	paused        bool
-	disturbances  []time.Time // when a step was carried out on it
+	interruptions []time.Time // when a step killed, paused or resumed the process
 }
 
 const (
 	startTimeout = 10 * time.Second
 	stopTimeout  = 10 * time.Second
-	// disturbanceSlack covers the time between a step and its record.
-	disturbanceSlack = 50 * time.Millisecond
-	// firstDuplicateIP is the last byte of the first duplicate's address.
-	firstDuplicateIP = 200
+	// interruptionSlack covers the time between a step and its entry in interruptions.
+	interruptionSlack = 50 * time.Millisecond
+	// firstDuplicateIPByte is the last byte of the first duplicate's IP address.
+	firstDuplicateIPByte = 200
 )
 
-// add adds a gateway without a process: its addresses, relays and discovery.
-func (r *processRun) add(index int, duplicate bool) (*gatewayProcess, error) {
+// addGateway creates a gateway with its addresses, relays and discovery service. It starts no process.
+func (r *processRun) addGateway(index int, duplicate bool) (*gatewayProcess, error) {
 	gateway := &gatewayProcess{index: index, name: fmt.Sprintf("g%d", index), duplicate: duplicate}
 	var err error
 	if gateway.udpAddress, err = r.freeUDPAddress(gateway); err != nil {
-		return nil, fmt.Errorf("%s: %w", gateway.name, err)
+		return nil, fmt.Errorf("gateway %s: cannot find a free UDP port: %w", gateway.name, err)
 	}
 	if gateway.relay, err = r.relays.add(index, gateway.udpAddress); err != nil {
 		return nil, err
@@ -74,13 +75,13 @@
 	return gateway, nil
 }
 
-// freeUDPAddress returns an address with a free port. Each gateway has an IP address of its own, as a port that was
-// free a moment ago may be given to the next one.
+// freeUDPAddress returns an address with a free port. The port is closed again until the gateway binds it, and the system
+// may assign it to another socket meanwhile, so each gateway has an IP address of its own.
 func (r *processRun) freeUDPAddress(gateway *gatewayProcess) (netip.AddrPort, error) {
 	ip := r.ip.As4()
 	ip[3] = byte(1 + gateway.index)
 	if gateway.duplicate {
-		ip[3] = byte(firstDuplicateIP + len(r.duplicates))
+		ip[3] = byte(firstDuplicateIPByte + len(r.duplicates))
 	}
 	anyPort := netip.AddrPortFrom(netip.AddrFrom4(ip), 0)
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(anyPort))
@@ -91,7 +92,7 @@
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), nil
 }
 
-// serveDiscovery starts a stub discovery that lists the gateway's own relays as hosts.
+// serveDiscovery starts a stub discovery service that lists the hosts at the addresses of the gateway's own relays.
 func (r *processRun) serveDiscovery(gateway *gatewayProcess) error {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -99,17 +100,18 @@
 	}
 	handler := r.hosts.discovery(func(host int) string { return gateway.hostRelays[host].address() })
 	gateway.discovery = &http.Server{Handler: handler, Addr: listener.Addr().String()}
-	go func() { _ = gateway.discovery.Serve(listener) }() // returns when it is closed
+	go func() { _ = gateway.discovery.Serve(listener) }() // Serve returns when the server is closed
 	return nil
 }
 
-// start starts a new process of a gateway and waits until it serves. initial says that it is no step of the plan.
-func (r *processRun) start(gateway *gatewayProcess, initial bool) error {
+// startProcess starts a new process of a gateway and waits until it serves. initial means that the start precedes the
+// plan: startProcess then reports it to the oracle, which applyStep does for a step of the plan.
+func (r *processRun) startProcess(gateway *gatewayProcess, initial bool) error {
 	path, err := r.writeConfig(gateway)
 	if err != nil {
 		return err
 	}
-	if err := gateway.awaitEnd(); err != nil {
+	if err := gateway.awaitExit(); err != nil {
 		return err
 	}
 	cmd := exec.Command(r.program, "serve", "--config", path)
@@ -120,11 +122,11 @@
 		return err
 	}
 	if err := r.spawner.Start(cmd); err != nil {
-		return fmt.Errorf("%s: %w", gateway.name, err)
+		return fmt.Errorf("gateway %s: cannot start its process: %w", gateway.name, err)
 	}
-	ended, serving := make(chan struct{}), make(chan string, 1)
+	exited, serving := make(chan struct{}), make(chan string, 1)
 	r.mutex.Lock()
-	gateway.cmd, gateway.ended = cmd, ended
+	gateway.cmd, gateway.exited = cmd, exited
 	gateway.generation++
 	if initial {
 		r.oracle.Apply(&Step{Operation: Start, Target: gateway.index}, min(r.now(), 0))
@@ -132,18 +134,18 @@
 	r.mutex.Unlock()
 	go r.readLog(gateway, output, serving)
 	go func() {
-		_ = cmd.Wait() // how a process that was killed ended says nothing
-		close(ended)
+		_ = cmd.Wait() // a killed process always returns an error
+		close(exited)
 	}()
-	return r.awaitServing(gateway, cmd.Process, ended, serving)
+	return r.awaitServing(gateway, cmd.Process, exited, serving)
 }
 
-// writeConfig writes the configuration of a gateway's next process and returns its path.
+// writeConfig writes the configuration file of a gateway's next process and returns its path.
 func (r *processRun) writeConfig(gateway *gatewayProcess) (string, error) {
 	name := fmt.Sprintf("%s-%d-%v.toml", gateway.name, gateway.generation, gateway.duplicate)
 	path := filepath.Join(r.dir, name)
 	r.mutex.Lock()
-	text, err := r.config(gateway)
+	text, err := r.renderConfig(gateway)
 	r.mutex.Unlock()
 	if err != nil {
 		return "", err
@@ -151,60 +153,61 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// awaitEnd waits for the end of the previous process, which may have been terminated a moment ago.
-func (g *gatewayProcess) awaitEnd() error {
-	if g.ended == nil {
+// awaitExit waits until the previous process has exited, since a step may just have sent it SIGTERM.
+func (g *gatewayProcess) awaitExit() error {
+	if g.exited == nil {
 		return nil
 	}
 	select {
-	case <-g.ended:
+	case <-g.exited:
 		return nil
 	case <-time.After(stopTimeout):
-		return fmt.Errorf("%s did not end within %v", g.name, stopTimeout)
+		return fmt.Errorf("gateway %s did not exit within %v", g.name, stopTimeout)
 	}
 }
 
-// awaitServing waits until a gateway's process has logged its clients' address.
+// awaitServing waits until a gateway's process has logged the address of its client listener.
 func (r *processRun) awaitServing(
-	gateway *gatewayProcess, process *os.Process, ended <-chan struct{}, serving <-chan string,
+	gateway *gatewayProcess, process *os.Process, exited <-chan struct{}, serving <-chan string,
 ) error {
 	select {
 	case address := <-serving:
 		r.mutex.Lock()
-		gateway.clientAddress, gateway.up, gateway.paused = address, true, false
+		gateway.clientAddress, gateway.expectedUp, gateway.paused = address, true, false
 		r.mutex.Unlock()
 		return nil
-	case <-ended:
-		return fmt.Errorf("%s did not start: %s", gateway.name, r.lastOutput(gateway))
+	case <-exited:
+		return fmt.Errorf("gateway %s exited before it served, its last output is %q", gateway.name, r.lastOutput(gateway))
 	case <-time.After(startTimeout):
-		_ = process.Kill() // an error means that it has ended
-		return fmt.Errorf("%s did not serve within %v", gateway.name, startTimeout)
+		_ = process.Kill() // an error means that the process has exited
+		return fmt.Errorf("gateway %s did not serve within %v", gateway.name, startTimeout)
 	}
 }
 
-// route returns the process for a session: always the same gateway while it is up.
+// route returns the endpoint for a session, or false if no gateway is up. A session stays at one gateway while that is up.
 func (r *processRun) route(session int) (gatewayEndpoint, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for offset := range r.gateways {
 		gateway := r.gateways[(session+offset)%len(r.gateways)]
-		if gateway.up && gateway.clientAddress != "" {
+		if gateway.expectedUp && gateway.clientAddress != "" {
 			return gatewayEndpoint{
-				address:   gateway.clientAddress,
-				process:   fmt.Sprintf("%s-%d ", gateway.name, gateway.generation),
-				disturbed: func(since time.Time) bool { return r.wasDisturbed(gateway, since) },
+				address:     gateway.clientAddress,
+				process:     fmt.Sprintf("%s-%d ", gateway.name, gateway.generation),
+				interrupted: func(since time.Time) bool { return r.wasInterrupted(gateway, since) },
 			}, true
 		}
 	}
 	return gatewayEndpoint{}, false
 }
 
-// wasDisturbed reports whether a step was carried out on a gateway since a time, or it is paused.
-func (r *processRun) wasDisturbed(gateway *gatewayProcess, since time.Time) bool {
+// wasInterrupted reports whether a step has killed, paused or resumed a gateway's process since a time, or the gateway is
+// paused now.
+func (r *processRun) wasInterrupted(gateway *gatewayProcess, since time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, at := range gateway.disturbances {
-		if at.After(since.Add(-disturbanceSlack)) {
+	for _, at := range gateway.interruptions {
+		if at.After(since.Add(-interruptionSlack)) {
 			return true
 		}
 	}
@@ -215,29 +218,29 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	gateway.paused = paused
-	gateway.disturbances = append(gateway.disturbances, time.Now())
+	gateway.interruptions = append(gateway.interruptions, time.Now())
 }
 
-// signal sends a signal to a gateway's process unless it has ended.
+// signal sends a signal to a gateway's process unless it has exited.
 func (r *processRun) signal(gateway *gatewayProcess, signal syscall.Signal) {
 	r.mutex.Lock()
-	cmd, ended := gateway.cmd, gateway.ended
+	cmd, exited := gateway.cmd, gateway.exited
 	r.mutex.Unlock()
 	if cmd == nil {
 		return
 	}
 	select {
-	case <-ended:
+	case <-exited:
 	default:
-		_ = cmd.Process.Signal(signal) // an error means that it has just ended
+		_ = cmd.Process.Signal(signal) // an error means that the process has just exited
 	}
 }
 
-// end kills a gateway's process and closes its relays and its discovery.
-func (r *processRun) end(gateway *gatewayProcess) {
+// closeGateway kills a gateway's process, and closes its relays to hosts and its discovery service.
+func (r *processRun) closeGateway(gateway *gatewayProcess) {
 	r.signal(gateway, syscall.SIGKILL)
-	if gateway.ended != nil {
-		<-gateway.ended
+	if gateway.exited != nil {
+		<-gateway.exited
 	}
 	for _, relay := range gateway.hostRelays {
 		relay.close()
--- a/internal/faultsim/host_relay.go
+++ b/internal/faultsim/host_relay.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	relayBufferBytes = 16 << 10
+	copyBufferBytes  = 16 << 10
 	relayDialTimeout = time.Second
 )
 
-// hostRelay is a TCP relay from one gateway to one host that can be cut.
+// hostRelay relays TCP connections from one gateway to one host. It can be cut, which silently stops all data, and healed.
 type hostRelay struct {
 	listener net.Listener
-	target   func() string // the host's address
+	target   func() string // returns the host's address
 	mutex    sync.Mutex
 	conns    map[net.Conn]bool
-	healed   chan struct{} // closed unless the relay is cut
+	healed   chan struct{} // closed while the relay is not cut
 }
 
 func newHostRelay(target func() string) (*hostRelay, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("cannot listen for a relay to a host: %w", err)
 	}
 	r := &hostRelay{
 		listener: listener,
@@ -51,7 +51,7 @@
 	}
 }
 
-// address is where the gateway connects to.
+// address returns the address that the gateway connects to.
 func (r *hostRelay) address() string { return r.listener.Addr().String() }
 
 // awaitHealed waits while the relay is cut.
@@ -62,7 +62,7 @@
 	<-healed
 }
 
-// setCut cuts the relay, so that its connections become silent, or heals it, which resets them.
+// setCut cuts or heals the relay. A cut leaves the connections open but stops their data. Healing resets them.
 func (r *hostRelay) setCut(cut bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -101,7 +101,7 @@
 	delete(r.conns, conn)
 }
 
-// relay connects to the host and copies in both directions until one side ends.
+// relay connects to the host and copies data in both directions until the connection ends on either side.
 func (r *hostRelay) relay(client net.Conn) {
 	r.track(client)
 	defer r.untrack(client)
@@ -126,9 +126,10 @@
 	<-done
 }
 
-// copyStream copies one direction of a connection while the relay is not cut. A reset of one side is passed on as one.
+// copyStream copies one direction of a connection, and waits while the relay is cut. If reading fails with an error other
+// than the end of the stream, such as a reset, the other side is reset too.
 func (r *hostRelay) copyStream(to, from net.Conn) {
-	buffer := make([]byte, relayBufferBytes)
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
@@ -144,12 +145,12 @@
 			break
 		}
 	}
-	_ = to.(*net.TCPConn).CloseWrite() // an error means that it is closed already
+	_ = to.(*net.TCPConn).CloseWrite() // an error means that the connection is already closed
 }
 
-// resetOnClose makes the close of a TCP connection a reset.
+// resetOnClose makes a later close of a TCP connection send a reset.
 func resetOnClose(conn net.Conn) {
-	_ = conn.(*net.TCPConn).SetLinger(0) // an error means that it is closed already
+	_ = conn.(*net.TCPConn).SetLinger(0) // an error means that the connection is already closed
 }
 
 func (r *hostRelay) close() {
--- a/internal/faultsim/load.go
+++ b/internal/faultsim/load.go
@@ -11,10 +11,10 @@
 	sessionCount    = 64
 	readDeadline    = 600 * time.Millisecond
 	writeDeadline   = 2 * time.Second
-	lateAnswerLimit = 500 * time.Millisecond // how long after its deadline an answer still counts
+	lateAnswerLimit = 500 * time.Millisecond // how long the load generator waits for an answer after its deadline
 
 	maxLatencyMicroseconds = 60_000_000
-	latencyDigits          = 3 // significant digits of the histogram
+	latencyDigits          = 3 // number of significant digits in the histogram
 )
 
 // arrival is one request of the load.
@@ -22,11 +22,11 @@
 	at      time.Duration // intended send time, from second 0
 	session int
 	write   bool
-	value   int // that a write writes
+	value   int // value that a write stores
 }
 
-// draw draws the arrivals of a whole run: a Poisson process with random sessions.
-func (l *Load) draw(seconds float64, seed uint64) []arrival {
+// drawArrivals draws the requests of a whole run from a seed. They arrive as a Poisson process, with random sessions.
+func (l *Load) drawArrivals(seconds float64, seed uint64) []arrival {
 	if l.Rate <= 0 {
 		return nil
 	}
@@ -50,29 +50,29 @@
 
 func millisecondsToDuration(ms float64) time.Duration { return time.Duration(ms * 1e6) }
 
-// RequestCounts count requests by their outcome for the clients.
+// RequestCounts counts requests by their outcome for the clients.
 type RequestCounts struct {
 	Sent     int
 	Served   int
 	Rejected int
 	Failed   int
-	Lost     int                     // no answer although nothing was done to the gateway
-	Excused  int                     // the gateway was killed, stopped or paused during the request, or none was up
-	Stale    int                     // served reads that missed a write which the same process had acknowledged
-	Latency  *hdrhistogram.Histogram // of the served, µs from the intended time
+	Lost     int                     // no answer although no fault affected the gateway
+	Excused  int                     // the gateway was killed, stopped or paused during the request, or no gateway was up
+	Stale    int                     // served reads that missed a write which the same process had acknowledged before
+	Latency  *hdrhistogram.Histogram // latency of the served requests from the intended send time, µs
 }
 
 func newRequestCounts() RequestCounts {
 	return RequestCounts{Latency: hdrhistogram.New(1, maxLatencyMicroseconds, latencyDigits)}
 }
 
-// recordLatency records the latency of a served request. The histogram's error for a longer one is dropped: it is not
-// counted among the percentiles.
+// recordLatency records the latency of a served request. The histogram returns an error for a latency above its range, which
+// recordLatency ignores: the percentiles don't include that request.
 func (c *RequestCounts) recordLatency(microseconds int64) {
 	_ = c.Latency.RecordValue(microseconds)
 }
 
-// latencyMs is the latency at a percentile.
+// latencyMs returns the latency at a percentile, in ms.
 func (c *RequestCounts) latencyMs(percentile float64) float64 {
 	return float64(c.Latency.ValueAtQuantile(percentile)) / 1000
 }
--- a/internal/faultsim/load_generator.go
+++ b/internal/faultsim/load_generator.go
@@ -11,26 +11,26 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// client sends the load to the gateways, as clients behind a load balancer do: sessions are sticky to a gateway while
-// it is up.
-type client struct {
+// loadGenerator sends the requests of the load to the gateways, like clients behind a load balancer: sessions are sticky
+// to a gateway while it is up.
+type loadGenerator struct {
 	mutex        sync.Mutex
-	route        func(session int) (gatewayEndpoint, bool) // the process for a session now; false: none is up
-	idleConns    map[string][]net.Conn                     // by process
-	acknowledged map[string]int                            // by process and session: the newest value acknowledged
+	route        func(session int) (gatewayEndpoint, bool) // returns the process for a session; false: no gateway is up
+	idleConns    map[string][]net.Conn                     // idle connections, by process
+	acknowledged map[string]int                            // newest value that was acknowledged, by process and session
 	counts       RequestCounts
 	pending      sync.WaitGroup
 }
 
-// gatewayEndpoint is one process of a gateway, as clients reach it.
+// gatewayEndpoint is the client listener of one process of a gateway.
 type gatewayEndpoint struct {
-	address   string
-	process   string                     // names the process
-	disturbed func(since time.Time) bool // whether a step has been carried out on it
+	address     string
+	process     string                     // identifies the process
+	interrupted func(since time.Time) bool // whether a step has killed, paused or resumed it since a time
 }
 
-func newClient(route func(session int) (gatewayEndpoint, bool)) *client {
-	return &client{
+func newLoadGenerator(route func(session int) (gatewayEndpoint, bool)) *loadGenerator {
+	return &loadGenerator{
 		route:        route,
 		idleConns:    map[string][]net.Conn{},
 		acknowledged: map[string]int{},
@@ -38,59 +38,59 @@
 	}
 }
 
-// play sends each request at its time, until stop is closed, and returns when all have ended.
-func (c *client) play(start time.Time, arrivals []arrival, stop <-chan struct{}) {
+// sendRequests sends each request at its intended time until stop is closed. It returns when all sent requests have ended.
+func (g *loadGenerator) sendRequests(start time.Time, arrivals []arrival, stop <-chan struct{}) {
 	for i := range arrivals {
 		next := &arrivals[i]
 		intended := start.Add(next.at)
 		select {
 		case <-time.After(time.Until(intended)):
 		case <-stop:
-			c.pending.Wait()
+			g.pending.Wait()
 			return
 		}
-		c.pending.Add(1)
+		g.pending.Add(1)
 		go func() {
-			defer c.pending.Done()
-			c.request(intended, next)
+			defer g.pending.Done()
+			g.request(intended, next)
 		}()
 	}
-	c.pending.Wait()
-	c.closeIdleConns()
+	g.pending.Wait()
+	g.closeIdleConns()
 }
 
-func (c *client) closeIdleConns() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	for _, conns := range c.idleConns {
+func (g *loadGenerator) closeIdleConns() {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	for _, conns := range g.idleConns {
 		for _, conn := range conns {
 			stubserver.CloseQuietly(conn)
 		}
 	}
 }
 
-// takeIdleConn returns an idle connection to a process; nil: there is none.
-func (c *client) takeIdleConn(process string) net.Conn {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	conns := c.idleConns[process]
+// takeIdleConn removes an idle connection to a process and returns it, or nil if there is none.
+func (g *loadGenerator) takeIdleConn(process string) net.Conn {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	conns := g.idleConns[process]
 	if len(conns) == 0 {
 		return nil
 	}
 	last := len(conns) - 1
-	c.idleConns[process] = conns[:last]
+	g.idleConns[process] = conns[:last]
 	return conns[last]
 }
 
-func (c *client) keepIdleConn(process string, conn net.Conn) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.idleConns[process] = append(c.idleConns[process], conn)
+func (g *loadGenerator) keepIdleConn(process string, conn net.Conn) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	g.idleConns[process] = append(g.idleConns[process], conn)
 }
 
-// connect returns an idle connection to a process, or a new one.
-func (c *client) connect(endpoint gatewayEndpoint, deadline time.Time) (conn net.Conn, fresh bool, err error) {
-	if conn = c.takeIdleConn(endpoint.process); conn != nil {
+// connect returns an idle connection to a process, or opens a new one. isNew is also true if opening it fails.
+func (g *loadGenerator) connect(endpoint gatewayEndpoint, deadline time.Time) (conn net.Conn, isNew bool, err error) {
+	if conn = g.takeIdleConn(endpoint.process); conn != nil {
 		return conn, false, conn.SetDeadline(deadline)
 	}
 	conn, err = net.DialTimeout("tcp4", endpoint.address, time.Until(deadline))
@@ -120,18 +120,18 @@
 
 // queryResult is a gateway's answer to one query.
 type queryResult struct {
-	sqlstate  string // of an error; empty: none
+	sqlstate  string // SQLSTATE of an error; empty: no error
 	value     int
 	completed bool
 }
 
-// isRejected reports whether the gateway shed the request, or shuts down.
+// isRejected reports whether the gateway shed the request or is shutting down.
 func (r *queryResult) isRejected() bool {
 	const stateCannotConnectNow = "57P03"
 	return r.sqlstate == pg.StateTooManyConnections || r.sqlstate == stateCannotConnectNow
 }
 
-// readResult reads up to ReadyForQuery, or to the end of the connection, which is an error.
+// readResult reads an answer up to ReadyForQuery. The end of the connection before that is an error.
 func readResult(conn net.Conn) (result queryResult, err error) {
 	for {
 		kind, body, err := stubserver.ReadMessage(conn, maxMessageBody)
@@ -153,33 +153,33 @@
 	}
 }
 
-// statement is the text of a request for a session, and how long it may take.
-func (a *arrival) statement(session string) (text string, limit time.Duration) {
+// statement returns the text of a request for a session and its time limit.
+func (a *arrival) statement(session string) (text string, timeLimit time.Duration) {
 	if a.write {
 		return fmt.Sprintf("INSERT INTO setpoints VALUES ('%s', 'k%d', '%d')", session, a.value, a.value), writeDeadline
 	}
 	return fmt.Sprintf("SELECT v FROM setpoints WHERE greenhouse = '%s'", session), readDeadline
 }
 
-// request sends one request and counts its outcome. Its latency counts from the intended time.
-func (c *client) request(intended time.Time, arrival *arrival) {
+// request sends one request and counts its outcome. The latency is measured from the intended send time.
+func (g *loadGenerator) request(intended time.Time, arrival *arrival) {
 	session := fmt.Sprintf("s%d", arrival.session)
-	text, limit := arrival.statement(session)
-	endpoint, ok := c.route(arrival.session)
+	text, timeLimit := arrival.statement(session)
+	endpoint, ok := g.route(arrival.session)
 	acknowledgedKey := endpoint.process + session
-	c.mutex.Lock()
-	c.counts.Sent++
-	required := c.acknowledged[acknowledgedKey]
-	c.mutex.Unlock()
+	g.mutex.Lock()
+	g.counts.Sent++
+	required := g.acknowledged[acknowledgedKey]
+	g.mutex.Unlock()
 	if !ok {
-		c.count(func(counts *RequestCounts) { counts.Excused++ })
+		g.count(func(counts *RequestCounts) { counts.Excused++ })
 		return
 	}
-	result, err := c.query(endpoint, text, intended.Add(limit+lateAnswerLimit))
+	result, err := g.query(endpoint, text, intended.Add(timeLimit+lateAnswerLimit))
 	latency := time.Since(intended)
-	c.count(func(counts *RequestCounts) {
+	g.count(func(counts *RequestCounts) {
 		switch {
-		case err != nil && endpoint.disturbed(intended):
+		case err != nil && endpoint.interrupted(intended):
 			counts.Excused++
 		case err != nil:
 			counts.Lost++
@@ -191,7 +191,7 @@
 			counts.Served++
 			counts.recordLatency(min(latency.Microseconds(), maxLatencyMicroseconds))
 			if arrival.write {
-				c.acknowledged[acknowledgedKey] = max(c.acknowledged[acknowledgedKey], arrival.value)
+				g.acknowledged[acknowledgedKey] = max(g.acknowledged[acknowledgedKey], arrival.value)
 			} else if result.value < required {
 				counts.Stale++
 			}
@@ -199,30 +199,30 @@
 	})
 }
 
-// query sends a query to a process. An idle connection may have been closed meanwhile: the query is retried until it
-// fails on a new one.
-func (c *client) query(endpoint gatewayEndpoint, text string, deadline time.Time) (result queryResult, err error) {
+// query sends a query to a process. The gateway may have closed an idle connection, so a query that fails is sent again
+// until it fails on a new connection.
+func (g *loadGenerator) query(endpoint gatewayEndpoint, text string, deadline time.Time) (result queryResult, err error) {
 	for {
-		conn, fresh, err := c.connect(endpoint, deadline)
+		conn, isNew, err := g.connect(endpoint, deadline)
 		if err == nil {
 			if _, err = conn.Write(pg.AppendStrings(nil, pg.MsgQuery, text)); err == nil {
 				result, err = readResult(conn)
 			}
 			if err == nil {
-				c.keepIdleConn(endpoint.process, conn)
+				g.keepIdleConn(endpoint.process, conn)
 				return result, nil
 			}
 			stubserver.CloseQuietly(conn)
 		}
-		if fresh {
+		if isNew {
 			return result, err
 		}
 	}
 }
 
-// count changes the counts under the lock.
-func (c *client) count(change func(*RequestCounts)) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	change(&c.counts)
+// count calls change with the counts while it holds the lock.
+func (g *loadGenerator) count(change func(*RequestCounts)) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	change(&g.counts)
 }
--- a/internal/faultsim/process_config.go
+++ b/internal/faultsim/process_config.go
@@ -6,8 +6,8 @@
 	"text/template"
 )
 
-// operatorFile is the operator's file of one gateway process.
-var operatorFile = template.Must(template.New("operator file").Parse(`name = {{printf "%q" .Name}}
+// gatewayConfigTemplate renders the configuration file of one gateway process.
+var gatewayConfigTemplate = template.Must(template.New("gateway configuration").Parse(`name = {{printf "%q" .Name}}
 listen = "127.0.0.1:0"
 management = "127.0.0.1:0"
 describe_class = "read"
@@ -77,18 +77,18 @@
 primary = {{.Primary}}
 {{end}}`))
 
-// operatorSettings are the values in which the operator's files of one run differ.
-type operatorSettings struct {
+// gatewayConfig holds the values of gatewayConfigTemplate.
+type gatewayConfig struct {
 	Name             string
-	Discovery        string // address; empty: hosts are listed in the file
+	Discovery        string // address of the discovery service; empty: Hosts is used
 	FleetListen      string
 	FleetAdvertise   string
 	Zone             string
 	MessageVersion   uint8
 	Seeds            []string
 	GatewayCount     int
-	Subset           int // 0: left out
-	GatewayNumber    int // from 1; 0: left out
+	Subset           int // 0: omitted from the file
+	GatewayNumber    int // counted from 1; 0: omitted from the file
 	DrainGraceMs     int64
 	SlowStartShare   float64
 	SlowStartMs      int64
@@ -97,26 +97,26 @@
 	ReadDeadlineMs   int64
 	WriteDeadlineMs  int64
 	DedupWindowMs    int64
-	Hosts            []operatorHost
+	Hosts            []gatewayConfigHost
 }
 
-// operatorHost is a [[host]] of an operator's file.
-type operatorHost struct {
+// gatewayConfigHost is a [[host]] entry of the configuration file.
+type gatewayConfigHost struct {
 	ID      string
 	Address string
 	Primary bool
 }
 
-// config returns the operator's file of a gateway. The caller holds the lock.
-func (r *processRun) config(gateway *gatewayProcess) (string, error) {
+// renderConfig returns the text of a gateway's configuration file. The caller holds the lock.
+func (r *processRun) renderConfig(gateway *gatewayProcess) (string, error) {
 	fleet := &r.experiment.Fleet
-	settings := operatorSettings{
+	settings := gatewayConfig{
 		Name:             gateway.name,
 		FleetListen:      gateway.udpAddress.String(),
 		FleetAdvertise:   gateway.relay.address.String(),
 		Zone:             fleet.zone(gateway.index),
 		MessageVersion:   fleet.messageVersion(gateway.index, r.result.Gateways),
-		GatewayCount:     r.configuredCount(),
+		GatewayCount:     r.configuredGatewayCount(),
 		DrainGraceMs:     drainGrace.Milliseconds(),
 		SlowStartShare:   slowStartShare,
 		SlowStartMs:      slowStartWindow.Milliseconds(),
@@ -138,18 +138,18 @@
 	if gateway.discovery != nil {
 		settings.Discovery = gateway.discovery.Addr
 	} else {
-		settings.Hosts = r.operatorHosts(gateway)
+		settings.Hosts = r.configuredHosts(gateway)
 	}
 	var text strings.Builder
-	err := operatorFile.Execute(&text, settings)
+	err := gatewayConfigTemplate.Execute(&text, settings)
 	return text.String(), err
 }
 
-// operatorHosts lists the hosts as a gateway reaches them.
-func (r *processRun) operatorHosts(gateway *gatewayProcess) []operatorHost {
-	var hosts []operatorHost
+// configuredHosts returns the hosts at the addresses of the gateway's own relays.
+func (r *processRun) configuredHosts(gateway *gatewayProcess) []gatewayConfigHost {
+	var hosts []gatewayConfigHost
 	for i, relay := range gateway.hostRelays {
-		hosts = append(hosts, operatorHost{
+		hosts = append(hosts, gatewayConfigHost{
 			ID:      r.hosts.hosts[i].id,
 			Address: relay.address(),
 			Primary: i == 0,
@@ -158,9 +158,9 @@
 	return hosts
 }
 
-// configuredCount is the number of gateways in the gateways' configuration. It may be wrong on purpose, but it is never
-// too low: the program rejects a gateway number above it.
-func (r *processRun) configuredCount() int {
+// configuredGatewayCount returns the number of gateways that is written into the configuration files. An experiment can
+// make it too high with Selection.CountFactor, but not too low: the program rejects a gateway number above the count.
+func (r *processRun) configuredGatewayCount() int {
 	count := len(r.gateways)
 	if factor := r.options.Selection.CountFactor; factor > 1 {
 		return int(math.Round(factor * float64(count)))
--- a/internal/faultsim/process_log.go
+++ b/internal/faultsim/process_log.go
@@ -14,7 +14,7 @@
 	"merlinjunction/membership"
 )
 
-// maxLogLine is the longest line of a gateway's log that is read, bytes.
+// maxLogLine is the length limit of a gateway's log line, in bytes.
 const maxLogLine = 1 << 20
 
 // The messages of a gateway's log that the fault simulator acts on.
@@ -25,7 +25,7 @@
 	messagePartialViewChanged = "fleet: partial view changed"
 )
 
-// logLine is a line of a gateway's log with the fields that the fault simulator reads.
+// logLine holds the fields of a gateway's log line that the fault simulator reads.
 type logLine struct {
 	Timestamp float64 `json:"ts"` // ms since 1970
 	Message   string  `json:"msg"`
@@ -37,19 +37,20 @@
 	Partial   bool    `json:"partial"`
 }
 
-// lastOutputPath is the file that holds the last line of a gateway's output that is no log line.
+// lastOutputPath returns the path of the file that holds the last output line of a gateway that is not in the log format.
 func (r *processRun) lastOutputPath(gateway *gatewayProcess) string {
 	return filepath.Join(r.dir, gateway.name+".last")
 }
 
-// lastOutput is what a gateway's process wrote before it ended; empty if it wrote only log lines.
+// lastOutput returns the last output line of a gateway that is not in the log format, such as an error at startup. It is
+// empty if the gateway wrote only log lines.
 func (r *processRun) lastOutput(gateway *gatewayProcess) string {
-	text, _ := os.ReadFile(r.lastOutputPath(gateway)) // it need not exist
+	text, _ := os.ReadFile(r.lastOutputPath(gateway)) // the file is missing if the gateway wrote only log lines
 	return strings.TrimSpace(string(text))
 }
 
-// readLog reads the log of a gateway's process until it ends. It sends the clients' address to serving and notifies the
-// oracle of what the gateway reports of itself and of others.
+// readLog reads the log of a gateway's process until the process closes it. It sends the address of the client listener
+// to serving, and reports changes of the gateway's status and of its beliefs about members to the oracle.
 func (r *processRun) readLog(gateway *gatewayProcess, output io.Reader, serving chan<- string) {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxLogLine)
@@ -57,7 +58,7 @@
 		text := lines.Bytes()
 		var line logLine
 		if err := json.Unmarshal(text, &line); err != nil {
-			_ = os.WriteFile(r.lastOutputPath(gateway), text, 0o600) // only an error's text is less complete without it
+			_ = os.WriteFile(r.lastOutputPath(gateway), text, 0o600) // if it fails, an error message lacks this line
 			r.options.Log.Info("gateway log line", zap.String("gateway", gateway.name), zap.ByteString("text", text))
 			continue
 		}
@@ -72,7 +73,7 @@
 
 // observe handles one line of a gateway's log. The caller holds the lock.
 func (r *processRun) observe(gateway *gatewayProcess, line *logLine, text []byte) {
-	nowMs := line.Timestamp - float64(r.startedAt.UnixMicro())/1000
+	nowMs := line.Timestamp - float64(r.secondZero.UnixMicro())/1000
 	switch line.Message {
 	case messageServing:
 	case messageMemberStateChanged:
@@ -93,8 +94,8 @@
 	}
 }
 
-// observeBelief notifies the oracle of a gateway's belief of another one. Beliefs of duplicates, and of members that
-// are no gateways of the experiment, don't count.
+// observeBelief reports a gateway's new belief about a member to the oracle. It ignores the beliefs of duplicates, and
+// beliefs about members that are not gateways of the experiment.
 func (r *processRun) observeBelief(gateway *gatewayProcess, line *logLine, nowMs float64) {
 	var member int
 	if _, err := fmt.Sscanf(line.Member, "g%d", &member); err != nil || gateway.duplicate {
@@ -105,7 +106,7 @@
 	r.oracle.ObserveBelief(gateway.index, member, parseState(line.State), line.Reason, max(nowMs, beginMs))
 }
 
-// parseState returns the state with a name; 0 if there is none.
+// parseState returns the state with a name, or 0 if no state has it.
 func parseState(name string) membership.State {
 	for state := membership.Alive; state <= membership.Left; state++ {
 		if state.String() == name {
@@ -115,7 +116,7 @@
 	return 0
 }
 
-// parseStatus returns the status with a name; StatusLeft if there is none.
+// parseStatus returns the status with a name, or StatusLeft if no other status has it.
 func parseStatus(name string) membership.Status {
 	for status := membership.StatusJoining; status < membership.StatusLeft; status++ {
 		if status.String() == name {
--- a/internal/faultsim/process_measurements.go
+++ b/internal/faultsim/process_measurements.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// measureSteadyTraffic measures the rate of the busiest gateway from second 0 to a time in ms, unless it is too short.
+// measureSteadyTraffic records the send rate of the busiest gateway between second 0 and a time in ms. It records nothing
+// if that time is below minSteadyMs.
 func (r *processRun) measureSteadyTraffic(untilMs float64) {
 	if untilMs < minSteadyMs {
 		return
 	}
 	r.steadyBytesPerSecond = 0
 	for gateway, sent := range r.relays.sentBytes() {
-		rate := float64(sent-r.bytesAtStart[gateway]) / untilMs * 1000
+		rate := float64(sent-r.bytesAtSecondZero[gateway]) / untilMs * 1000
 		r.steadyBytesPerSecond = max(r.steadyBytesPerSecond, rate)
 	}
 }
 
-// sampleUntil adds entries to the result's series until stop is closed.
+// sampleUntil adds an entry to the result's series in each sample interval until stop is closed.
 func (r *processRun) sampleUntil(stop <-chan struct{}) {
 	ticker := time.NewTicker(sampleIntervalMs * time.Millisecond)
 	defer ticker.Stop()
@@ -42,7 +43,7 @@
 	}
 }
 
-// finish collects the measurements.
+// finish collects the measurements and evaluates the experiment's expectations.
 func (r *processRun) finish() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -51,31 +52,32 @@
 	figures := r.oracle.Measurements()
 	r.result.Measurements = figures
 	figures[FigureBytesPerSecond] = r.steadyBytesPerSecond
-	if r.client.counts.Sent > 0 {
+	if r.loadGenerator.counts.Sent > 0 {
 		r.measureRequests(figures)
 	}
 	r.result.Verdicts = r.experiment.Expect.Evaluate(figures)
 }
 
-// checkCrashes records an error if a gateway ended that no step had ended. The caller holds the lock.
+// checkCrashes records an error if a gateway's process exited although no step of the plan ended it. The caller holds the
+// lock.
 func (r *processRun) checkCrashes() {
 	for _, gateway := range r.gateways {
-		if !gateway.up {
+		if !gateway.expectedUp {
 			continue
 		}
 		select {
-		case <-gateway.ended:
+		case <-gateway.exited:
 			if r.err == nil {
-				r.err = fmt.Errorf("%s crashed: %s", gateway.name, r.lastOutput(gateway))
+				r.err = fmt.Errorf("gateway %s crashed, its last output is %q", gateway.name, r.lastOutput(gateway))
 			}
 		default:
 		}
 	}
 }
 
-// measureRequests adds the figures of the clients and of the stub hosts.
+// measureRequests adds the figures that the load generator and the stub hosts counted.
 func (r *processRun) measureRequests(figures Measurements) {
-	counts := &r.client.counts
+	counts := &r.loadGenerator.counts
 	counts.measure(r.result)
 	figures[FigureP50Ms] = counts.latencyMs(50)
 	figures[FigureSent] = float64(counts.Sent)
@@ -89,5 +91,5 @@
 	figures[FigureDuplicateWrites] = float64(counters.DuplicateWrites)
 	figures[FigureStatementsAfterDrain] = float64(counters.StatementsAfterDrain)
 	figures[FigureOverloads] = float64(counters.Overloads)
-	r.result.Hosts = counters.Served
+	r.result.Hosts = counters.Statements
 }
--- a/internal/faultsim/process_steps.go
+++ b/internal/faultsim/process_steps.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// applyStep carries out one step of the plan. Processes that a step starts become ready in the background, which the
-// wait group counts.
+// applyStep carries out one step of the plan. The step Start does not wait until the new process serves: a background
+// goroutine does, and the wait group counts it.
 func (r *processRun) applyStep(step *Step, starting *sync.WaitGroup) error {
 	r.options.logStep(r.now(), step)
 	switch step.Operation {
@@ -17,7 +17,7 @@
 		r.relays.apply(step)
 	}
 	if step.Operation == Start && r.isNew(step.Target) {
-		if _, err := r.add(step.Target, false); err != nil {
+		if _, err := r.addGateway(step.Target, false); err != nil {
 			return err
 		}
 	}
@@ -25,7 +25,7 @@
 	return r.applyGatewayStep(step, gateway, starting)
 }
 
-// applyHostStep carries out a step on a stub host, or on the connections of a gateway to hosts.
+// applyHostStep carries out a step on a stub host, or on the relays from a gateway to hosts.
 func (r *processRun) applyHostStep(step *Step) error {
 	switch step.Operation {
 	case HostDrain:
@@ -49,7 +49,8 @@
 	return index == len(r.gateways)
 }
 
-// recordStep notifies the oracle of a step and returns the gateway that it is on; nil for the network's conditions.
+// recordStep reports a step to the oracle and returns the step's target gateway. A change of the network conditions has no
+// target: recordStep returns nil.
 func (r *processRun) recordStep(step *Step) *gatewayProcess {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -60,21 +61,21 @@
 	gateway := r.gateways[step.Target]
 	switch step.Operation {
 	case Kill, Pause, Resume:
-		gateway.disturbances = append(gateway.disturbances, time.Now())
+		gateway.interruptions = append(gateway.interruptions, time.Now())
 	}
 	return gateway
 }
 
-// applyGatewayStep carries out a step on a gateway's process; others are ignored.
+// applyGatewayStep carries out a step on a gateway's process and ignores all other steps.
 func (r *processRun) applyGatewayStep(step *Step, gateway *gatewayProcess, starting *sync.WaitGroup) error {
 	switch step.Operation {
 	case Start:
 		r.startInBackground(gateway, starting)
 	case Kill:
 		r.signal(gateway, syscall.SIGKILL)
-		r.setDown(gateway)
+		r.expectExit(gateway)
 	case Terminate:
-		r.setDown(gateway)
+		r.expectExit(gateway)
 		r.signal(gateway, syscall.SIGTERM)
 	case Pause:
 		r.setPaused(gateway, true)
@@ -83,11 +84,11 @@
 		r.signal(gateway, syscall.SIGCONT)
 		r.setPaused(gateway, false)
 	case StartDuplicate:
-		duplicate, err := r.add(step.Target, true)
+		duplicate, err := r.addGateway(step.Target, true)
 		if err != nil {
 			return err
 		}
-		return r.start(duplicate, false)
+		return r.startProcess(duplicate, false)
 	}
 	return nil
 }
@@ -97,21 +98,22 @@
 	starting.Add(1)
 	go func() {
 		defer starting.Done()
-		if err := r.start(gateway, false); err != nil {
-			r.fail(err)
+		if err := r.startProcess(gateway, false); err != nil {
+			r.recordError(err)
 		}
 	}()
 }
 
-// setDown records that a step ends a gateway's process: clients use another one, and its end is no crash.
-func (r *processRun) setDown(gateway *gatewayProcess) {
+// expectExit records that a step ends a gateway's process: the load generator then uses another gateway, and the exit of
+// the process is not a crash.
+func (r *processRun) expectExit(gateway *gatewayProcess) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	gateway.up = false
+	gateway.expectedUp = false
 }
 
-// fail records the first error of work in the background.
-func (r *processRun) fail(err error) {
+// recordError keeps the first error of the background goroutines.
+func (r *processRun) recordError(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.err == nil {
--- a/internal/faultsim/processes.go
+++ b/internal/faultsim/processes.go
@@ -11,36 +11,37 @@
 	"time"
 )
 
-// errClockSteps says that an experiment is not for the processes engine.
+// errClockSteps rejects an experiment with clock faults, which the processes engine does not support.
 var errClockSteps = errors.New(
-	"the clocks of processes can't be stepped without rights that this engine does not ask for")
+	"the processes engine does not support clock faults: stepping a process's clock needs privileges that it does not request")
 
 // processRun is one run of the processes engine.
 type processRun struct {
 	experiment           *Experiment
 	options              Options
-	program              string // path of the gateway's program
-	dir                  string // of the gateways' configuration files
-	ip                   netip.Addr
+	program              string     // path of the gateway program
+	dir                  string     // directory of the gateways' configuration files
+	ip                   netip.Addr // loopback network of the gateways' UDP addresses; its last byte is set for each gateway
 	relays               *DatagramRelays
 	hosts                *StubHosts
-	client               *client
-	startedAt            time.Time // second 0
+	loadGenerator        *loadGenerator
+	secondZero           time.Time // start of the plan, after the fleet has settled
 	spawner              *Spawner
-	steadyBytesPerSecond float64     // of the busiest gateway, up to the first fault
-	bytesAtStart         map[int]int // by gateway: sent before second 0
+	steadyBytesPerSecond float64     // sent by the busiest gateway before the first fault; NaN: not measured
+	bytesAtSecondZero    map[int]int // bytes sent before second 0, by gateway
 
-	mutex      sync.Mutex // guards the fields below and the changing ones of the gateways
+	// mutex guards the fields below, and the fields of the gateways that change after their creation.
+	mutex      sync.Mutex
 	oracle     *Oracle
 	gateways   []*gatewayProcess
 	duplicates []*gatewayProcess
 	result     *Result
-	err        error // the first one of work in the background
+	err        error // first error of a background goroutine, or else the first crash
 }
 
-// RunProcesses runs an experiment with real processes of the gateway's program at a path. It ends only processes that
-// it started, and they end with it even if it is killed. An error means that the experiment can't be planned for this
-// engine, or that a gateway did not start, did not end or crashed.
+// RunProcesses runs an experiment with real processes of the gateway program at a path. It signals only processes that
+// it started. If the calling process is killed, the kernel kills them. An error means that the experiment
+// can't be planned for this engine, or that a gateway did not start, did not exit or crashed.
 func RunProcesses(experiment *Experiment, program string, options Options) (*Result, error) {
 	hosts := hostSet{count: experiment.Hosts.Count, protected: 1}
 	steps, err := options.prepare(experiment, experiment.Fleet.Processes, hosts)
@@ -56,12 +57,12 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // in the system's folder for temporary files: left behind at worst
+	defer func() { _ = os.RemoveAll(dir) }() // a directory that remains is in the system's temporary directory
 	run := newProcessRun(experiment, program, dir, options)
-	begun := time.Now()
-	err = run.play(steps)
-	run.close()
-	run.result.Duration = time.Since(begun)
+	startedAt := time.Now()
+	err = run.execute(steps)
+	run.shutDown()
+	run.result.Duration = time.Since(startedAt)
 	if err == nil {
 		err = run.err
 	}
@@ -89,21 +90,22 @@
 	}
 }
 
-// randomLoopback returns a loopback address whose last byte is free, so that other runs don't bind the gateways' ports.
+// randomLoopback returns a random loopback address with the last byte 0, which each gateway replaces by its own. Random
+// addresses keep concurrent runs from binding each other's ports.
 func randomLoopback() netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(64 + rand.IntN(64)), byte(rand.IntN(250)), 0})
 }
 
-// now is the time in ms since second 0.
-func (r *processRun) now() float64 { return float64(time.Since(r.startedAt).Microseconds()) / 1000 }
+// now returns the time in ms since second 0.
+func (r *processRun) now() float64 { return float64(time.Since(r.secondZero).Microseconds()) / 1000 }
 
-// sleepUntil waits until a time in seconds.
+// sleepUntil waits until a time in seconds since second 0.
 func (r *processRun) sleepUntil(seconds float64) {
-	time.Sleep(time.Until(r.startedAt.Add(secondsToDuration(seconds))))
+	time.Sleep(time.Until(r.secondZero.Add(secondsToDuration(seconds))))
 }
 
-// play starts hosts and gateways, plays the steps and the load and collects the result.
-func (r *processRun) play(steps []Step) error {
+// execute starts the hosts and gateways, carries out the steps while sending the load, and collects the result.
+func (r *processRun) execute(steps []Step) error {
 	var err error
 	lag := millisecondsToDuration(r.experiment.Hosts.LagMs)
 	if r.hosts, err = newStubHosts(r.experiment.Hosts.Count, lag); err != nil {
@@ -112,32 +114,32 @@
 	if err := r.startGateways(); err != nil {
 		return err
 	}
-	r.client = newClient(r.route)
+	r.loadGenerator = newLoadGenerator(r.route)
 	stop := make(chan struct{})
 	var background sync.WaitGroup
 	background.Add(2)
 	go func() {
 		defer background.Done()
-		arrivals := r.experiment.Load.draw(r.experiment.Seconds, r.options.Seed)
-		r.client.play(r.startedAt, arrivals, stop)
+		arrivals := r.experiment.Load.drawArrivals(r.experiment.Seconds, r.options.Seed)
+		r.loadGenerator.sendRequests(r.secondZero, arrivals, stop)
 	}()
 	go func() {
 		defer background.Done()
 		r.sampleUntil(stop)
 	}()
-	err = r.playSteps(steps)
+	err = r.executeSteps(steps)
 	close(stop)
 	background.Wait()
 	r.finish()
 	return err
 }
 
-// startGateways adds all gateways, starts them over the fleet's spread and waits until they serve.
+// startGateways starts all gateways, evenly distributed over the fleet's spread, and waits until they serve.
 func (r *processRun) startGateways() error {
 	fleet, count := &r.experiment.Fleet, r.options.Gateways
-	r.startedAt = time.Now().Add(secondsToDuration(fleet.Spread + fleet.Settle))
+	r.secondZero = time.Now().Add(secondsToDuration(fleet.Spread + fleet.Settle))
 	for i := range count {
-		if _, err := r.add(i, false); err != nil {
+		if _, err := r.addGateway(i, false); err != nil {
 			return err
 		}
 	}
@@ -148,19 +150,19 @@
 		go func() {
 			defer starting.Done()
 			time.Sleep(secondsToDuration(fleet.Spread * float64(i) / float64(count)))
-			errs[i] = r.start(r.gateways[i], true)
+			errs[i] = r.startProcess(r.gateways[i], true)
 		}()
 	}
 	starting.Wait()
 	return errors.Join(errs...)
 }
 
-// playSteps carries out the steps at their times and waits for the end of the experiment.
-func (r *processRun) playSteps(steps []Step) error {
+// executeSteps carries out the steps at their times and waits for the end of the experiment.
+func (r *processRun) executeSteps(steps []Step) error {
 	var starting sync.WaitGroup
 	defer starting.Wait()
 	r.sleepUntil(0)
-	r.bytesAtStart = r.relays.sentBytes()
+	r.bytesAtSecondZero = r.relays.sentBytes()
 	if len(steps) == 0 {
 		r.sleepUntil(r.experiment.Seconds)
 		r.measureSteadyTraffic(r.experiment.Seconds * 1000)
@@ -168,7 +170,7 @@
 	}
 	for i := range steps {
 		step := &steps[i]
-		time.Sleep(time.Until(r.startedAt.Add(millisecondsToDuration(step.At))))
+		time.Sleep(time.Until(r.secondZero.Add(millisecondsToDuration(step.At))))
 		if i == 0 {
 			r.measureSteadyTraffic(step.At)
 		}
@@ -180,13 +182,13 @@
 	return nil
 }
 
-// close ends all processes, hosts and relays.
-func (r *processRun) close() {
+// shutDown kills all processes and closes the hosts and relays.
+func (r *processRun) shutDown() {
 	r.mutex.Lock()
 	gateways := append(append([]*gatewayProcess(nil), r.gateways...), r.duplicates...)
 	r.mutex.Unlock()
 	for _, gateway := range gateways {
-		r.end(gateway)
+		r.closeGateway(gateway)
 	}
 	r.spawner.Close()
 	if r.hosts != nil {
--- a/internal/faultsim/processes_test.go
+++ b/internal/faultsim/processes_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// runProgramEnv makes the test binary run an experiment with the program at its value. A test kills it on the way.
+// runProgramEnv is an environment variable with the path of a gateway program. It makes the test binary run an experiment
+// with that program, during which a test kills the test binary.
 const runProgramEnv = "FAULTSIM_TEST_RIG"
 
 func TestMain(m *testing.M) {
@@ -21,12 +22,12 @@
 	}
 	code := m.Run()
 	if buildDir != "" {
-		_ = os.RemoveAll(buildDir) // left in the system's folder for temporary files at worst
+		_ = os.RemoveAll(buildDir) // a directory that remains is in the system's temporary directory
 	}
 	os.Exit(code)
 }
 
-// runUntilKilled runs an experiment without faults, and writes a line when its gateways are up.
+// runUntilKilled runs an experiment without faults. It writes "up" in each sample after the gateways have started.
 func runUntilKilled(program string) error {
 	text := "name = \"x\"\nseconds = 60\n[fleet]\ngateways = 3\nprocesses = 3\n"
 	experiment, err := ParseExperiment("x", text)
@@ -41,10 +42,10 @@
 	return err
 }
 
-// buildDir is the folder of the gateway that buildProgram built.
+// buildDir is the directory of the program that buildProgram built.
 var buildDir string
 
-// buildProgram builds the gateway once for all tests.
+// buildProgram builds the gateway program once for all tests and returns its path.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "faultsim-test-")
 	if err != nil {
@@ -68,8 +69,8 @@
 	return path
 }
 
-// loadForProcesses loads an experiment with looser time bounds, and without the time after its last fault, which CI
-// does not have.
+// loadForProcesses loads an experiment and multiplies its time bounds by four. An experiment with subset selection ends 6 s
+// after its last step, to keep CI short.
 func loadForProcesses(t *testing.T, name string) *Experiment {
 	t.Helper()
 	experiment := loadExperiment(t, name)
@@ -92,9 +93,9 @@
 	return experiment
 }
 
-// Each fault is caused once among real processes. Bounds in milliseconds are four times the file's here, as a machine
-// with other work may be late; `faultsim run --engine processes` holds the file's own. Counts of what must never happen
-// are held exactly.
+// Injects each kind of fault once into real processes. Bounds in milliseconds are four times those of the experiment files,
+// since other work on the machine can delay the processes; `faultsim run --engine processes` applies the files' own bounds.
+// Bounds on counts of forbidden events are the files' own.
 func TestExperimentsProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes two minutes")
@@ -139,7 +140,7 @@
 	}
 }
 
-// A run that is killed leaves no process behind.
+// Checks that the gateway processes of a run exit when the run is killed.
 func TestKilledRunLeavesNoProcess(t *testing.T) {
 	path := gatewayProgram(t)
 	cmd := exec.Command(os.Args[0])
@@ -151,13 +152,13 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	_, err = output.Read(make([]byte, 2)) // the gateways are up
+	_, err = output.Read(make([]byte, 2)) // blocks until the gateways are up
 	if err != nil {
 		t.Fatal(err)
 	}
 	children := childrenOf(t, cmd.Process.Pid, path)
 	if len(children) != 3 {
-		t.Errorf("the run has the children %v", children)
+		t.Errorf("the run has the gateway processes %v, expected 3", children)
 	}
 	_ = cmd.Process.Signal(syscall.SIGKILL)
 	_ = cmd.Wait()
@@ -169,12 +170,12 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if isRunning(pid, path) {
-			t.Errorf("process %s still runs", pid)
+			t.Errorf("process %s still runs 5 s after the run was killed", pid)
 		}
 	}
 }
 
-// childrenOf returns the processes of a program that a parent process started.
+// childrenOf returns the IDs of a parent's child processes that run a program.
 func childrenOf(t *testing.T, parent int, program string) (pids []string) {
 	t.Helper()
 	dirs, err := filepath.Glob("/proc/[0-9]*")
--- a/internal/faultsim/stub_hosts.go
+++ b/internal/faultsim/stub_hosts.go
@@ -10,18 +10,18 @@
 	"merlinjunction/internal/stubserver"
 )
 
-// StubHosts are the stub hosts of one group in the processes engine. The first one is the primary; the others apply its
-// log after a lag. They implement the parts of the simple and the extended protocol that the gateway uses, and count
-// violations of the rules.
+// StubHosts are the stub hosts of one group in the processes engine. The first host is the primary; the others are replicas
+// that apply its log after a lag. The hosts implement the parts of PostgreSQL's simple and extended query protocol that the
+// gateway uses, and count violations of the rules.
 type StubHosts struct {
-	mutex    sync.Mutex
-	hosts    []*stubHost
-	lag      time.Duration
-	rows     map[string][]rowVersion // by session, oldest first
-	keysAt   map[string]time.Time    // when each idempotency key was last used
-	revision int                     // of the endpoint list
-	changed  chan struct{}           // closed with the next revision
-	counters HostCounters
+	mutex     sync.Mutex
+	hosts     []*stubHost
+	lag       time.Duration
+	rows      map[string][]rowVersion // writes by session, oldest first
+	keyUsedAt map[string]time.Time    // when each idempotency key was last used
+	revision  int                     // number of the current endpoint list
+	changed   chan struct{}           // closed when the next revision is published
+	counters  HostCounters
 }
 
 // rowVersion is one committed write.
@@ -30,45 +30,45 @@
 	committedAt time.Time
 }
 
-// HostCounters count events over all stub hosts.
+// HostCounters counts the events of all stub hosts.
 type HostCounters struct {
-	Served               map[string]int // statements, by host
-	Conns                map[string]int // connections accepted, by host
-	DuplicateWrites      int            // writes that ran again past the deduplication window
-	StatementsAfterDrain int            // statements past the grace period of their host's drain
-	Overloads            int            // of hosts in slow start
+	Statements           map[string]int // statements received, by host ID
+	Conns                map[string]int // connections accepted, by host ID
+	DuplicateWrites      int            // writes that were repeated after the deduplication window
+	StatementsAfterDrain int            // statements received after the grace period of the host's drain
+	Overloads            int            // times that a host in slow start exceeded overloadMultiple
 }
 
 // stubHost is one stub host.
 type stubHost struct {
-	id        string
-	all       *StubHosts
-	listener  *stubserver.Listener
-	drainAt   time.Time   // zero: it is not draining
-	startedAt time.Time   // zero: long ago
-	recent    []time.Time // statements within the last overloadWindow, in slow start
+	id               string
+	all              *StubHosts
+	listener         *stubserver.Listener
+	drainAt          time.Time   // when its drain started; zero: it is not draining
+	startedAt        time.Time   // when it restarted in slow start; zero: it never restarted
+	recentStatements []time.Time // times of the statements within the last overloadWindow, kept in slow start
 }
 
-// The rules that the stub hosts check. The gateways are configured with the same values.
+// The rules that the stub hosts check. The gateways' configuration contains the same values.
 const (
 	drainGrace       = 2 * time.Second
-	drainSlack       = 150 * time.Millisecond // for the delay of a watch event
+	drainSlack       = 150 * time.Millisecond // tolerance for the delay until a watch reports the drain
 	dedupWindow      = 2 * time.Second
 	slowStartWindow  = 5 * time.Second
-	slowStartShare   = 0.2   // share of its capacity that a host has at its start
+	slowStartShare   = 0.2   // share of its full capacity that a host has when it starts
 	hostRate         = 400.0 // statements per second that a host handles at full capacity
 	overloadMultiple = 2.5
 	overloadWindow   = time.Second
 )
 
-// newStubHosts starts hosts of one group with a replication lag.
+// newStubHosts starts the hosts of one group. Its replicas have a replication lag.
 func newStubHosts(count int, lag time.Duration) (*StubHosts, error) {
 	s := &StubHosts{
-		lag:      lag,
-		rows:     map[string][]rowVersion{},
-		keysAt:   map[string]time.Time{},
-		changed:  make(chan struct{}),
-		counters: HostCounters{Served: map[string]int{}, Conns: map[string]int{}},
+		lag:       lag,
+		rows:      map[string][]rowVersion{},
+		keyUsedAt: map[string]time.Time{},
+		changed:   make(chan struct{}),
+		counters:  HostCounters{Statements: map[string]int{}, Conns: map[string]int{}},
 	}
 	for i := range count {
 		host := &stubHost{id: fmt.Sprintf("h%d", i), all: s}
@@ -84,7 +84,7 @@
 
 func (h *stubHost) open() error {
 	if err := h.listener.Open(); err != nil {
-		return fmt.Errorf("host %s: %w", h.id, err)
+		return fmt.Errorf("cannot open the listener of stub host %s: %w", h.id, err)
 	}
 	return nil
 }
@@ -95,13 +95,13 @@
 	}
 }
 
-// kill ends a host: its connections are reset, and new ones are refused.
+// kill stops a host: its connections are reset, and new connections are refused.
 func (s *StubHosts) kill(i int) {
 	s.hosts[i].listener.Close()
 	s.hosts[i].listener.ResetConns()
 }
 
-// start starts a host that was killed, at its old address and in slow start.
+// start restarts a killed host at its previous address. It begins in slow start.
 func (s *StubHosts) start(i int) error {
 	host := s.hosts[i]
 	if err := host.open(); err != nil {
@@ -109,7 +109,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	host.startedAt, host.drainAt, host.recent = time.Now(), time.Time{}, nil
+	host.startedAt, host.drainAt, host.recentStatements = time.Now(), time.Time{}, nil
 	s.publish()
 	return nil
 }
@@ -122,14 +122,15 @@
 	s.publish()
 }
 
-// publish makes a new revision of the endpoint list and answers the waiting watches. The caller holds the lock.
+// publish increases the revision of the endpoint list, which ends the waiting watches. The caller holds the lock.
 func (s *StubHosts) publish() {
 	s.revision++
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// discovery serves the endpoint list as one gateway sees it: each host at the address of the gateway's own relay.
+// discovery returns the handler that serves the endpoint list to one gateway. address returns the address of the gateway's
+// relay to a host, which the list contains in place of the host's own address.
 func (s *StubHosts) discovery(address func(host int) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		stubserver.AwaitChange(r, func(since int) (bool, <-chan struct{}) {
@@ -160,37 +161,37 @@
 
 func (h *stubHost) isPrimary() bool { return h == h.all.hosts[0] }
 
-// countStatement counts a statement, and the rules that it violates at this time. The caller holds the lock.
+// countStatement counts a statement and its violations of the rules. The caller holds the lock.
 func (h *stubHost) countStatement(now time.Time) {
 	counters := &h.all.counters
-	counters.Served[h.id]++
+	counters.Statements[h.id]++
 	if !h.drainAt.IsZero() && now.Sub(h.drainAt) > drainGrace+drainSlack {
 		counters.StatementsAfterDrain++
 	}
 	if h.startedAt.IsZero() || now.Sub(h.startedAt) >= slowStartWindow {
 		return
 	}
-	h.recent = append(h.recent, now)
-	for now.Sub(h.recent[0]) > overloadWindow {
-		h.recent = h.recent[1:]
+	h.recentStatements = append(h.recentStatements, now)
+	for now.Sub(h.recentStatements[0]) > overloadWindow {
+		h.recentStatements = h.recentStatements[1:]
 	}
 	capacity := slowStartShare + (1-slowStartShare)*now.Sub(h.startedAt).Seconds()/slowStartWindow.Seconds()
-	if float64(len(h.recent)) > overloadMultiple*capacity*hostRate*overloadWindow.Seconds() {
+	if float64(len(h.recentStatements)) > overloadMultiple*capacity*hostRate*overloadWindow.Seconds() {
 		counters.Overloads++
-		h.recent = nil
+		h.recentStatements = nil
 	}
 }
 
-// write commits a value to a session's rows unless its key was used before. The caller holds the lock.
+// write commits a value to a session's rows unless its idempotency key was used before. The caller holds the lock.
 func (s *StubHosts) write(session, key string, value int, now time.Time) {
-	usedAt, repeated := s.keysAt[key]
+	usedAt, repeated := s.keyUsedAt[key]
 	if repeated && now.Sub(usedAt) > dedupWindow {
 		s.counters.DuplicateWrites++
 	}
 	if !repeated {
 		s.rows[session] = append(s.rows[session], rowVersion{value, now})
 	}
-	s.keysAt[key] = now
+	s.keyUsedAt[key] = now
 }
 
 // read returns the largest value of a session that a host has applied. The caller holds the lock.
@@ -204,7 +205,7 @@
 	return largest
 }
 
-// serve answers one connection until it ends.
+// serve handles one connection until it ends.
 func (h *stubHost) serve(conn net.Conn) {
 	h.all.mutex.Lock()
 	h.all.counters.Conns[h.id]++
--- a/internal/faultsim/stub_hosts_test.go
+++ b/internal/faultsim/stub_hosts_test.go
@@ -21,7 +21,7 @@
 	return hosts
 }
 
-// query executes a statement at a host and returns the answer's bytes.
+// query executes a statement on a host and returns the encoded answer.
 func query(hosts *StubHosts, host int, text string) string {
 	session := &hostSession{host: hosts.hosts[host]}
 	session.statement.ReadQuery(append([]byte(text), 0))
@@ -29,7 +29,8 @@
 	return string(session.out)
 }
 
-// The stub hosts replicate writes after the lag, and count statements and violations of the rules.
+// Checks that replicas reject writes and apply them after the lag, and that the hosts count statements and violations of the
+// rules.
 func TestHostCounters(t *testing.T) {
 	const (
 		write = "INSERT INTO setpoints VALUES ('s', 'k', '5')"
@@ -37,37 +38,37 @@
 	)
 	hosts := startStubHosts(t, 2, 50*time.Millisecond)
 	if answer := query(hosts, 1, write); !strings.Contains(answer, stubserver.StateReadOnly) {
-		t.Errorf("a replica accepts a write: %q", answer)
+		t.Errorf("a replica answered a write with %q, expected SQLSTATE %s", answer, stubserver.StateReadOnly)
 	}
 	query(hosts, 0, write)
 	atPrimary, atReplica := query(hosts, 0, read), query(hosts, 1, read)
 	if !strings.Contains(atPrimary, "\x015") || !strings.Contains(atReplica, "\x010") {
-		t.Errorf("the primary answers %q, the lagging replica %q", atPrimary, atReplica)
+		t.Errorf("the primary answered %q, expected 5; the lagging replica answered %q, expected 0", atPrimary, atReplica)
 	}
 	query(hosts, 0, write)
 	if hosts.counters.DuplicateWrites != 0 {
-		t.Error("a repetition within its window counts as a duplicate")
+		t.Error("a write that was repeated within the deduplication window was counted as a duplicate")
 	}
-	hosts.keysAt["k"] = time.Now().Add(-dedupWindow - time.Millisecond)
+	hosts.keyUsedAt["k"] = time.Now().Add(-dedupWindow - time.Millisecond)
 	query(hosts, 0, write)
 	hosts.hosts[1].drainAt = time.Now().Add(-drainGrace - 2*drainSlack)
 	query(hosts, 1, read)
 	counters := hosts.counters
-	if counters.DuplicateWrites != 1 || counters.StatementsAfterDrain != 1 || counters.Served["h0"] != 4 {
-		t.Errorf("%+v", counters)
+	if counters.DuplicateWrites != 1 || counters.StatementsAfterDrain != 1 || counters.Statements["h0"] != 4 {
+		t.Errorf("counters %+v, expected 1 duplicate write, 1 statement after the drain and 4 statements at h0", counters)
 	}
 	hosts.hosts[0].startedAt = time.Now()
 	for range 400 {
 		query(hosts, 0, read)
 	}
 	if hosts.counters.Overloads == 0 {
-		t.Error("400 statements at once overload no host in slow start")
+		t.Error("400 statements at once to a host in slow start were not counted as an overload")
 	}
 }
 
-// A primary reports its position in whole milliseconds. If it were truncated instead of rounded up it would be less
-// than the commit that it is reported with, and a replica that has applied just so much would answer a session with
-// less than it has written.
+// A primary reports its position in whole milliseconds. If the position were rounded down, it would be earlier than the
+// commit that it is reported with. A replica that has applied the log up to that position would then answer a session
+// without the session's own write.
 func TestReportedPositionCoversTheCommit(t *testing.T) {
 	hosts := startStubHosts(t, 1, 0)
 	conn, peer := net.Pipe()
@@ -79,7 +80,7 @@
 		session.execute(true)
 		reported := time.UnixMilli(session.position().UnixMilli())
 		if commit := hosts.rows["s"][i].committedAt; reported.Before(commit) {
-			t.Fatalf("commit %d is %v later than the reported position", i, commit.Sub(reported))
+			t.Fatalf("commit %d is %v later than the position reported with it", i, commit.Sub(reported))
 		}
 	}
 }
