--- a/internal/faultsim/processes.go
+++ b/internal/faultsim/processes.go
@@ -40,8 +40,8 @@
 }
 
 // RunProcesses runs an experiment with real processes of the gateway program at a path. It signals only processes that
-// it started. If the calling process is killed, the kernel kills them. An error means that the experiment
-// can't be planned for this engine, or that a gateway did not start, did not exit or crashed.
+// it started. If the calling process is killed, the kernel kills them. An error means that the experiment can't be planned
+// for this engine, or that a gateway did not start, did not exit or crashed.
 func RunProcesses(experiment *Experiment, program string, options Options) (*Result, error) {
 	hosts := hostSet{count: experiment.Hosts.Count, protected: 1}
 	steps, err := options.prepare(experiment, experiment.Fleet.Processes, hosts)
