--- a/internal/faultsim/datagram_relay.go
+++ b/internal/faultsim/datagram_relay.go
@@ -20,16 +20,16 @@
 // A relay identifies the sender of a datagram by the source address, so Network can treat each ordered pair of gateways as
 // a link.
 type DatagramRelays struct {
-	mutex     sync.Mutex
-	network   *Network
-	random    *rand.Rand
-	endpoints []*relayEndpoint
-	bySource  map[netip.AddrPort]*relayEndpoint // by the sending gateway's own address
-	closed    bool
+	mutex    sync.Mutex
+	network  *Network
+	random   *rand.Rand
+	relays   []*datagramRelay
+	bySource map[netip.AddrPort]*datagramRelay // by the sending gateway's own address
+	closed   bool
 }
 
-// relayEndpoint is the relay of one gateway.
-type relayEndpoint struct {
+// datagramRelay receives and relays the datagrams that are sent to one gateway.
+type datagramRelay struct {
 	index          int // index of the gateway in the network
 	conn           *net.UDPConn
 	address        netip.AddrPort // address that the gateway advertises, and to which other gateways send
@@ -41,34 +41,34 @@
 	return &DatagramRelays{
 		network:  network,
 		random:   rand.New(rand.NewPCG(seed, 2)),
-		bySource: map[netip.AddrPort]*relayEndpoint{},
+		bySource: map[netip.AddrPort]*datagramRelay{},
 	}
 }
 
 // add starts the relay of a gateway that will listen on gatewayAddress.
-func (r *DatagramRelays) add(index int, gatewayAddress netip.AddrPort) (*relayEndpoint, error) {
+func (r *DatagramRelays) add(index int, gatewayAddress netip.AddrPort) (*datagramRelay, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, fmt.Errorf("cannot listen for the datagram relay of gateway g%d: %w", index, err)
 	}
 	_ = conn.SetReadBuffer(socketReadBufferBytes) // after an error the system's default size is sufficient
-	endpoint := &relayEndpoint{
+	relay := &datagramRelay{
 		index:          index,
 		conn:           conn,
 		address:        conn.LocalAddr().(*net.UDPAddr).AddrPort(),
 		gatewayAddress: gatewayAddress,
 	}
 	r.mutex.Lock()
-	r.endpoints = append(r.endpoints, endpoint)
-	r.bySource[gatewayAddress] = endpoint
+	r.relays = append(r.relays, relay)
+	r.bySource[gatewayAddress] = relay
 	r.mutex.Unlock()
-	go r.serve(endpoint)
-	return endpoint, nil
+	go r.serve(relay)
+	return relay, nil
 }
 
 // serve relays datagrams to a gateway until the relays are closed. It ignores other read errors: they report that the port
 // of a gateway whose process has exited refused a datagram.
-func (r *DatagramRelays) serve(receiver *relayEndpoint) {
+func (r *DatagramRelays) serve(receiver *datagramRelay) {
 	buffer := make([]byte, maxRelayedDatagramBytes)
 	for {
 		size, source, err := receiver.conn.ReadFromUDPAddrPort(buffer)
@@ -89,7 +89,7 @@
 }
 
 // relay sends the copies of a datagram that Network delivers, each after its delay. It drops datagrams from unknown sources.
-func (r *DatagramRelays) relay(source netip.AddrPort, receiver *relayEndpoint, datagram []byte) {
+func (r *DatagramRelays) relay(source netip.AddrPort, receiver *datagramRelay, datagram []byte) {
 	source = netip.AddrPortFrom(source.Addr().Unmap(), source.Port())
 	sender, delivery := r.decideDelivery(source, receiver, len(datagram))
 	for _, delayMs := range delivery.delaysMs() {
@@ -102,8 +102,8 @@
 
 // decideDelivery counts the bytes of a datagram, and returns the relay of its sender and the datagram's delivery.
 func (r *DatagramRelays) decideDelivery(
-	source netip.AddrPort, receiver *relayEndpoint, size int,
-) (*relayEndpoint, Delivery) {
+	source netip.AddrPort, receiver *datagramRelay, size int,
+) (*datagramRelay, Delivery) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	sender := r.bySource[source]
@@ -125,18 +125,18 @@
 func (r *DatagramRelays) sentBytes() map[int]int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	sums := map[int]int{}
-	for _, endpoint := range r.endpoints {
-		sums[endpoint.index] += endpoint.sentBytes
+	bytesByGateway := map[int]int{}
+	for _, relay := range r.relays {
+		bytesByGateway[relay.index] += relay.sentBytes
 	}
-	return sums
+	return bytesByGateway
 }
 
 func (r *DatagramRelays) close() {
 	r.mutex.Lock()
 	r.closed = true
 	r.mutex.Unlock()
-	for _, endpoint := range r.endpoints {
-		stubserver.CloseQuietly(endpoint.conn)
+	for _, relay := range r.relays {
+		stubserver.CloseQuietly(relay.conn)
 	}
 }
--- a/internal/faultsim/gateway_process.go
+++ b/internal/faultsim/gateway_process.go
@@ -20,7 +20,7 @@
 	index      int
 	name       string
 	udpAddress netip.AddrPort // listen address of its membership protocol, the same for each process
-	relay      *relayEndpoint
+	relay      *datagramRelay
 	hostRelays []*hostRelay // indexed by host
 	discovery  *http.Server // nil: its configuration file lists the hosts
 	duplicate  bool         // a second process under the name of another gateway
@@ -75,8 +75,8 @@
 	return gateway, nil
 }
 
-// freeUDPAddress returns an address with a free port. The port is closed again until the gateway binds it, and the system
-// may assign it to another socket meanwhile, so each gateway has an IP address of its own.
+// freeUDPAddress returns an address with a free port. The port is not in use until the gateway binds it, so the system could
+// assign it to the next gateway as well. Each gateway therefore has an IP address of its own.
 func (r *processRun) freeUDPAddress(gateway *gatewayProcess) (netip.AddrPort, error) {
 	ip := r.ip.As4()
 	ip[3] = byte(1 + gateway.index)
@@ -98,14 +98,14 @@
 	if err != nil {
 		return err
 	}
-	handler := r.hosts.discovery(func(host int) string { return gateway.hostRelays[host].address() })
+	handler := r.hosts.discoveryHandler(func(host int) string { return gateway.hostRelays[host].address() })
 	gateway.discovery = &http.Server{Handler: handler, Addr: listener.Addr().String()}
 	go func() { _ = gateway.discovery.Serve(listener) }() // Serve returns when the server is closed
 	return nil
 }
 
-// startProcess starts a new process of a gateway and waits until it serves. initial means that the start precedes the
-// plan: startProcess then reports it to the oracle, which applyStep does for a step of the plan.
+// startProcess starts a new process of a gateway and waits until it serves. initial marks a start before the plan
+// begins. startProcess reports only such a start to the oracle; applyStep reports the steps of the plan.
 func (r *processRun) startProcess(gateway *gatewayProcess, initial bool) error {
 	path, err := r.writeConfig(gateway)
 	if err != nil {
--- a/internal/faultsim/load_generator.go
+++ b/internal/faultsim/load_generator.go
@@ -52,7 +52,7 @@
 		g.pending.Add(1)
 		go func() {
 			defer g.pending.Done()
-			g.request(intended, next)
+			g.sendRequest(intended, next)
 		}()
 	}
 	g.pending.Wait()
@@ -161,8 +161,8 @@
 	return fmt.Sprintf("SELECT v FROM setpoints WHERE greenhouse = '%s'", session), readDeadline
 }
 
-// request sends one request and counts its outcome. The latency is measured from the intended send time.
-func (g *loadGenerator) request(intended time.Time, arrival *arrival) {
+// sendRequest sends one sendRequest and counts its outcome. The latency is measured from the intended send time.
+func (g *loadGenerator) sendRequest(intended time.Time, arrival *arrival) {
 	session := fmt.Sprintf("s%d", arrival.session)
 	text, timeLimit := arrival.statement(session)
 	endpoint, ok := g.route(arrival.session)
--- a/internal/faultsim/load_generator_test.go
+++ b/internal/faultsim/load_generator_test.go
@@ -55,7 +55,7 @@
 		relay.setCut(true)
 		time.Sleep(400 * time.Millisecond)
 		relay.mutex.Lock()
-		close(relay.healed) // without the reset of setCut
+		close(relay.healed) // heals the relay without resetting its connections, unlike setCut
 		relay.mutex.Unlock()
 	}()
 	generator.sendRequests(time.Now(), arrivals, make(chan struct{}))
--- a/internal/faultsim/process_log.go
+++ b/internal/faultsim/process_log.go
@@ -17,7 +17,7 @@
 // maxLogLine is the length limit of a gateway's log line, in bytes.
 const maxLogLine = 1 << 20
 
-// The messages of a gateway's log that the fault simulator acts on.
+// The messages of a gateway's log that handleLogLine interprets.
 const (
 	messageServing            = "serving"
 	messageMemberStateChanged = "fleet: member state changed"
@@ -66,13 +66,13 @@
 			serving <- line.Listen
 		}
 		r.mutex.Lock()
-		r.observe(gateway, &line, text)
+		r.handleLogLine(gateway, &line, text)
 		r.mutex.Unlock()
 	}
 }
 
-// observe handles one line of a gateway's log. The caller holds the lock.
-func (r *processRun) observe(gateway *gatewayProcess, line *logLine, text []byte) {
+// handleLogLine handles one line of a gateway's log. The caller holds the lock.
+func (r *processRun) handleLogLine(gateway *gatewayProcess, line *logLine, text []byte) {
 	nowMs := line.Timestamp - float64(r.secondZero.UnixMicro())/1000
 	switch line.Message {
 	case messageServing:
--- a/internal/faultsim/process_steps.go
+++ b/internal/faultsim/process_steps.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// applyStep carries out one step of the plan. The step Start does not wait until the new process serves: a background
-// goroutine does, and the wait group counts it.
+// applyStep carries out one step of the plan. For the step Start, a background goroutine waits until the new process serves,
+// and the wait group counts this goroutine.
 func (r *processRun) applyStep(step *Step, starting *sync.WaitGroup) error {
 	r.options.logStep(r.now(), step)
 	switch step.Operation {
@@ -49,8 +49,8 @@
 	return index == len(r.gateways)
 }
 
-// recordStep reports a step to the oracle and returns the step's target gateway. A change of the network conditions has no
-// target: recordStep returns nil.
+// recordStep reports a step to the oracle and returns the step's target gateway. It returns nil for a change of the network
+// conditions, which has no target.
 func (r *processRun) recordStep(step *Step) *gatewayProcess {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/faultsim/stub_hosts.go
+++ b/internal/faultsim/stub_hosts.go
@@ -12,7 +12,7 @@
 
 // StubHosts are the stub hosts of one group in the processes engine. The first host is the primary; the others are replicas
 // that apply its log after a lag. The hosts implement the parts of PostgreSQL's simple and extended query protocol that the
-// gateway uses, and count violations of the rules.
+// gateway uses, and count violations of the rules below.
 type StubHosts struct {
 	mutex     sync.Mutex
 	hosts     []*stubHost
@@ -129,9 +129,9 @@
 	s.changed = make(chan struct{})
 }
 
-// discovery returns the handler that serves the endpoint list to one gateway. address returns the address of the gateway's
-// relay to a host, which the list contains in place of the host's own address.
-func (s *StubHosts) discovery(address func(host int) string) http.Handler {
+// discoveryHandler returns the handler that serves the endpoint list to one gateway. address returns the address of the
+// gateway's relay to a host, which the list contains in place of the host's own address.
+func (s *StubHosts) discoveryHandler(address func(host int) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		stubserver.AwaitChange(r, func(since int) (bool, <-chan struct{}) {
 			s.mutex.Lock()
