--- a/internal/faultsim/gateway_process.go
+++ b/internal/faultsim/gateway_process.go
@@ -134,7 +134,7 @@
 	r.mutex.Unlock()
 	go r.readLog(gateway, output, serving)
 	go func() {
-		_ = cmd.Wait() // a killed process always returns an error
+		_ = cmd.Wait() // the exit status is not used: a step or the end of the run kills most processes
 		close(exited)
 	}()
 	return r.awaitServing(gateway, cmd.Process, exited, serving)
