--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Gateways with few requests never reach their concurrency limits. Late answers must make each of them shed part of
-// its requests, those of low weight first, and answers in time must open the gate again.
+// Gateways with few requests never reach their concurrency limits. Late answers must make each of them shed
+// part of its requests, those of low weight first, and answers in time must open the gate again.
 func TestLateAnswersShedLoadOfGatewaysWithLittleTraffic(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.Classes[classBounded].PriorityWeight = 0.2 })
 	harness.listGroup()
--- a/routing/attempt_timeout_test.go
+++ b/routing/attempt_timeout_test.go
@@ -23,8 +23,8 @@
 	t.Error("the attempt was not cancelled after three quarters of its latency objective")
 }
 
-// A lost answer leaves its attempt open at a host that answers other requests. The attempt's own timeout must end it,
-// so that the request is retried at another host within its latency objective.
+// A lost answer leaves its attempt open at a host that answers other requests. The attempt's own timeout must
+// end it, so that the request is retried at another host within its latency objective.
 func TestLostAnswerIsCancelledAndRetriedWhileItsHostAnswersOthers(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -53,9 +53,9 @@
 	t.Fatal("the attempt with the lost answer was not cancelled")
 }
 
-// An overdue attempt of a request with an idempotency key stays open once the key's deduplication window allows no
-// retry, because its answer is then the last chance of the request. The window starts with the first attempt that may
-// have run.
+// An overdue attempt of a request with an idempotency key stays open once the key's deduplication window
+// allows no retry, because its answer is then the last chance of the request. The window starts with the
+// first attempt that may have run.
 func TestOverdueAttemptIsNotCancelledAfterTheDedupWindow(t *testing.T) {
 	for _, test := range []struct {
 		window    time.Duration
--- a/routing/consistency.go
+++ b/routing/consistency.go
@@ -117,7 +117,8 @@
 		required = max(required, request.arrivedAt-request.SinceLastWrite-r.settings.PositionEpoch)
 	}
 	if r.settings.StalenessCheck == StalenessCheckNone {
-		// A replica that has not applied the position would answer all the same, so its position must be known.
+		// A replica that has not applied the position would answer anyway. Requiring a position above 0
+		// excludes replicas of unknown position.
 		required = max(required, 1)
 	}
 	return required
@@ -137,8 +138,8 @@
 	}
 }
 
-// evictSessions limits the size of the session table. It raises stampFloor to the stamps of evicted
-// sessions, so the iteration order of the map doesn't matter.
+// evictSessions limits the size of the session table. It raises stampFloor to the highest stamp of the
+// evicted sessions. The iteration order of the map doesn't matter.
 func (r *Router) evictSessions() {
 	tooMany := len(r.sessions) > maxSessions
 	for key, session := range r.sessions {
--- a/routing/consistency_test.go
+++ b/routing/consistency_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// A Router that has just started knows no positions. If replicas don't check positions themselves, a session read
-// waits until the position of a replica is known.
+// A Router that has just started knows no positions. If replicas don't check positions themselves, a session
+// read waits until the position of a replica is known.
 func TestReplicaOfUnknownPositionGetsNoSessionReadWithoutStalenessCheck(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.StalenessCheck = StalenessCheckNone })
 	harness.list(ready("p", "a")...)
@@ -71,8 +71,8 @@
 	}
 }
 
-// Another process of the gateway may have completed a write of any session. While it runs, and for its writes until
-// it ended, a replica counts as up to date only if it has reported a position since.
+// Another process of the gateway may have completed a write of any session. While it runs, and for its writes
+// until it ended, a replica counts as up to date only if it has reported a position since.
 func TestSessionReadsSeeWritesOfASiblingProcess(t *testing.T) {
 	harness := newHarness(t, noHealthChecks)
 	harness.listGroup()
--- a/routing/dispatch_test.go
+++ b/routing/dispatch_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// In a queue that persists, serving the oldest request first would answer every request just too late. Serving the
-// newest first answers some of them in time.
+// In a queue that persists, serving the oldest request first would answer every request just too late.
+// Serving the newest first answers some of them in time.
 func TestNewestWaitingRequestIsSentFirst(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.list(ready("p")...)
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A draining replica must get no new request. A draining primary gets writes only until the end of the drain grace
-// period.
+// A draining replica must get no new request. A draining primary gets writes only until the end of the drain
+// grace period.
 func TestDrainingHostGetsNoNewRequests(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -68,8 +68,8 @@
 		AttemptResult{Request: 1, Host: "a", RequestDone: true, Role: RoleReplica}))
 }
 
-// If each gateway checked the health of each new host, every pair of a gateway and a host would need a connection. So
-// new hosts get health checks only if replicas don't check positions themselves.
+// If each gateway checked the health of each new host, every pair of a gateway and a host would need a
+// connection. So new hosts get health checks only if replicas don't check positions themselves.
 func TestNewHostsGetHealthChecksOnlyWithoutStalenessCheck(t *testing.T) {
 	for check, want := range map[StalenessCheck]int{
 		StalenessCheckNone: 2, StalenessCheckReject: 0, StalenessCheckWait: 0,
@@ -85,8 +85,8 @@
 	}
 }
 
-// Lists may be empty, repeated, contradictory or large, and reports may be wrong. The Router must not panic, send
-// requests to hosts that are draining or gone, or answer a request twice.
+// Lists may be empty, repeated, contradictory or large, and reports may be wrong. The Router must not panic,
+// send requests to hosts that are draining or gone, or answer a request twice.
 func TestContradictoryListsAndReports(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.step(0, EndpointUpdate{}, EndpointUpdate{Full: true}, EndpointUpdate{Failed: true})
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,8 +7,8 @@
 	"merlinjunction/routing"
 )
 
-// The embedding program creates a Router, passes the endpoint list and other events to it, and carries out the
-// actions. It calls Step for every event and whenever the time of the last SetTimer has come.
+// The embedding program creates a Router, passes the endpoint list and other events to it, and carries out
+// the actions. It calls Step for every event and whenever the time of the last SetTimer has come.
 func Example() {
 	const write, read = 0, 1 // indices in Settings.Classes
 	router, err := routing.New(routing.Settings{
--- a/routing/exclusion_test.go
+++ b/routing/exclusion_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A new list, a restart or the end of a drain must not bring back a host that operators have excluded. A single
-// include must, however often it was excluded.
+// A new list, a restart or the end of a drain must not bring back a host that operators have excluded. A
+// single IncludeHost must bring it back, however often it was excluded.
 func TestExclusionOverridesTheListUntilTheHostIsIncluded(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -45,14 +45,15 @@
 	}
 }
 
-// From its exclusion on, a host counts as draining. No other host can replace a primary at once, so it stays in
-// service during the drain grace period, unless an earlier process received the command and the period is over.
+// From its exclusion on, a host counts as draining. No other host can replace a primary at once, so it stays
+// in service during the drain grace period, unless an earlier process received the command and the period is
+// over.
 func TestExcludedPrimaryHasTheDrainGracePeriod(t *testing.T) {
 	for _, test := range []struct {
 		excludedBefore time.Duration // age of the exclusion
 		inService      bool
 	}{{0, true}, {time.Second, false}} {
-		t.Run(fmt.Sprint("excluded since ", test.excludedBefore), func(t *testing.T) {
+		t.Run(fmt.Sprint("excluded for ", test.excludedBefore), func(t *testing.T) {
 			harness := newHarness(t, nil)
 			harness.listGroup()
 			harness.catchUp()
--- a/routing/fuzz_test.go
+++ b/routing/fuzz_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A fuzzDriver acts as an embedding program that fulfils its part of the contract. It checks the invariants of the
-// Router that are visible from outside.
+// A fuzzDriver acts as an embedding program that fulfils its part of the contract. It checks the invariants
+// of the Router that are visible from outside.
 type fuzzDriver struct {
 	t               *testing.T
 	router          *Router
@@ -32,9 +32,9 @@
 	sentAt         time.Duration // when the last attempt was sent
 }
 
-// FuzzRouter derives random legal sequences of events from a seed and checks that the Router gives each request one
-// final answer in time, opens at most one attempt at a time, never resends a request that may have run unless it is
-// idempotent or within its deduplication window, and sends no request after a drain.
+// FuzzRouter derives random legal sequences of events from a seed and checks that the Router gives each
+// request one final answer in time, opens at most one attempt at a time, never resends a request that may
+// have run unless it is idempotent or within its deduplication window, and sends no request after a drain.
 func FuzzRouter(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed)
@@ -178,7 +178,7 @@
 			d.answer(action.Request)
 		case CancelAttempt:
 			if !d.settings.CancelAllowed || action.Attempt >= d.requests[action.Request].attempts {
-				d.t.Fatalf("%+v for an attempt that wasn't sent, or without permission", action)
+				d.t.Fatalf("%+v names an attempt that wasn't sent, or cancelling is not allowed", action)
 			}
 		case HealthCheck:
 			if !d.settings.HealthChecksAllowed {
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -68,8 +68,8 @@
 	return &harness{t: t, router: router, now: 100 * time.Second}
 }
 
-// step advances the clock, passes events to the Router and returns its actions except for timers, health checks and
-// log lines.
+// step advances the clock, passes events to the Router and returns its actions except for timers, health
+// checks and log lines.
 func (h *harness) step(pass time.Duration, events ...Event) []Action {
 	h.now += pass
 	var kept []Action
@@ -102,7 +102,8 @@
 	return h.step(ms, EndpointUpdate{Endpoints: endpoints})
 }
 
-// listGroup lists a primary "p" and replicas "a" and "b" in group 1 and reports the current position for all of them.
+// listGroup lists a primary "p" and replicas "a" and "b" in group 1 and reports the current position for all
+// of them.
 func (h *harness) listGroup() {
 	h.t.Helper()
 	h.list(ready("p", "a", "b")...)
--- a/routing/lag_test.go
+++ b/routing/lag_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A replica that lags by seconds would reject each read after a wait. It must get health checks instead of reads
-// until it has caught up.
+// A replica that lags by seconds would reject each read after a wait. It must get health checks instead of
+// reads until it has caught up.
 func TestLaggingReplicaGetsHealthChecksNotReads(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
--- a/routing/maintenance.go
+++ b/routing/maintenance.go
@@ -61,10 +61,10 @@
 		host.recentFailures *= math.Pow(failureRetentionPerSecond, seconds)
 	}
 	if !r.anyWarmingUp(group) {
-		faded := group.peakAnswerRate * math.Pow(answerRateRetentionPerSecond, seconds)
-		group.peakAnswerRate = max(group.servedCount/seconds, faded)
+		decayed := group.peakAnswerRate * math.Pow(answerRateRetentionPerSecond, seconds)
+		group.peakAnswerRate = max(group.answerCount/seconds, decayed)
 	}
-	group.servedCount = 0
+	group.answerCount = 0
 	if !r.settings.UseUnlistedHosts {
 		group.hosts = slices.DeleteFunc(group.hosts, r.removeGoneHost)
 	}
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -161,7 +161,7 @@
 func (r *Router) recordAnswer(ended *attempt) {
 	latency := r.now - ended.sentAt
 	r.connectFailures.recordSuccess()
-	ended.host.group.servedCount++
+	ended.host.group.answerCount++
 	r.loadEstimator.RequestServed(durationToMillis(r.now))
 	r.adjustConcurrencyLimit(ended.host, latency, ended.request.class)
 	r.latencyOf(ended.request).observe(latency.Seconds(), latencyGain)
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// If requests expire before their answers are overdue, their timeouts must count against a host that sends nothing,
-// and not against a host that answers other requests.
+// If requests expire before their answers are overdue, their timeouts must count against a host that sends
+// nothing, and not against a host that answers other requests.
 func TestTimeoutsMakeASilentHostUnresponsive(t *testing.T) {
 	for _, answersOthers := range []bool{false, true} {
 		t.Run(fmt.Sprint("answers others ", answersOthers), func(t *testing.T) {
@@ -31,7 +31,8 @@
 	}
 }
 
-// A lost connection ends all attempts on it at once. These must not count as separate failures and eject the host.
+// A lost connection ends all attempts on it at once. These must not count as separate failures and eject the
+// host.
 func TestLostConnectionDoesNotEjectHost(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -48,8 +49,9 @@
 	}
 }
 
-// An invalid request gets a quick error from every host. Such errors occur at one host after another. They must not
-// be retried and must not count against hosts, while the errors of a single failing host are still retried.
+// An invalid request gets a quick error from every host. Such errors occur at one host after another. They
+// must not be retried and must not count against hosts, while the errors of a single failing host are still
+// retried.
 func TestQuickErrorsFromEveryHostAreRequestCaused(t *testing.T) {
 	retries := func(fails func(host string) bool) int {
 		harness := newHarness(t, nil)
@@ -84,9 +86,9 @@
 	}
 }
 
-// A primary that is the only host to refuse connections is down, and writes search for another one. If one host after
-// another refuses connections while others answer, connections are scarce: the primary is kept, and its writes are
-// not tried at replicas.
+// A primary that is the only host to refuse connections is down, and writes search for another one. If one
+// host after another refuses connections while others answer, connections are scarce: the primary is kept,
+// and its writes are not tried at replicas.
 func TestScarceConnectionsDoNotMakePrimaryUnresponsive(t *testing.T) {
 	for _, scarce := range []bool{false, true} {
 		t.Run(fmt.Sprint("scarce ", scarce), func(t *testing.T) {
@@ -111,8 +113,8 @@
 	}
 }
 
-// A host that refuses a connection is ejected, for twice as long for each recent failure. A host without recent
-// failures that has just responded is ejected only briefly.
+// A host that refuses a connection is ejected, for twice as long for each recent failure. A host without
+// recent failures that has just responded is ejected only briefly.
 func TestEjectionAfterRefusedConnections(t *testing.T) {
 	for _, test := range []struct {
 		name         string
--- a/routing/primary_test.go
+++ b/routing/primary_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// If the listed primary answers as a replica, writes are tried at the other hosts until the list names another
-// primary.
+// If the listed primary answers as a replica, writes are tried at the other hosts until the list names
+// another primary.
 func TestListedPrimaryThatAnswersAsReplicaIsNotUsed(t *testing.T) {
 	harness := newListedPrimaryHarness(t, nil)
 	harness.step(ms, writeRequest(1))
@@ -48,7 +48,8 @@
 	}
 }
 
-// A host that has answered as primary takes precedence over the listed primary, because the list may be out of date.
+// A host that has answered as primary takes precedence over the listed primary, because the list may be out
+// of date.
 func TestAnswerAsPrimaryOverridesTheList(t *testing.T) {
 	harness := newListedPrimaryHarness(t, nil)
 	harness.step(ms, writeRequest(1))
@@ -60,8 +61,8 @@
 	}
 }
 
-// The list is no proof that a host is the primary. A read that needs the primary waits until a host has reported or
-// answered as primary.
+// The list is no proof that a host is the primary. A read that needs the primary waits until a host has
+// reported or answered as primary.
 func TestReadsDontGoToTheListedPrimary(t *testing.T) {
 	harness := newListedPrimaryHarness(t, noHealthChecks)
 	hosts := attemptedHosts(harness.step(ms, newRequest(1, classStrong, 2*time.Second)))
@@ -70,8 +71,8 @@
 	}
 }
 
-// A primary that has answered as a replica must get neither a bounded read before its position is known nor, because
-// of an older report, a read that needs the primary.
+// A primary that has answered as a replica must get neither a bounded read before its position is known nor,
+// because of an older report, a read that needs the primary.
 func TestDemotedPrimaryGetsNoReadsWithoutStalenessCheck(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.StalenessCheck = StalenessCheckNone })
 	harness.listGroup()
@@ -91,8 +92,8 @@
 	}
 }
 
-// A primary that accepts requests but never answers must not block the writes of its group. Attempts of writes that
-// may be retried are cancelled, and the other hosts are tried.
+// A primary that accepts requests but never answers must not block the writes of its group. Attempts of
+// writes that may be retried are cancelled, and the other hosts are tried.
 func TestHungPrimaryDoesNotUseUpAllAttempts(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.Classes[classKeyedWrite].DedupWindow = 10 * time.Second })
 	harness.listGroup()
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -49,8 +49,8 @@
 	return r.fallbackForRead(request, candidates)
 }
 
-// findReadCandidates classifies the hosts of a read's group by their fitness. It also sends health checks
-// that are due to lagging replicas (healthCheckLaggingReplica).
+// findReadCandidates classifies the hosts of a read's group by their fitness. It also sends lagging replicas
+// the health checks that are due (healthCheckLaggingReplica).
 func (r *Router) findReadCandidates(request *request, required Position) readCandidates {
 	var candidates readCandidates
 	for _, host := range request.group.hosts {
--- a/routing/replica_test.go
+++ b/routing/replica_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A replica that doesn't check positions itself would answer a bounded read with data that is too old, so the read
-// must go to the primary once the known positions of the replicas are too old.
+// A replica that doesn't check positions itself would answer a bounded read with data that is too old, so the
+// read must go to the primary once the known positions of the replicas are too old.
 func TestStaleReplicaGetsNoBoundedReadWithoutStalenessCheck(t *testing.T) {
 	harness := newHarness(t, noHealthChecks)
 	harness.listGroup()
@@ -51,8 +51,8 @@
 	}
 }
 
-// If the replicas are at their concurrency limits, an idle primary serves reads. A primary that already has an open
-// attempt gets no more of them.
+// If the replicas are at their concurrency limits, an idle primary must serve reads. A primary that already
+// has an open attempt must not get another read.
 func TestIdlePrimaryServesReadsWhileReplicasAreFull(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -68,8 +68,8 @@
 	harness.want(harness.request(id+1, classAny, ""))
 }
 
-// In a group without a primary a misdirected read must not be tried at every replica: reads that a warming host
-// rejects load it too.
+// In a group without a primary a misdirected read must not be tried at every replica: reads that a warming
+// host rejects load it too.
 func TestMisdirectedReadWaitsForAPrimary(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.list(ready("a", "b", "c")...)
@@ -78,8 +78,8 @@
 		AttemptResult{Request: 1, Host: host, Outcome: OutcomeMisdirected, Role: RoleReplica}))
 }
 
-// A gateway that rarely learns the positions of replicas must not send all its bounded reads to the primary. It asks
-// a replica for its position first, and uses the primary only if that position is too old.
+// A gateway that rarely learns the positions of replicas must not send all its bounded reads to the primary.
+// It asks a replica for its position first, and uses the primary only if that position is too old.
 func TestBoundedReadAwaitsPositionWithoutStalenessCheck(t *testing.T) {
 	for name, test := range map[string]struct {
 		age  time.Duration // age of the position that the replica reports
@@ -119,8 +119,8 @@
 	}
 }
 
-// If replicas check positions themselves, a gateway that knows no positions must not send all its reads to one
-// replica. A replica that has rejected a read gets no reads for a while.
+// If replicas check positions themselves, a gateway that knows no positions must not send all its reads to
+// one replica. A replica that has rejected a read gets no reads for a while.
 func TestReadsSpreadOverReplicasOfUnknownPosition(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.HealthChecksAllowed = false })
 	harness.list(ready("p", "a", "b")...)
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -12,8 +12,8 @@
 	harness.want(harness.step(100 * ms))
 }
 
-// A slow client may take seconds to receive a large answer. Once the answer has begun to reach it, the attempt must
-// not occupy its host's concurrency limit, become overdue, or be retried or cancelled.
+// A slow client may take seconds to receive a large answer. Once the answer has begun to reach it, the
+// attempt must not occupy its host's concurrency limit, become overdue, or be retried or cancelled.
 func TestStreamingAnswerDoesNotCountAgainstItsHost(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -41,8 +41,8 @@
 	}
 }
 
-// A request waits because no host is available, and its client leaves. The request must not be sent when a host
-// becomes available.
+// A request waits because no host is available, and its client leaves. The request must not be sent when a
+// host becomes available.
 func TestWaitingRequestOfAGoneClientIsNotSent(t *testing.T) {
 	for _, gone := range []bool{true, false} {
 		harness := newHarness(t, nil)
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -14,8 +14,8 @@
 	dedupWindowMargin = 20 * time.Millisecond
 	// dedupWindowMarginDivisor limits the margin in a short deduplication window to a fifth of the window.
 	dedupWindowMarginDivisor = 5
-	// waitingCheckInterval is the interval between two attempts to dispatch the waiting requests, before
-	// scaleToObjective.
+	// waitingCheckInterval is the interval at which waiting requests are checked and dispatched if possible,
+	// before scaleToObjective.
 	waitingCheckInterval = 10 * time.Millisecond
 )
 
@@ -39,7 +39,7 @@
 func (r *Router) hasWaited(request *request) bool { return r.now > request.arrivedAt }
 
 // expiresBeforeNextCheck reports whether a request's deadline has passed or, for a request that has waited,
-// would pass before the next attempt to dispatch it.
+// would pass before the request is checked again.
 func (r *Router) expiresBeforeNextCheck(request *request) bool {
 	if r.now >= request.deadline {
 		return true
@@ -101,8 +101,8 @@
 }
 
 // giveUp gives a request its final answer: Reject if the client can safely send it again, otherwise Fail. A
-// rejected request may have run if it is idempotent, or if the hosts of every group drop repeats of its
-// key.
+// request that may have run is rejected only if it is idempotent or if the hosts of every group drop repeats
+// of its key.
 func (r *Router) giveUp(request *request) {
 	repeatDroppedByAllGroups := request.class.Idempotency == IdempotentWithKey && request.class.DedupAcrossGroups
 	safeToResend := !request.mayHaveRun || request.class.Idempotency == Idempotent || repeatDroppedByAllGroups
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A request that has reached no host must be rejected early enough for its client to send it again. Here the group
-// has only draining hosts.
+// A request that has reached no host must be rejected early enough for its client to send it again. Here the
+// group has only draining hosts.
 func TestRequestThatReachedNoHostIsRejectedBeforeHalfItsTime(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -30,8 +30,8 @@
 	t.Error("the request was not rejected within 2 s")
 }
 
-// A write that isn't idempotent must fail after an outcome that leaves open whether it has run: a retry could execute
-// it twice.
+// A write that isn't idempotent must fail after an outcome that leaves open whether it has run: a retry could
+// execute it twice.
 func TestNonIdempotentWriteIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	for _, outcome := range []Outcome{OutcomeError, OutcomeTimeout, OutcomeConnectionLost, OutcomeCancelled} {
 		t.Run(fmt.Sprint("outcome ", int(outcome)), func(t *testing.T) {
@@ -56,7 +56,8 @@
 	}
 }
 
-// After the deduplication window, hosts may execute a repeat of an idempotency key, so the write must fail then.
+// After the deduplication window, hosts may execute a repeat of an idempotency key, so the write must fail
+// then.
 func TestKeyedWriteIsRetriedOnlyWithinItsDedupWindow(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -70,7 +71,8 @@
 		AttemptResult{Request: 1, Attempt: 1, Host: "p", Outcome: OutcomeError, Role: RolePrimary}), Fail{1})
 }
 
-// A request without time left is rejected at once, and a request to a group without hosts gets exactly one answer.
+// A request without time left is rejected at once, and a request to a group without hosts gets exactly one
+// answer.
 func TestRequestGetsExactlyOneAnswerIfNoHostCanServeIt(t *testing.T) {
 	harness := newHarness(t, nil)
 	expired := Request{ID: 1, Class: classKeyedWrite, Group: 7, Tenant: -1}
--- a/routing/router.go
+++ b/routing/router.go
@@ -149,7 +149,7 @@
 	listedPrimaryAt Position      // current position when the list began to name it
 	search          primarySearch
 
-	servedCount    float64 // answers since the last decay
+	answerCount    float64 // answers since the last decay
 	peakAnswerRate float64 // peak number of answers per second; decays
 
 	admissionGates [hostRoles]float64 // admission gates by role of the host; see admission.go
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Events that are repeated, or that name unknown requests, attempts, hosts or classes, must lead to no actions.
+// Events that are repeated, or that name unknown requests, attempts, hosts or classes, must lead to no
+// actions.
 func TestUnknownAndRepeatedEventsAreIgnored(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -69,8 +70,8 @@
 	}
 }
 
-// Log lines tell operators when a host stops answering and which host is the primary, so they must name both the
-// group and the host.
+// Log lines tell operators when a host stops answering and which host is the primary, so they must name both
+// the group and the host.
 func TestLogNamesGroupAndHost(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.list(ready("p", "a")...)
@@ -83,7 +84,8 @@
 	}
 }
 
-// BenchmarkStep measures the Steps that accept and finish a request in a large deployment (60 groups of 5 hosts).
+// BenchmarkStep measures the Steps that accept and finish a request in a large deployment (60 groups of 5
+// hosts).
 func BenchmarkStep(b *testing.B) {
 	router, err := New(testSettings(), 1)
 	if err != nil {
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -57,7 +57,7 @@
 }
 
 // Tenant is a customer with a quota. No routing decision depends on it: a quota divided by the number of
-// gateways is meaningless if there are many gateways with uneven load.
+// gateways means little if there are many gateways with uneven load.
 type Tenant struct {
 	Name           string
 	QuotaPerSecond float64 // requests per second over all gateways
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -10,8 +10,9 @@
 // seedRandom replaces the Router's random source.
 func (h *harness) seedRandom(seed uint64) { h.router.rng = rand.New(rand.NewPCG(seed, seed)) }
 
-// Hundreds of gateways with few requests each must together keep a warming group within its limit. Any minimum rate
-// or burst per gateway, however small, would add up to far too much. All sends of the first two seconds are counted.
+// Hundreds of gateways with few requests each must together keep a warming group within its limit. Any
+// minimum rate or burst per gateway, however small, would add up to far too much. All sends of the first two
+// seconds are counted.
 func TestManyGatewaysTogetherKeepWarmingHostsWithinTheirLimit(t *testing.T) {
 	const gateways = 300
 	const requestRate = 300 // per second, answered by the whole group after it has warmed up
@@ -41,8 +42,8 @@
 	}
 }
 
-// A warming primary receives all writes of its group and, after a search for the primary, all that have waited. Each
-// gateway must thin out its writes by the same probability, and more so if they have waited.
+// A warming primary receives all writes of its group and, after a search for the primary, all that have
+// waited. Each gateway must thin out its writes by the same probability, and more so if they have waited.
 func TestWarmingPrimaryGetsPartOfItsWrites(t *testing.T) {
 	sentOf200 := func(startedAt, waited time.Duration) int {
 		sent := 0
@@ -72,13 +73,14 @@
 	warming := sentOf200(100*time.Second, 0)
 	warmingAfterWait := sentOf200(100*time.Second, 200*ms)
 	if warmedUp != 200 || warming == 0 || warming > 100 || warmingAfterWait >= warming {
-		t.Fatalf("writes of 200 sent to a primary: warmed up %d, warming up %d, warming up after a wait %d",
+		t.Fatalf("of 200 writes each, a primary got %d warmed up, %d warming up, %d warming up after a wait; "+
+			"want 200, 1 to 100, and fewer than without the wait",
 			warmedUp, warming, warmingAfterWait)
 	}
 }
 
-// A write loads a warming host even if the host rejects it, so the writes of many gateways that search for a primary
-// must mostly go to other hosts.
+// A write loads a warming host even if the host rejects it, so the writes of many gateways that search for a
+// primary must mostly go to other hosts.
 func TestPrimarySearchSendsFewerWritesToWarmingHosts(t *testing.T) {
 	warming := 0
 	for seed := range uint64(200) {
@@ -97,8 +99,8 @@
 	}
 }
 
-// A warming host that the list names as primary must get only as many writes as slow start allows. The others must
-// not be sent to another host.
+// A warming host that the list names as primary must get only as many writes as slow start allows. The others
+// must not be sent to another host.
 func TestWarmingListedPrimaryGetsPartOfItsWrites(t *testing.T) {
 	harness := newHarness(t, func(s *Settings) { s.GatewayCount = 300 })
 	listed := Endpoint{ID: "c", Group: 1, State: StateReady, Primary: true, StartedAt: harness.now}
@@ -118,8 +120,8 @@
 	}
 }
 
-// While hosts of a group warm up, the group is sent less and answers less. The lower answer rate must not count as
-// the group's capacity: the slow start rate would fall further.
+// While hosts of a group warm up, the group is sent less and answers less. The lower answer rate must not
+// count as the group's capacity: the slow start rate would fall further.
 func TestPeakAnswerRateDoesNotDecayWhileHostsWarmUp(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
@@ -159,8 +161,9 @@
 	lastID uint64
 }
 
-// playSecond spreads requests over a second and all groups. If sent is not nil, it counts the sends per host there
-// and answers only one in retries of them, so that the groups answer no more than before.
+// playSecond spreads requests over a second and all groups. If sent is not nil, playSecond counts the sends
+// per host in it and answers only one send in retries, so that the groups answer no more requests than
+// before.
 func (g *surgeGateway) playSecond(requests, retries int, sent map[string]int) {
 	for range requests {
 		g.lastID++
@@ -181,9 +184,9 @@
 	}
 }
 
-// If many hosts are replaced at once, clients retry, and the traffic becomes a multiple of what the groups answered
-// before. The gateways can derive that multiple only from their arrivals. Even if each request is sent three times,
-// the warming host of each group must not exceed its limit.
+// If many hosts are replaced at once, clients retry, and the traffic becomes a multiple of what the groups
+// answered before. The gateways can derive that multiple only from their arrivals. Even if each request is
+// sent three times, the warming host of each group must not exceed its limit.
 func TestWarmingHostsStayWithinTheirLimitDuringALoadSurge(t *testing.T) {
 	const gateways, groups, hostsPerGroup = 60, 20, 4
 	const requestRate = 10 // per second at each gateway without retries
@@ -229,8 +232,8 @@
 	}
 }
 
-// A Router that starts while a group has only one, warming host left must not take one host for the size of the
-// group: the remaining host gets the traffic of all the missing ones.
+// A Router that starts while a group has only one, warming host left must not take one host for the size of
+// the group: the remaining host gets the traffic of all the missing ones.
 func TestRouterStartedLateUsesTheLargestGroupSize(t *testing.T) {
 	harness := newHarness(t, nil)
 	endpoints := []Endpoint{{ID: "cold", Group: 1, State: StateReady, StartedAt: harness.now}}
@@ -250,8 +253,8 @@
 	}
 }
 
-// While hosts are replaced, old and new ones are listed together for some seconds. The Router must not take their
-// number for the group's size: it would shed too much of the traffic to the warming hosts.
+// While hosts are replaced, old and new ones are listed together for some seconds. The Router must not take
+// their number for the group's size: it would shed too much of the traffic to the warming hosts.
 func TestOverlappingReplacementDoesNotIncreaseGroupSize(t *testing.T) {
 	sentOf200 := func(overlap bool) int {
 		harness := newHarness(t, nil)
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -8,8 +8,8 @@
 	"merlinjunction/fleet"
 )
 
-// newSubsetHarness creates one of eight gateways with a subset size of two, and lists a primary "m0" and six replicas
-// that have reported their position.
+// newSubsetHarness creates one of eight gateways with a subset size of two, and lists a primary "m0" and six
+// replicas that have reported their position.
 func newSubsetHarness(t *testing.T, gatewayNumber int, change func(*Settings)) *harness {
 	t.Helper()
 	harness := newHarness(t, func(s *Settings) {
@@ -60,8 +60,8 @@
 	class.Consistency, class.MaxStaleness, class.LateWeightShare = ConsistencyAny, 0, 1
 }
 
-// Eight gateways that know their numbers must use two replicas each, chosen at random for each read, and together
-// nearly all replicas. A gateway of unknown number must use all.
+// Eight gateways that know their numbers must use two replicas each, chosen at random for each read, and
+// together nearly all replicas. A gateway of unknown number must use all.
 func TestGatewaysKeepToTheirSubsets(t *testing.T) {
 	gatewaysByHost := map[string]int{}
 	for number := 1; number <= 8; number++ {
@@ -84,8 +84,8 @@
 	}
 }
 
-// A host of the subset that refuses a connection or drains must be replaced at once. No request may wait or be
-// rejected because of it.
+// A host of the subset that refuses a connection or drains must be replaced at once. No request may wait or
+// be rejected because of it.
 func TestUnavailableHostsOfASubsetAreReplacedAtOnce(t *testing.T) {
 	harness := newSubsetHarness(t, 3, lateReadsCount)
 	var subset []string
@@ -143,8 +143,8 @@
 	}
 }
 
-// Reads may ask only replicas of the subset for their position, and a new host must not get health checks from every
-// gateway.
+// Reads may ask only replicas of the subset for their position, and a new host must not get health checks
+// from every gateway.
 func TestOnlyTheSubsetGetsHealthChecks(t *testing.T) {
 	harness := newSubsetHarness(t, 2, func(s *Settings) {
 		s.StalenessCheck, s.HealthChecksAllowed = StalenessCheckNone, true
--- a/routing/timer_test.go
+++ b/routing/timer_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Needless Steps of hundreds of Routers would cost more than their traffic. A Router that has nothing to do must set
-// no timer, and one that waits for an answer must set a single timer for when the answer becomes overdue.
+// Needless Steps of hundreds of Routers would cost more than their traffic. A Router that has nothing to do
+// must set no timer, and one that waits for an answer must set a single timer for when the answer becomes
+// overdue.
 func TestIdleRouterSetsNoTimer(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.listGroup()
