--- a/membership/cause.go
+++ b/membership/cause.go
@@ -9,11 +9,11 @@
 	causeRejoined      = "joined again"                   // a newer incarnation of the same process
 	causeRestarted     = "restarted"                      // another process of the same name joined
 	causeIntroduced    = "introduced itself"              // with a record in a SyncRequest
-	causeReported      = "reported by others"             // in a record
+	causeReported      = "reported by others"             // a record of it as Alive from another member
 	causeRefuted       = "refuted"                        // the member itself sent a newer incarnation
 	causeRefutedReport = "refuted, as others report"      // others gossip a newer incarnation
 	causeReaccused     = "accused in a newer incarnation" // an accusation of a newer incarnation than the known one
-	causeAccused       = "accused by others"              // and the accusation is not refuted yet
+	causeAccused       = "accused by others"              // an accusation that is not refuted yet
 	causeUnconfirmed   = CauseNoAnswer + ", and nobody has confirmed it"
 	causeAnswered      = "answers again"
 	causeAnsweredLate  = "answers again, late"
--- a/membership/config.go
+++ b/membership/config.go
@@ -76,7 +76,7 @@
 	case !c.Addr.IsValid() || c.Addr.Port() == 0:
 		return configError("address", "must be a valid IP address and a port other than 0, got %v", c.Addr)
 	case len(c.Zone) > MaxZoneBytes:
-		return configError("zone", "%q is longer than %d bytes", c.Zone, MaxZoneBytes)
+		return configError("zone", "%q has %d bytes, at most %d are allowed", c.Zone, len(c.Zone), MaxZoneBytes)
 	case len(c.Payload) > MaxPayloadBytes:
 		return configError("payload", "has %d bytes, at most %d are allowed", len(c.Payload), MaxPayloadBytes)
 	case c.BootID == 0:
@@ -111,7 +111,8 @@
 			*duration.ms = duration.defaultMs
 		}
 		if !(*duration.ms >= minDurationMs && *duration.ms <= maxDurationMs) {
-			return configError("tuning", "%s is %v ms, must be %v to %v", duration.field, *duration.ms, minDurationMs, maxDurationMs)
+			return configError("tuning", "%s is %v ms, must be %v to %.0f",
+				duration.field, *duration.ms, minDurationMs, maxDurationMs)
 		}
 	}
 	if t.DeathQuorum == 0 {
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -5,8 +5,8 @@
 
 // digests holds digests of the live members, this one included. They cover each member's name, boot ID and incarnation.
 type digests struct {
-	digest          uint64              // of all live members
-	buckets         [bucketCount]uint64 // of the live members of each bucket
+	digest          uint64              // digest of all live members
+	buckets         [bucketCount]uint64 // digests of the live members in each bucket
 	digestChangedAt float64
 }
 
--- a/membership/failure_burst.go
+++ b/membership/failure_burst.go
@@ -7,10 +7,10 @@
 )
 
 // isFailureBurst reports whether so many members failed within burstWindowMs that fast detection matters more than low
-// traffic. During a burst, regular probes start at the interval of probe attempts, gossip rounds run twice as often, and
-// more indirect probes are requested. A change to Suspect and a change to Dead each count as a failure, so one crash
-// usually counts twice. With fewer than 20 live members, this one included, one failure is a burst, with fewer than 30
-// two are, and with 30 or more three are.
+// traffic. During a burst, regular probes start at intervals of Tuning.MinAttemptIntervalMs, gossip rounds run twice as
+// often, and more indirect probes are requested. A change to Suspect and a change to Dead each count as a failure, so one
+// crash usually counts twice. With fewer than 20 live members, this one included, one failure is a burst, with fewer than
+// 30 two are, and with 30 or more three are.
 func (v *View) isFailureBurst() bool {
 	for len(v.failureTimes) > 0 && v.now-v.failureTimes[0] > burstWindowMs {
 		v.failureTimes = v.failureTimes[1:]
--- a/membership/health.go
+++ b/membership/health.go
@@ -17,8 +17,8 @@
 	lastAckAt      float64   // last direct answer to a probe of this member
 	acksResumedAt  float64   // end of the last outage, see contactTimeoutMs
 	lastRefutedAt  float64   // last time this member advanced its incarnation
-	disputeTimes   []float64 // recent declarations of its death despite its refutations
-	failureTimes   []float64 // recent changes of members to Suspect or Dead
+	disputeTimes   []float64 // times of recent declarations of this member's death despite its refutations
+	failureTimes   []float64 // times of recent changes of members to Suspect or Dead
 }
 
 // localHealth is Lifeguard's local health multiplier. A member with evidence that it is at fault itself probes more
--- a/membership/helpers_test.go
+++ b/membership/helpers_test.go
@@ -15,10 +15,10 @@
 	isCut         func(from, to int, m *Message) bool // reports whether a message is lost; nil if none is
 	memberChanges []string                            // "viewer member state cause"
 	statusChanges []string                            // "viewer status"
-	clockOffsets  []float64                           // of each view's driver clock from now
+	clockOffsets  []float64                           // offset of each view's driver clock from now
 	paused        []bool
 	inboxes       [][]Event
-	lastBootID    uint64 // of the last process that was started
+	lastBootID    uint64 // boot ID of the last process that was started
 }
 
 func addrOf(i int) netip.AddrPort {
--- a/membership/member.go
+++ b/membership/member.go
@@ -13,7 +13,7 @@
 	listIndex         int        // index in the list of its state, see listOf
 	stateChangedAt    float64    // time of the last state change, on the View's clock
 	unconfirmedProbes uint8      // consecutive probes that failed without a Nack from another member
-	probeInFlight     bool       // a probe that this member started for itself is unanswered
+	probeInFlight     bool       // a probe of the member is unanswered, not counting indirect probes
 	inProbeRound      bool       // the member is in View.probeRound
 }
 
--- a/membership/message.go
+++ b/membership/message.go
@@ -49,13 +49,13 @@
 	Kind        Kind
 	Version     uint8
 	From        ID
-	BootID      uint64 // the sender's
-	Incarnation uint64 // the sender's
+	BootID      uint64 // boot ID of the sender
+	Incarnation uint64 // incarnation of the sender
 	Seq         uint32 // sequence number of a Ping or PingRequest, repeated in its answer
 	Attempt     uint8  // number of the Ping's attempt, from 0, repeated in its answer
 	Target      ID     // probed member, in a Ping, PingRequest, Nack or Ack; 0 in an Ack that answers a Ping
 	Addr        netip.AddrPort
-	Digest      uint64 // of all members that are live in the sender's view
+	Digest      uint64 // digest of all members that are live in the sender's view
 	Buckets     []uint64
 	Rumors      []Rumor
 	Records     []Record
@@ -75,7 +75,7 @@
 	BootTag     uint32 // low 32 bits of the subject's BootID; a rumor about another process of that name is ignored
 	Incarnation uint64
 	State       State
-	Accusers    []ID // of a Suspect: the members that got no answer from it
+	Accusers    []ID // members that got no answer from the subject; only if State is Suspect
 }
 
 // Record is the complete description of a member that members send to each other.
@@ -99,15 +99,15 @@
 // Sizes in bytes that every Send observes. They are upper bounds of the encoded sizes. The tests of internal/transport
 // compare them with the encoding.
 const (
-	MaxDatagramBytes = 1200 // whole datagram, including the message's envelope
-	DatagramOverhead = 170  // whole datagram without rumors, records and bucket digests
+	MaxDatagramBytes = 1200 // size of a whole datagram, including the message's envelope
+	DatagramOverhead = 170  // size of a datagram without rumors, records and bucket digests
 
 	rumorBytes   = 34
 	accuserBytes = 9
-	recordBytes  = 92 // of a record without name, zone and payload
+	recordBytes  = 92 // size of a record without name, zone and payload
 
-	maxUpdateBytes  = MaxDatagramBytes - DatagramOverhead // for all rumors and records of a message
-	pingUpdateBytes = 330                                 // for all rumors and records of a Ping or an Ack
+	maxUpdateBytes  = MaxDatagramBytes - DatagramOverhead // limit for all rumors and records of a message
+	pingUpdateBytes = 330                                 // limit for all rumors and records of a Ping or an Ack
 )
 
 // Size returns an upper bound of the record's encoded size in bytes.
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -24,7 +24,7 @@
 	startedAt         float64
 	attemptIntervalMs float64
 	maxAttempts       int
-	attempts          int  // made so far
+	attempts          int  // attempts made so far
 	indirectRequests  int  // PingRequests sent for the probe
 	confirmedBy       []ID // members that sent a Nack
 	requester         requester
@@ -34,7 +34,7 @@
 type requester struct {
 	addr   netip.AddrPort
 	member *member // nil if unknown
-	seq    uint32  // of the PingRequest
+	seq    uint32  // sequence number of the PingRequest
 }
 
 // probeState holds the probes of this member and the times at which the next ones are due.
--- a/membership/rumor.go
+++ b/membership/rumor.go
@@ -57,8 +57,7 @@
 }
 
 // handleRecord applies a record. A death in a record may be outdated, so the member is probed to verify it, unless the
-// member is Suspect here as well. If gossip is set, new members, newer incarnations and new payloads are
-// gossiped.
+// member is Suspect here as well. If gossip is set, new members, newer incarnations and new payloads are gossiped.
 func (v *View) handleRecord(record *Record, gossip bool) {
 	id := IDOf(record.Name)
 	if id == v.id {
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -7,7 +7,7 @@
 
 const (
 	maxAccusers             = 8      // maximum accusers kept for one suspicion
-	suspicionVerificationMs = 1000.0 // minimum delay before a suspicion without a quorum is verified, maximum twice that
+	suspicionVerificationMs = 1000.0 // a suspicion without a quorum is verified after 1 to 2 times this delay
 	minRefutationAttempts   = 4.0    // minimum wait for a refutation, in attempt intervals
 	significantLossRate     = 0.02   // loss rate above which a member probes a suspect itself before it declares it dead
 )
@@ -16,7 +16,7 @@
 type suspicion struct {
 	accusers              []ID
 	quorumAt              float64 // when the quorum was reached or the wait for a refutation restarted; 0 before
-	verifyAt              float64 // when this member verifies the suspicion without a quorum
+	verifyAt              float64 // when this member verifies the suspicion if there is no quorum yet
 	verificationScheduled bool    // this member scheduled a verification after the quorum was reached
 }
 
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -7,7 +7,7 @@
 
 const (
 	syncIntervalMs       = 600.0 // minimum time between two sync requests
-	joinSyncIntervalMs   = 200.0 // the same within joinSyncPeriodMs after the join
+	joinSyncIntervalMs   = 200.0 // the same, within joinSyncPeriodMs after the join
 	joinSyncPeriodMs     = 5000.0
 	digestSettleMs       = 300.0  // time after a digest change in which gossip may still resolve a difference
 	forcedSyncIntervalMs = 1200.0 // time after the last sync request from which a sync doesn't wait for gossip
