--- a/membership/clock_test.go
+++ b/membership/clock_test.go
@@ -29,7 +29,7 @@
 	c.clockOffsets[2] = 600_000
 	c.run(5000)
 	if len(c.memberChanges) > 0 {
-		t.Errorf("member changes after clock steps: %v", c.memberChanges)
+		t.Errorf("member changes after clock steps: %v, want none", c.memberChanges)
 	}
 	if got := c.views[2].Summary().LateSteps; got == 0 {
 		t.Error("a forward step of the clock was not counted as a late step")
--- a/membership/config.go
+++ b/membership/config.go
@@ -58,7 +58,7 @@
 
 // ConfigError reports a field of Config with an invalid value.
 type ConfigError struct {
-	Field   string // name of the field in lower case, "boot" for BootID, or "tuning" for any field of Tuning
+	Field   string // "name", "address", "zone", "payload", "boot", "version", or "tuning" for any field of Tuning
 	Problem string
 }
 
--- a/membership/config_test.go
+++ b/membership/config_test.go
@@ -24,7 +24,7 @@
 			_, err := New(cfg, 1)
 			var configErr *ConfigError
 			if !errors.As(err, &configErr) || configErr.Field != field || !strings.HasPrefix(err.Error(), field) {
-				t.Errorf("error: %v", err)
+				t.Errorf("got error %v, want a *ConfigError for the field %s", err, field)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 			_, err := New(Config{Name: "a", Addr: addrOf(1), BootID: 1, Tuning: tuning}, 1)
 			var configErr *ConfigError
 			if !errors.As(err, &configErr) || configErr.Field != "tuning" || !strings.HasPrefix(configErr.Problem, field+" ") {
-				t.Errorf("error: %v", err)
+				t.Errorf("got error %v, want a *ConfigError for tuning that names %s", err, field)
 			}
 		})
 	}
--- a/membership/helpers_test.go
+++ b/membership/helpers_test.go
@@ -36,7 +36,7 @@
 	c.run(3000)
 	for i, v := range c.views {
 		if got := v.Summary(); got.Alive != count || got.Status != StatusHealthy {
-			t.Fatalf("g%d sees %+v after the start", i, got)
+			t.Fatalf("g%d sees %+v after the start, want the status fine and %d alive", i, got, count)
 		}
 	}
 	c.memberChanges, c.statusChanges = nil, nil
--- a/membership/join_test.go
+++ b/membership/join_test.go
@@ -12,7 +12,7 @@
 	c.run(2500)
 	c.wantState(Alive, "g3", 0, 1, 2)
 	if got := c.views[3].Summary(); got.Status != StatusHealthy || got.Alive != 4 {
-		t.Errorf("g3 sees %+v", got)
+		t.Errorf("g3 sees %+v, want the status fine and 4 alive", got)
 	}
 	if c.countChanges("g3 dead") > 0 {
 		t.Errorf("g3 was declared dead: %v", c.memberChanges)
--- a/membership/leave_test.go
+++ b/membership/leave_test.go
@@ -13,7 +13,7 @@
 	}
 	c.step(2, Leave{})
 	if got := c.views[2].Summary().Status; got != StatusLeft {
-		t.Errorf("the status of g2 after its leave is %v", got)
+		t.Errorf("the status of g2 after its leave is %v, want %v", got, StatusLeft)
 	}
 	ping := Message{Kind: Ping, From: IDOf("g1"), BootID: 2, Incarnation: 1, Target: IDOf("g2")}
 	if actions := c.views[2].Step(c.now, []Event{Received{addrOf(1), ping}}); len(actions) > 0 {
--- a/membership/name_conflict_test.go
+++ b/membership/name_conflict_test.go
@@ -18,10 +18,10 @@
 	c.stop(2)
 	c.run(9000)
 	if got := v.Summary(); got.Status != StatusHealthy || got.Alive != 4 {
-		t.Errorf("the second g2 after the death of the first sees %+v", got)
+		t.Errorf("after the death of the first g2, the second sees %+v, want the status fine and 4 alive", got)
 	}
 	if m := c.member(0, "g2"); m.BootID != 99 || m.Addr != addrOf(4) || m.State != Alive {
-		t.Errorf("g0 knows %+v", m.Member)
+		t.Errorf("g0 knows %+v, want the second g2 as alive: boot ID 99 at %v", m.Member, addrOf(4))
 	}
 }
 
@@ -43,6 +43,6 @@
 	}
 	c.wantState(Alive, "g2", 0, 1, 3)
 	if m := c.member(0, "g2"); m.Addr != addrOf(2) {
-		t.Errorf("g0 knows %+v", m.Member)
+		t.Errorf("g0 knows %+v, want the earlier g2, at %v", m.Member, addrOf(2))
 	}
 }
--- a/membership/probe_schedule.go
+++ b/membership/probe_schedule.go
@@ -108,7 +108,7 @@
 	fastReconnectIntervalMs = 50.0   // after a success, so that more and more members reconnect once a partition heals
 	reconnectsPerSuccess    = 4      // reconnect probes that each success adds
 	maxPendingReconnects    = 32
-	reconnectBatch          = 4 // dead members to probe, and Unreachable ones to verify, at one time
+	reconnectBatch          = 4 // maximum number of dead members probed, and of Unreachable ones verified, at one time
 )
 
 // reconnectSucceeded schedules further reconnect probes after a dead member has answered one.
--- a/membership/send_test.go
+++ b/membership/send_test.go
@@ -26,7 +26,7 @@
 	c.run(6000)
 	c.wantState(Dead, "g2", 0, 1, 3, 4, 5)
 	if got := string(c.member(1, "g0").Payload); got != "payload" {
-		t.Errorf("g1 knows the payload %q", got)
+		t.Errorf("g1 knows the payload %q of g0, want \"payload\"", got)
 	}
 }
 
--- a/membership/status_test.go
+++ b/membership/status_test.go
@@ -12,11 +12,11 @@
 	c.isCut = func(_, to int, _ *Message) bool { return to == 2 }
 	c.run(6000)
 	if !slices.Contains(c.statusChanges, "g2 deaf") || !c.views[2].Summary().Partial {
-		t.Errorf("statuses of g2: %v", c.statusChanges)
+		t.Errorf("status changes: %v, want \"g2 deaf\" among them and a partial view of g2", c.statusChanges)
 	}
 	for _, change := range c.memberChanges {
 		if strings.HasPrefix(change, "g2 ") && !strings.Contains(change, "unreachable") {
-			t.Errorf("g2 accuses: %v", change)
+			t.Errorf("g2 changed a member's state: %v, want only changes to unreachable", change)
 		}
 	}
 	c.isCut = nil
@@ -33,7 +33,7 @@
 	c.isCut = func(from, _ int, _ *Message) bool { return from == 2 }
 	c.run(9000)
 	if !slices.Contains(c.statusChanges, "g2 unheard") {
-		t.Errorf("statuses of g2: %v", c.statusChanges)
+		t.Errorf("status changes: %v, want \"g2 unheard\" among them", c.statusChanges)
 	}
 	c.wantState(Dead, "g2", 0, 1, 3, 4, 5)
 	c.isCut = nil
@@ -49,7 +49,7 @@
 			c.isCut = func(from, to int, _ *Message) bool { return from == 1 && to == 3 || both && from == 3 && to == 1 }
 			c.run(20_000)
 			if c.countChanges("dead")+c.countChanges("unreachable") > 0 {
-				t.Errorf("changes: %v", c.memberChanges)
+				t.Errorf("member changes: %v, want none to dead or unreachable", c.memberChanges)
 			}
 		})
 	}
@@ -62,14 +62,14 @@
 	c.run(6000)
 	for i, v := range c.views {
 		if got := v.Summary(); got.Alive != 4 || !got.Partial {
-			t.Errorf("g%d sees %+v", i, got)
+			t.Errorf("g%d sees %+v, want 4 alive and a partial view", i, got)
 		}
 	}
 	c.isCut = nil
 	c.run(4000)
 	for i, v := range c.views {
 		if got := v.Summary(); got.Alive != 8 || got.Partial {
-			t.Errorf("after the partition has healed g%d sees %+v", i, got)
+			t.Errorf("after the partition has healed g%d sees %+v, want 8 alive and no partial view", i, got)
 		}
 	}
 }
@@ -81,6 +81,6 @@
 	c.run(5000)
 	c.wantState(Unreachable, "g1", 0)
 	if got := c.views[0].Summary(); !got.Partial || got.Status != StatusIsolated {
-		t.Errorf("g0 sees %+v", got)
+		t.Errorf("g0 sees %+v, want the status deaf and a partial view", got)
 	}
 }
--- a/membership/suspicion_test.go
+++ b/membership/suspicion_test.go
@@ -9,7 +9,7 @@
 	c.run(3000)
 	c.wantState(Dead, "g3", 0, 1, 2, 4, 5)
 	if c.countChanges("dead no answer to") == 0 || c.countChanges("dead no answer to one") > 0 {
-		t.Errorf("deaths: %v", c.memberChanges)
+		t.Errorf("member changes: %v, want deaths with more than one accuser only", c.memberChanges)
 	}
 }
 
@@ -23,7 +23,7 @@
 	c.run(2000)
 	c.wantState(Alive, "g4", 0, 1, 2, 3, 5)
 	if c.countChanges("dead") > 0 || c.member(2, "g4").Incarnation != 2 {
-		t.Errorf("g4 did not refute: %v", c.memberChanges)
+		t.Errorf("want g4 to refute with incarnation 2 and no deaths, got member changes %v", c.memberChanges)
 	}
 }
 
@@ -53,7 +53,7 @@
 	c.wantState(Alive, "g2", 0, 1, 3)
 	m := c.member(0, "g2")
 	if m.BootID == oldBootID || m.Incarnation < 2 {
-		t.Fatalf("g0 knows %+v, not the new process", m.Member)
+		t.Fatalf("g0 knows %+v, want the new process in incarnation 2 or newer", m.Member)
 	}
 	c.deliverRumor(0, 1, c.bootID(1), Rumor{Subject: IDOf("g2"), BootTag: uint32(oldBootID), Incarnation: 90, State: Dead})
 	c.wantState(Alive, "g2", 0)
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -33,14 +33,14 @@
 		}
 	}
 	if counts != v.counts {
-		return fmt.Errorf("counts are %v, not %v", v.counts, counts)
+		return fmt.Errorf("counts are %v, want %v", v.counts, counts)
 	}
 	if len(v.suspects) != counts[Suspect] || len(v.live)+len(v.dead)+len(v.left)+1 != len(v.members) {
 		return fmt.Errorf("%d suspects, %d live, %d dead, %d left of %d members",
 			len(v.suspects), len(v.live), len(v.dead), len(v.left), len(v.members))
 	}
 	if v.status != StatusLeft && digest != v.digest {
-		return fmt.Errorf("the digest is %x, not %x", v.digest, digest)
+		return fmt.Errorf("the digest is %x, want %x", v.digest, digest)
 	}
 	if len(v.rumors.entries) != len(v.rumors.byMember) {
 		return fmt.Errorf("%d rumors in the queue, %d in the index by member", len(v.rumors.entries), len(v.rumors.byMember))
--- a/routing/settings_validation_test.go
+++ b/routing/settings_validation_test.go
@@ -23,8 +23,8 @@
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Fatalf("got error %v, want one that names %s", err, want)
 			}
-			var atFault *SettingError
-			if !errors.As(err, &atFault) || !strings.Contains(atFault.Setting, want) {
+			var settingErr *SettingError
+			if !errors.As(err, &settingErr) || !strings.Contains(settingErr.Setting, want) {
 				t.Errorf("got error %#v, want a *SettingError with the setting %s", err, want)
 			}
 		})
