--- a/routing/replica_test.go
+++ b/routing/replica_test.go
@@ -113,7 +113,8 @@
 				})
 			}
 			if len(checked) != 1 || harness.attemptedHost(attempts) != test.want(checked[0]) {
-				t.Fatalf("want one health check, got %v; then attempts %v", checked, attempts)
+				t.Fatalf("health checks of %v, then attempts %v, want one health check, "+
+					"then one attempt at the checked host if its position is new enough, otherwise at p", checked, attempts)
 			}
 		})
 	}
