--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -11,14 +11,16 @@
 // Ownership:
 //   - The Core keeps a request from Submit until it has its final answer and no attempt of it is open.
 //   - A host holds the queue of attempts that wait for a connection. It also holds its upstream connections (pooledConn)
-//     that carry no command: the list dialing has those that are not yet established, and the list idle has those that
-//     are between two commands.
+//     that carry no command: the list dialing has those that are not yet established, and the list idle has the
+//     established ones.
 //   - A connection that carries the command of an attempt or a health check is in no list. Only the hostAttempt refers
 //     to it (hostAttempt.conn). An attempt has at most one connection, from the time it is sent until its result.
-//     The exception is the known fault at assignConn: a connection that neither a list nor an attempt refers to.
+//     So an open connection is always in one of the two lists or carries an attempt. Tests and the fault simulator check
+//     that with CheckAccounting.
 //   - The Core counts all connections (openConns). Only pooledConn.close decrements that count. It is called at the
-//     connect timeout, for an idle connection, when the attempt on the connection is aborted, when the connection is
-//     released to a host that is gone, and after the host has closed the connection.
+//     connect timeout, for an idle connection, when the attempt on the connection is aborted, after a response that ends
+//     the connection, when the address of the host has changed, when the connection is released to a host that is gone,
+//     and after the host has closed the connection.
 //
 // Invariants:
 //   - A request gets at most one final answer, and has at most one open attempt.
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -54,14 +54,15 @@
 			f.advance(settlePeriodMs + 1)
 			last := f.conns[len(f.conns)-1]
 			if len(f.conns) != test.conns || len(last.sent) != test.sentOnLast {
-				t.Errorf("%d connections, %d commands sent on the last", len(f.conns), len(last.sent))
+				t.Errorf("%d connections, %d commands sent on the last; want %d and %d",
+					len(f.conns), len(last.sent), test.conns, test.sentOnLast)
 			}
 		})
 	}
 }
 
-// A connection that accepts no further command after a response must be closed, and the next request must get another
-// connection.
+// A connection that accepts no further command after a response must be closed, because bytes that follow the response
+// belong to no request. The next request must get another connection.
 func TestConnectionIsClosedAfterItsLastResponse(t *testing.T) {
 	f := newFixture(t, "a")
 	f.submit(readClass, 500)
@@ -71,7 +72,7 @@
 	f.conns[0].handler.ResponseReceived(last)
 	f.submit(readClass, 500)
 	if !f.conns[0].closed || len(f.conns) != 2 {
-		t.Errorf("first connection closed %v, %d connections, want 2", f.conns[0].closed, len(f.conns))
+		t.Errorf("first connection closed %v, %d connections; want true and 2", f.conns[0].closed, len(f.conns))
 	}
 }
 
@@ -112,7 +113,8 @@
 				first.handler.Established()
 			}
 			if first.closed != test.late || (len(first.sent) == 1) == test.late {
-				t.Errorf("connection closed %v, %d commands sent", first.closed, len(first.sent))
+				t.Errorf("connection closed %v, %d commands sent; want closed %v, and one command only if it is open",
+					first.closed, len(first.sent), test.late)
 			}
 			f.advance(400)
 			if len(f.answers) != 1 {
