--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -18,7 +18,7 @@
 			f.conns[0].handler.ConnectionClosed(errors.New("reset"))
 			f.advance(400)
 			if retried := len(f.conns) > 1; retried != writeBlocked {
-				t.Errorf("retried %v", retried)
+				t.Errorf("retried %v, want %v", retried, writeBlocked)
 			}
 		})
 	}
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -21,13 +21,15 @@
 			conn.handler.Established()
 			f.advance(400)
 			if len(conn.sent) != 0 || conn.closed {
-				t.Errorf("%d commands sent for a client that had left, connection closed %v", len(conn.sent), conn.closed)
+				t.Errorf("%d commands sent for a client that had left, connection closed %v; want 0 and false",
+					len(conn.sent), conn.closed)
 			}
 			f.submit(class, 900)
 			conn.handler.ResponseReceived(primarySuccess("x"))
 			f.advance(1)
 			if len(f.answers) != 1 || len(f.conns) != 1 || len(f.requests) != 0 {
-				t.Errorf("answers %q, %d connections, %d requests not removed", f.answers, len(f.conns), len(f.requests))
+				t.Errorf("answers %q, %d connections, %d requests were not removed; want 1 answer, 1 and 0",
+					f.answers, len(f.conns), len(f.requests))
 			}
 		})
 	}
@@ -44,12 +46,13 @@
 			f.ClientGone(1)
 			f.advance(1)
 			if len(conn.sent) != 1 || conn.closed {
-				t.Errorf("the attempt did not stay open: %d commands sent, connection closed %v", len(conn.sent), conn.closed)
+				t.Errorf("the attempt did not stay open: %d commands sent, connection closed %v; want 1 and false",
+					len(conn.sent), conn.closed)
 			}
 			conn.handler.ResponseReceived(primarySuccess("x"))
 			f.advance(1)
 			if len(f.answers) != 0 || len(f.requests) != 0 {
-				t.Errorf("answers %q, %d requests were not removed", f.answers, len(f.requests))
+				t.Errorf("answers %q, %d requests were not removed; want none and 0", f.answers, len(f.requests))
 			}
 		})
 	}
@@ -65,13 +68,14 @@
 	f.ClientGone(1)
 	f.advance(1)
 	if !f.conns[0].closed || f.writtenAttempts != 0 || len(f.requests) != 0 {
-		t.Errorf("closed %v, %d dispatches, %d requests not removed", f.conns[0].closed, f.writtenAttempts, len(f.requests))
+		t.Errorf("connection closed %v, %d written attempts, %d requests were not removed; want true, 0 and 0",
+			f.conns[0].closed, f.writtenAttempts, len(f.requests))
 	}
 	f.conns[0].handler.RequestWritten() // a late callback, which must have no effect
 	f.conns[0].handler.ConnectionClosed(errors.New("closed"))
 	f.advance(500)
 	if len(f.answers) != 0 || len(f.conns) != 1 {
-		t.Errorf("answers %q, %d connections", f.answers, len(f.conns))
+		t.Errorf("answers %q, %d connections; want none and 1", f.answers, len(f.conns))
 	}
 }
 
@@ -91,7 +95,7 @@
 	first.handler.ResponseReceived(success("x"))
 	f.advance(1)
 	if len(f.answers) != 1 || f.OpenRequests() != 0 {
-		t.Errorf("answers %q, %d open requests", f.answers, f.OpenRequests())
+		t.Errorf("answers %q, %d open requests; want 1 answer and 0", f.answers, f.OpenRequests())
 	}
 }
 
@@ -109,7 +113,7 @@
 			f.conns[0].handler.ConnectionClosed(errors.New("reset"))
 			f.advance(50)
 			if retried := len(f.conns) > 1; retried == gone {
-				t.Errorf("retried %v", retried)
+				t.Errorf("retried %v, want %v", retried, !gone)
 			}
 			if !gone {
 				f.ClientGone(1)
@@ -121,7 +125,7 @@
 			}
 			f.advance(500)
 			if len(f.answers) != 0 || len(f.requests) != 0 {
-				t.Errorf("answers %q, %d requests are kept", f.answers, len(f.requests))
+				t.Errorf("answers %q, %d requests were not removed; want none and 0", f.answers, len(f.requests))
 			}
 		})
 	}
@@ -144,7 +148,7 @@
 	t.Helper()
 	request := Request{Tenant: -1, Group: group, TimeLeftMs: 600, Command: "command", Responder: responder}
 	if _, ok := f.Submit(request); !ok {
-		t.Fatal("not accepted")
+		t.Fatal("the request was not accepted")
 	}
 }
 
--- a/internal/proxy/endpoint_change_test.go
+++ b/internal/proxy/endpoint_change_test.go
@@ -7,9 +7,9 @@
 	"merlinjunction/routing"
 )
 
-// A host is removed from the endpoint list, or its address changes, while an attempt waits for the settle period of its
-// connection, which is closed. Another connection must be dialed for the attempt; otherwise it would wait until it times
-// out.
+// An attempt waits for the end of a connection's settle period. Meanwhile its host is removed from the endpoint list or
+// gets another address, so that the connection is closed. Another connection must be dialed for the attempt. Otherwise it
+// would wait until it times out.
 func TestListChangeLeavesNoAttemptWithoutConnection(t *testing.T) {
 	for name, list := range map[string][]Host{
 		"gone":  nil,
@@ -56,7 +56,8 @@
 			sentBefore := len(first.sent)
 			f.advance(settlePeriodMs + 1)
 			if !first.closed || len(first.sent) != sentBefore {
-				t.Errorf("connection closed %v, %d further commands to the earlier address", first.closed, len(first.sent)-sentBefore)
+				t.Errorf("connection closed %v, %d further commands to the earlier address; want true and 0",
+					first.closed, len(first.sent)-sentBefore)
 			}
 			last := f.conns[len(f.conns)-1]
 			if last.addr != "elsewhere" {
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -58,12 +58,12 @@
 			conn.handler.Established()
 		}
 		if len(conn.sent) != 0 {
-			t.Errorf("%d commands sent to a host that is not in the endpoint list", len(conn.sent))
+			t.Errorf("%d commands sent to a host that is not in the endpoint list, want none", len(conn.sent))
 		}
 	}
 	f.advance(700)
 	if len(f.answers) != 1 || len(f.hosts) != 1 { // the next endpoint update removes the host
-		t.Errorf("answers %q, %d hosts", f.answers, len(f.hosts))
+		t.Errorf("answers %q, %d hosts; want 1 answer and 1 host", f.answers, len(f.hosts))
 	}
 	if f.updateHosts(routing.StateReady); len(f.hosts) != 0 {
 		t.Errorf("%d hosts were not removed", len(f.hosts))
@@ -82,6 +82,6 @@
 	}
 	f.advance(healthCheckTimeoutMs + 1)
 	if f.updateHosts(routing.StateReady); len(f.hosts) != 0 || !f.conns[0].closed {
-		t.Errorf("%d hosts were not removed, connection closed %v", len(f.hosts), f.conns[0].closed)
+		t.Errorf("%d hosts were not removed, connection closed %v; want 0 and true", len(f.hosts), f.conns[0].closed)
 	}
 }
--- a/internal/proxy/fixture_test.go
+++ b/internal/proxy/fixture_test.go
@@ -28,7 +28,7 @@
 	nowMs   float64
 	timers  *eventloop.Timers
 	conns   []*fakeConn
-	answers []string // final answers, each prefixed with its time
+	answers []string // final answers, refusals by Submit and stream callbacks, each prefixed with its time
 }
 
 // fakeConn is an UpstreamConn. The test makes it answer by calling its handler.
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -19,7 +19,7 @@
 			}
 			f.advance(timeLeftMs + 1)
 			if len(f.answers) != 1 || f.OpenRequests() != 0 {
-				t.Errorf("answers %q at %v ms, want 1", f.answers, f.nowMs)
+				t.Errorf("answers %q and %d open requests at %v ms, want 1 answer and 0", f.answers, f.OpenRequests(), f.nowMs)
 			}
 		})
 	}
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -49,11 +49,11 @@
 	if attempt == nil || attempt.request == nil || attempt.request.stream == nil {
 		return 0
 	}
-	taken := attempt.request.stream.StreamPart(part)
-	if taken > 0 {
+	accepted := attempt.request.stream.StreamPart(part)
+	if accepted > 0 {
 		attempt.request.lastPartMs = p.host.core.Now()
 	}
-	return taken
+	return accepted
 }
 
 // watchStream aborts a streamed answer that stalls. No other timeout applies to an answer that has begun, so without it
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -16,9 +16,9 @@
 }
 
 func (s *streamingClient) StreamPart(part []byte) int {
-	taken := min(len(part), s.capacity)
-	s.capacity -= taken
-	return taken
+	accepted := min(len(part), s.capacity)
+	s.capacity -= accepted
+	return accepted
 }
 
 func (s *streamingClient) AbortStream() { s.record("stream aborted") }
@@ -64,7 +64,7 @@
 				t.Errorf("%d commands sent, want 1", sent)
 			}
 			if f.OpenRequests() != 0 || len(f.requests) != 0 {
-				t.Errorf("%d requests are open, %d were not removed", f.OpenRequests(), len(f.requests))
+				t.Errorf("%d requests are open, %d were not removed; want 0 and 0", f.OpenRequests(), len(f.requests))
 			}
 			if counts := f.ReplyCounts()[readClass]; counts != test.counts {
 				t.Errorf("reply counts %+v, want %+v", counts, test.counts)
