--- a/fleet/load_announcer.go
+++ b/fleet/load_announcer.go
@@ -5,7 +5,7 @@
 const (
 	loadSmoothing         = 0.2      // weight of the newest sample in the moving average
 	minLoadSamples        = 5        // samples, one a second, that are averaged before the first announcement
-	minAnnounceIntervalMs = 10_000.0 // least time between two announcements
+	minAnnounceIntervalMs = 10_000.0 // minimum time between two announcements
 	announceChangeFactor  = 1.5      // the load is announced again once it has grown or shrunk by more than this factor
 	minAnnouncedLoad      = 0.1      // requests a second; an announced load of 0 would mean that the load is unknown
 )
--- a/fleet/poll_policy.go
+++ b/fleet/poll_policy.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// PollPolicy decides when a gateway polls discovery. The gateway first polls for the endpoint list. Each later poll is a
-// watch, which is a poll that waits for an update. The policy protects discovery from simultaneous polls by a whole
-// fleet, and from additional polls while discovery fails. The caller polls when the policy allows it, reports how each
-// poll ended and supplies random draws from 0 to 1.
+// PollPolicy decides when a gateway polls discovery. A gateway without an endpoint list polls for the list. A gateway
+// that has one sends a watch, which is a poll that waits for an update. The policy protects discovery from simultaneous
+// polls by a whole fleet, and from additional polls while discovery fails. The caller polls when the policy allows it,
+// reports how each poll ended and supplies random draws from 0 to 1.
 //
 // The drain grace period starts when an update counts as notified, which may be before the gateway receives the update.
 // The policy therefore tracks since when updates may have been missed.
@@ -76,9 +76,9 @@
 }
 
 const (
-	watchWaitMs           = 2000.0   // least time that a watch waits for an update
-	watchWaitPerGatewayMs = 20.0     // waiting time for each gateway of the fleet, if this gateway knows its slot
-	maxWatchWaitMs        = 20_000.0 // upper bound of a waiting time that depends on the fleet's size
+	watchWaitMs           = 2000.0   // time that a watch may wait for an update; longer in a large fleet
+	watchWaitPerGatewayMs = 20.0     // waiting time per gateway in a large fleet, if this gateway knows its slot
+	maxWatchWaitMs        = 20_000.0 // upper bound of the waiting time in a large fleet
 	// shortWatchWaitMs is the waiting time of a watch before the first answer, because the program waits for that answer,
 	// and of a watch after a timeout.
 	shortWatchWaitMs  = 100.0
@@ -110,7 +110,7 @@
 	return wait, wait + firstResponseTimeoutMs
 }
 
-// minPollIntervalMs is the least time between a poll that was answered without an update and the next poll.
+// minPollIntervalMs is the minimum time between a poll that was answered without an update and the next poll.
 const minPollIntervalMs = 100.0
 
 // IdleDelay returns how long to wait after an answer before the next poll. updated says that the answer contained an
@@ -124,9 +124,10 @@
 	return polledAt + minPollIntervalMs - now
 }
 
-// Answered records that a poll was answered. It returns whether this was the first answer, and since when the content of
-// the answer counts as notified: since now, or since updates may have been missed if that is earlier. A gateway that
-// counted the drain grace period from the receipt of an update would use draining hosts for too long.
+// Answered records that a poll was answered. It returns whether this was the first answer, and the time from which the
+// content of the answer counts as notified. That is now, or the time since which updates may have been missed if that is
+// earlier. A gateway that counted the drain grace period from the receipt of an update would use draining hosts for too
+// long.
 func (p *PollPolicy) Answered(now float64) (first bool, notifiedAt float64) {
 	first, notifiedAt = !p.answered, now
 	if p.missedSince > 0 {
@@ -142,7 +143,7 @@
 	// maxInitialBackoffMs bounds the backoff after the first failure if that backoff grows with the fleet's size.
 	maxInitialBackoffMs   = 3000.0
 	promptRetryGraceShare = 0.25 // delay of a prompt retry as a share of the drain grace period, before jitter
-	minPromptRetryMs      = 20.0 // least delay of a prompt retry; it also holds without a drain grace period
+	minPromptRetryMs      = 20.0 // minimum delay of a prompt retry; it also holds without a drain grace period
 	// unansweredPollNotifiedMs is given by the protocol: updates that an unanswered poll missed count as notified this
 	// long after the poll was made.
 	unansweredPollNotifiedMs = 6000.0
--- a/fleet/poll_policy_test.go
+++ b/fleet/poll_policy_test.go
@@ -55,7 +55,8 @@
 				timeouts++
 			}
 			if timeouts < 3 {
-				t.Errorf("after two timeouts the next poll comes too late, at %.0f ms", now)
+				t.Errorf("after %d timeouts the next poll comes at %.0f ms, want it before %.0f ms",
+					timeouts, now, unansweredPollNotifiedMs+grace)
 			}
 		})
 	}
--- a/fleet/slot_schedule_test.go
+++ b/fleet/slot_schedule_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Every gateway gets its own slot of a cycle, and no gateway calls before the least wait is over.
+// Every gateway gets its own slot of a cycle, and no gateway calls before the minimum wait is over.
 func TestNextSlotIsDistinct(t *testing.T) {
 	seen := map[float64]bool{}
 	for slot := range 300 {
--- a/fleet/slow_start_limit_test.go
+++ b/fleet/slow_start_limit_test.go
@@ -52,7 +52,8 @@
 			}
 			for host, rate := range rates {
 				if overload := 2.5 * capacityShares[host] * groupRate / hostCount; capacityShares[host] < 1 && rate > overload {
-					t.Errorf("host %d gets %.0f requests a second and is overloaded above %.0f", host, rate, overload)
+					t.Errorf("host %d gets %.0f requests a second, want at most %.0f: above that it is overloaded",
+						host, rate, overload)
 				}
 			}
 		})
--- a/fleet/subset_assignment_test.go
+++ b/fleet/subset_assignment_test.go
@@ -25,7 +25,8 @@
 		}
 		order := assignment.PreferenceOrder()
 		if want := min(size, hostCount); assignment.SubsetSize() != want || len(order) != hostCount {
-			t.Fatalf("subsets of %d hosts, order of %d hosts", assignment.SubsetSize(), len(order))
+			t.Fatalf("subsets of %d hosts, order of %d hosts; want %d and %d",
+				assignment.SubsetSize(), len(order), want, hostCount)
 		}
 		for i, host := range slices.Sorted(slices.Values(order)) {
 			if host != i {
