--- a/internal/eventloop/conn_read.go
+++ b/internal/eventloop/conn_read.go
@@ -44,8 +44,8 @@
 	if received {
 		c.handler.Data()
 	}
-	if end == nil && hungUp && !received && !c.closed { // reset while the input limit is reached, or both directions have ended
-		end = unix.ECONNRESET
+	if end == nil && hungUp && !received && !c.closed {
+		end = unix.ECONNRESET // reset while the input limit is reached, or both directions have ended
 	}
 	if end != nil && !c.closed {
 		c.endInput(end)
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -98,11 +98,11 @@
 	time.Sleep(50 * time.Millisecond) // without reading, so that the loop's writes are partial
 	got := make([]byte, len(sent))
 	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, sent) {
-		t.Fatalf("error %v, data equal %v", err, bytes.Equal(got, sent))
+		t.Fatalf("error %v, data equal %v; want nil and true", err, bytes.Equal(got, sent))
 	}
 	closeConn(conn)
 	if err := <-done; err != nil || loop.bufferedBytes != 0 {
-		t.Errorf("error %v, %d bytes are still buffered", err, loop.bufferedBytes)
+		t.Errorf("error %v, %d bytes are still buffered; want nil and 0", err, loop.bufferedBytes)
 	}
 	if len(echo.ends) == 0 || !slices.Equal(echo.ends[:1], []error{io.EOF}) {
 		t.Errorf("Ended called with %v, want io.EOF first", echo.ends)
@@ -117,7 +117,7 @@
 		}
 		closeConn(conn)
 		if err := <-done; err != nil || !slices.Equal(echo.ends, []error{unix.ECONNRESET}) {
-			t.Errorf("error %v, Ended called with %v", err, echo.ends)
+			t.Errorf("error %v, Ended called with %v; want nil and one ECONNRESET", err, echo.ends)
 		}
 	})
 	t.Run("full buffers", func(t *testing.T) {
@@ -127,7 +127,8 @@
 			t.Fatal(err)
 		}
 		if err := <-done; err != nil || !slices.Equal(echo.ends, []error{ErrBuffersFull}) || loop.bufferedBytes != 0 {
-			t.Errorf("error %v, Ended called with %v, %d bytes are still buffered", err, echo.ends, loop.bufferedBytes)
+			t.Errorf("error %v, Ended called with %v, %d bytes are still buffered; want nil, one ErrBuffersFull and 0",
+				err, echo.ends, loop.bufferedBytes)
 		}
 	})
 }
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -68,10 +68,10 @@
 		dialTCP(t, listener.Addr())
 	}
 	if listener.AcceptPending(); accepted != maxAcceptsPerRound {
-		t.Errorf("%d connections accepted in one round", accepted)
+		t.Errorf("%d connections accepted in one round, want %d", accepted, maxAcceptsPerRound)
 	}
 	if listener.AcceptAll(); accepted != clients {
-		t.Errorf("%d of %d connections accepted before the close", accepted, clients)
+		t.Errorf("%d connections accepted before the close, want %d", accepted, clients)
 	}
 	listener.Close()
 	listener.AcceptAll() // must have no effect on a closed listener
--- a/internal/transport/codec_test.go
+++ b/internal/transport/codec_test.go
@@ -107,8 +107,8 @@
 	return len(data) + SealOverhead
 }
 
-// The sizes with which package membership fills datagrams are upper bounds of the encoded sizes. Otherwise a datagram
-// could be too large to send.
+// Package membership fills datagrams according to DatagramOverhead, Rumor.Size and Record.Size. These must be upper bounds
+// of the encoded sizes. Otherwise a datagram could be too large to send.
 func TestEstimatedSizesAreUpperBounds(t *testing.T) {
 	const maxID = ^uint64(0)
 	longName := strings.Repeat("x", membership.MaxNameBytes)
@@ -148,7 +148,7 @@
 	}
 	sync.Records = []membership.Record{record, record}
 	if size := sealedSize(t, sync); size > membership.MaxDatagramBytes {
-		t.Errorf("a sync message has %d bytes, more than MaxDatagramBytes", size)
+		t.Errorf("a sync message has %d bytes, want at most %d", size, membership.MaxDatagramBytes)
 	}
 }
 
--- a/internal/transport/drop.go
+++ b/internal/transport/drop.go
@@ -24,7 +24,7 @@
 	ErrDisallowedNetwork = errors.New("source address is outside the allowed networks")
 )
 
-// dropLogIntervalMs is the least time between two log messages about dropped datagrams. All of them are counted.
+// dropLogIntervalMs is the minimum time between two log messages about dropped datagrams. All of them are counted.
 const dropLogIntervalMs = 1000.0
 
 const reasonMalformed = "malformed"
--- a/internal/transport/seal.go
+++ b/internal/transport/seal.go
@@ -32,7 +32,7 @@
 
 	// SealOverhead is the number of bytes that sealing adds to a body.
 	SealOverhead = headerSize + macSize
-	// MinKeyBytes is the least length of a key in bytes.
+	// MinKeyBytes is the minimum length of a key in bytes.
 	MinKeyBytes = 16
 )
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -170,7 +170,7 @@
 }
 
 // Step steps the view if there are events or a step is due, and executes the actions that the view returns. It is called
-// once in each iteration of the event loop.
+// once in each round of the event loop.
 func (t *Transport) Step() {
 	now := t.loop.Clock.Now()
 	if len(t.events) == 0 && t.wakeTimer != nil && now < t.view.Wake() {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -40,7 +40,7 @@
 	return Config{Name: name, FleetName: "fleet", Listen: "127.0.0.1:0", Keys: [][]byte{[]byte(testKey)}, RandomSeed: 1}
 }
 
-// runUntil runs a loop and steps a transport until a condition holds, for maxRounds iterations at most.
+// runUntil runs a loop and steps a transport until a condition holds, for maxRounds rounds of the loop at most.
 func runUntil(t *testing.T, loop *eventloop.Loop, transport *Transport, holds func() bool) {
 	t.Helper()
 	const maxRounds = 500
@@ -54,7 +54,7 @@
 		}
 	})
 	if err != nil || !holds() {
-		t.Fatalf("the condition does not hold after %d iterations of the loop, error %v", rounds, err)
+		t.Fatalf("the condition does not hold after %d rounds of the loop, error %v", rounds, err)
 	}
 }
 
