--- a/internal/eventloop/buffers.go
+++ b/internal/eventloop/buffers.go
@@ -7,10 +7,10 @@
 // program's memory.
 var ErrBuffersFull = errors.New("the buffers of all connections together are full")
 
-// BuffersHalfFull returns whether the buffers of all connections together are more than half full.
+// BuffersHalfFull reports whether the buffers of all connections together are more than half full.
 func (l *Loop) BuffersHalfFull() bool { return !l.hasBufferSpace(l.MaxBufferedBytes / 2) }
 
-// hasBufferSpace returns whether size more bytes may be buffered.
+// hasBufferSpace reports whether size more bytes may be buffered.
 func (l *Loop) hasBufferSpace(size int) bool {
 	return l.MaxBufferedBytes == 0 || l.bufferedBytes+size <= l.MaxBufferedBytes
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -72,7 +72,7 @@
 // SetHandler sets the handler that receives the callbacks.
 func (c *Conn) SetHandler(handler Handler) { c.handler = handler }
 
-// IsOpen returns whether the connection can still be written to.
+// IsOpen reports whether the connection can still be written to.
 func (c *Conn) IsOpen() bool { return !c.closed && !c.failed }
 
 // Close closes the connection at once. No callback follows.
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -79,7 +79,7 @@
 // Now returns the time in milliseconds.
 func (c *Core) Now() float64 { return c.timers.Clock.Now() }
 
-// Ready returns whether requests can be served, that is, whether there is an eligible host whose last connection attempt
+// Ready reports whether requests can be served, that is, whether there is an eligible host whose last connection attempt
 // didn't fail. A host that was never dialed counts as reachable.
 func (c *Core) Ready() bool {
 	for _, h := range c.hosts {
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -73,7 +73,7 @@
 	h.dialIfNeeded()
 }
 
-// drainGraceOver returns whether the drain grace period of a draining, gone or excluded host is over, so that no command
+// drainGraceOver reports whether the drain grace period of a draining, gone or excluded host is over, so that no command
 // may be sent to it. The router checks that when it starts an attempt. This second check covers a connection that is
 // established later. If Settings.UseUnlistedHosts is set, only an exclusion starts the grace period of a host that is gone.
 func (h *host) drainGraceOver() bool {
--- a/internal/proxy/exclusion.go
+++ b/internal/proxy/exclusion.go
@@ -36,7 +36,7 @@
 // must not change the map.
 func (c *Core) Exclusions() map[string]float64 { return c.exclusions }
 
-// knowsHost returns whether a host is in the endpoint list or excluded.
+// knowsHost reports whether a host is in the endpoint list or excluded.
 func (c *Core) knowsHost(id string) bool {
 	_, excluded := c.exclusions[id]
 	return excluded || c.hosts[id] != nil
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -28,13 +28,13 @@
 	connectFailed   bool           // the last connection attempt to the host failed
 }
 
-// isEligible returns whether the host is listed as ready and not excluded by an operator.
+// isEligible reports whether the host is listed as ready and not excluded by an operator.
 func (h *host) isEligible() bool {
 	_, excluded := h.core.exclusions[h.ID]
 	return h.State == routing.StateReady && !excluded
 }
 
-// isRemovable returns whether the host has no connection and no attempt that waits for one.
+// isRemovable reports whether the host has no connection and no attempt that waits for one.
 func (h *host) isRemovable() bool { return h.openConns == 0 && len(h.waiting) == 0 }
 
 // sortedHosts returns all hosts ordered by ID, so that operations on several hosts process them in a fixed order.
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -78,7 +78,7 @@
 	h.waiting = slices.DeleteFunc(h.waiting, func(other *hostAttempt) bool { return other == attempt })
 }
 
-// needsConn returns whether more attempts wait than connections are idle or being dialed.
+// needsConn reports whether more attempts wait than connections are idle or being dialed.
 func (h *host) needsConn() bool { return len(h.dialing)+len(h.idle) < len(h.waiting) }
 
 // dialIfNeeded dials a connection for each waiting attempt that needs one. If Limits.MaxConns is reached, the attempts
--- a/internal/proxy/pooled_conn.go
+++ b/internal/proxy/pooled_conn.go
@@ -86,7 +86,7 @@
 	return slices.DeleteFunc(list, func(other *pooledConn) bool { return other == conn })
 }
 
-// idleLongerThan returns whether the connection became idle before another one, or at the same time with a lower host ID.
+// idleLongerThan reports whether the connection became idle before another one, or at the same time with a lower host ID.
 func (p *pooledConn) idleLongerThan(other *pooledConn) bool {
 	if p.idleSinceMs != other.idleSinceMs {
 		return p.idleSinceMs < other.idleSinceMs
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -5,7 +5,7 @@
 // ReplyCounts counts the final answers to the requests of one class, by result.
 type ReplyCounts struct {
 	Success  int `json:"success"`
-	Overload int `json:"overload"` // rejected
+	Overload int `json:"overload"` // rejected, including requests that Submit did not accept
 	Error    int `json:"error"`    // failed
 }
 
