--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -28,8 +28,8 @@
 }
 
 // deployments differ in the names and the number of classes, in whether writes have an idempotency key, whether endpoint
-// lists are pushed or polled, and whether there are tenants and health checks. Their grace periods and deadlines differ
-// by a factor of several.
+// lists are pushed or polled, and whether there are tenants and health checks. The grace period and most deadlines of the
+// first one are longer, up to four times.
 var deployments = []deployment{
 	{"keyed", "../../cmd/merlinjunction/testdata/platform/config.json", map[string]string{
 		"slow": "long", "write": "write", "td": "t=x,d", "pastgrace": "2100", "repeated": "T D C", "runs": "2"}},
@@ -46,13 +46,13 @@
 // Plays each pair of overlapping events, in both orders, with each deployment.
 func TestOverlappingEvents(t *testing.T) {
 	for _, d := range deployments {
-		t.Run(d.name, func(t *testing.T) { testkit.PlayScenariosWith(t, "testdata/crossings", d.variables, d.start) })
+		t.Run(d.name, func(t *testing.T) { testkit.PlayScenariosWith(t, "testdata/overlapping", d.variables, d.start) })
 	}
 }
 
 // The extended frontend must follow the same rules for overlapping events.
 func TestExtendedOverlappingEvents(t *testing.T) {
-	testkit.PlayScenarios(t, "testdata/crossingsextended", startSlowConnectExtended)
+	testkit.PlayScenarios(t, "testdata/overlappingextended", startSlowConnectExtended)
 }
 
 // A gateway at its limit of clients must close idle ones and keep serving.
