--- a/internal/faultsim/soak/client_message.go
+++ b/internal/faultsim/soak/client_message.go
@@ -22,14 +22,14 @@
 // unless an ErrorResponse was read: a fatal one is not followed by ReadyForQuery.
 func (c *client) readResult() (read result, err error) {
 	for {
-		kind, body, err := stubserver.ReadMessage(c.conn, maxMessageBody)
+		messageType, body, err := stubserver.ReadMessage(c.conn, maxMessageBody)
 		if err != nil {
 			if read.sqlstate != "" {
 				return read, nil
 			}
 			return read, fmt.Errorf("reading the gateway's answer: %w", err)
 		}
-		switch kind {
+		switch messageType {
 		case pg.MsgReadyForQuery:
 			return read, nil
 		case pg.MsgCommandComplete:
--- a/internal/faultsim/soak/host_session.go
+++ b/internal/faultsim/soak/host_session.go
@@ -23,8 +23,8 @@
 
 // message is one message that the gateway sent.
 type message struct {
-	kind byte
-	body []byte
+	messageType byte
+	body        []byte
 }
 
 // hostSession is one connection of the gateway to a host. A separate goroutine reads the messages, so that the session
@@ -71,12 +71,12 @@
 func (s *hostSession) read(stop <-chan struct{}) {
 	defer close(s.ended)
 	for {
-		kind, body, err := stubserver.ReadMessage(s.conn, maxMessageBody)
-		if err != nil || kind == pg.MsgTerminate {
+		messageType, body, err := stubserver.ReadMessage(s.conn, maxMessageBody)
+		if err != nil || messageType == pg.MsgTerminate {
 			return
 		}
 		select {
-		case s.messages <- message{kind, body}:
+		case s.messages <- message{messageType, body}:
 		case <-stop:
 			return
 		}
@@ -117,21 +117,21 @@
 // handle answers one message. It returns false if the connection must end.
 func (s *hostSession) handle(received message) bool {
 	switch {
-	case received.kind == pg.MsgSync:
+	case received.messageType == pg.MsgSync:
 		return s.sendReady()
 	case s.skipToSync:
-	case received.kind == pg.MsgQuery:
+	case received.messageType == pg.MsgQuery:
 		s.statement.ReadQuery(received.body)
 		s.simple = true
 		return s.execute() && s.sendReady()
-	case received.kind == pg.MsgParse:
+	case received.messageType == pg.MsgParse:
 		s.statement.ReadParse(received.body)
 		s.simple = false
 		s.out = pg.AppendMessage(s.out, pg.MsgParseComplete)
-	case received.kind == pg.MsgBind:
+	case received.messageType == pg.MsgBind:
 		s.statement.ReadBind(received.body)
 		s.out = pg.AppendMessage(s.out, pg.MsgBindComplete)
-	case received.kind == pg.MsgExecute:
+	case received.messageType == pg.MsgExecute:
 		return s.execute()
 	}
 	return true
--- a/internal/protocol/pg/answer.go
+++ b/internal/protocol/pg/answer.go
@@ -10,11 +10,11 @@
 func MessageTypes(answer []byte) string {
 	var types []byte
 	for len(answer) > 0 {
-		kind, _, size, err := SplitMessage(answer, maxAnswerBytes)
+		messageType, _, size, err := SplitMessage(answer, maxAnswerBytes)
 		if err != nil || size == 0 {
 			return "?"
 		}
-		types, answer = append(types, kind), answer[size:]
+		types, answer = append(types, messageType), answer[size:]
 	}
 	return string(types)
 }
@@ -33,8 +33,8 @@
 
 // IsQueryResult reports whether a message type occurs in the result of a simple query with rows: RowDescription,
 // DataRow or CommandComplete.
-func IsQueryResult(kind byte) bool {
-	return kind == MsgRowDescription || kind == MsgDataRow || kind == MsgCommandComplete
+func IsQueryResult(messageType byte) bool {
+	return messageType == MsgRowDescription || messageType == MsgDataRow || messageType == MsgCommandComplete
 }
 
 // outcomeOf returns the outcome of an attempt from the SQLSTATE of its answer. The SQLSTATE is "" if the attempt succeeded.
--- a/internal/protocol/pg/client.go
+++ b/internal/protocol/pg/client.go
@@ -72,8 +72,8 @@
 
 // FatalUnknownMessage sends a fatal error response about a message type that the protocol doesn't define, and closes the
 // connection.
-func (c *Client) FatalUnknownMessage(kind byte) {
-	c.Fatal(StateProtocol, fmt.Sprintf("unknown message type %q", kind))
+func (c *Client) FatalUnknownMessage(messageType byte) {
+	c.Fatal(StateProtocol, fmt.Sprintf("unknown message type %q", messageType))
 }
 
 // Abort closes the connection at once, in the middle of an answer that can't be completed.
@@ -207,21 +207,21 @@
 	if len(input) == 0 || !c.session.Accepts(input[0]) {
 		return false
 	}
-	kind, body, size, err := SplitMessage(input, MaxMessage)
+	messageType, body, size, err := SplitMessage(input, MaxMessage)
 	switch {
 	case err != nil:
 		c.handleInvalidMessage(err)
 		return false
 	case size == 0:
 		return false
-	case kind == MsgTerminate:
+	case messageType == MsgTerminate:
 		c.close()
 		return false
 	}
 	c.lastActiveMs = c.pool.Loop.Clock.Now()
 	c.messageDueSinceMs = 0
 	c.sentMessage = true
-	c.session.HandleMessage(kind, body)
+	c.session.HandleMessage(messageType, body)
 	if c.conn.IsOpen() {
 		c.conn.Consume(size)
 	}
--- a/internal/protocol/pg/command.go
+++ b/internal/protocol/pg/command.go
@@ -6,7 +6,7 @@
 	// AppendTo appends the command's messages. timeLeftMs is how long the gateway waits for the answer.
 	AppendTo(buf []byte, timeLeftMs float64) []byte
 	// Forwards reports whether messages of this type in the host's answer are passed on to the sender of the command.
-	Forwards(kind byte) bool
+	Forwards(messageType byte) bool
 	// IsComplete reports whether the forwarded messages are one complete answer to this command.
 	IsComplete(answer []byte) bool
 }
--- a/internal/protocol/pg/fuzz_test.go
+++ b/internal/protocol/pg/fuzz_test.go
@@ -38,24 +38,24 @@
 		f.Add(seed, uint16(6))
 	}
 	f.Fuzz(func(t *testing.T, input []byte, cut uint16) {
-		kind, body, size, err := SplitMessage(input, MaxMessage)
+		messageType, body, size, err := SplitMessage(input, MaxMessage)
 		if err != nil || size == 0 {
 			return
 		}
 		if size > len(input) || len(body) != size-headerSize {
 			t.Fatalf("message of %d bytes with a body of %d bytes in an input of %d bytes", size, len(body), len(input))
 		}
-		if isWellFormed(kind, body) && kind == MsgErrorResponse && len(sqlStateOf(body)) != sqlStateLen {
+		if isWellFormed(messageType, body) && messageType == MsgErrorResponse && len(sqlStateOf(body)) != sqlStateLen {
 			t.Errorf("an ErrorResponse without an SQLSTATE is well-formed: %q", body)
 		}
-		if kind != MsgDataRow || len(body) < rowHeaderSize-headerSize {
+		if messageType != MsgDataRow || len(body) < rowHeaderSize-headerSize {
 			return
 		}
 		validator := rowValidator{columnsLeft: NewFieldReader(body).Int16(), skip: rowHeaderSize}
 		at := int(cut) % size
 		validator.add(input[:at])
 		validator.add(input[at:size])
-		if validator.complete() != isWellFormed(kind, body) {
+		if validator.complete() != isWellFormed(messageType, body) {
 			t.Errorf("row split at byte %d: complete = %v, unlike isWellFormed of the whole row %q", at, validator.complete(), body)
 		}
 	})
--- a/internal/protocol/pg/health_check.go
+++ b/internal/protocol/pg/health_check.go
@@ -30,7 +30,7 @@
 }
 
 // Forwards accepts the messages of a query result, which ParseLoadReport parses.
-func (LoadReportQuery) Forwards(kind byte) bool { return IsQueryResult(kind) }
+func (LoadReportQuery) Forwards(messageType byte) bool { return IsQueryResult(messageType) }
 
 // IsComplete requires a result with one row.
 func (LoadReportQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "TDC" }
@@ -43,7 +43,7 @@
 func (EmptyQuery) AppendTo(buf []byte, _ float64) []byte { return AppendStrings(buf, MsgQuery, "") }
 
 // Forwards accepts the answer to an empty query.
-func (EmptyQuery) Forwards(kind byte) bool { return kind == MsgEmptyQueryResponse }
+func (EmptyQuery) Forwards(messageType byte) bool { return messageType == MsgEmptyQueryResponse }
 
 // IsComplete requires the answer to an empty query.
 func (EmptyQuery) IsComplete(answer []byte) bool { return MessageTypes(answer) == "I" }
--- a/internal/protocol/pg/host_conn.go
+++ b/internal/protocol/pg/host_conn.go
@@ -119,14 +119,14 @@
 	if maxLength == 0 {
 		return false, errInvalidAnswer
 	}
-	kind, body, size, err := SplitMessage(c.conn.In(), maxLength)
+	messageType, body, size, err := SplitMessage(c.conn.In(), maxLength)
 	if err != nil {
 		return false, err
 	}
 	if size == 0 {
 		return false, nil
 	}
-	readyForQuery, err := c.handleMessage(kind, body, c.conn.In()[:size])
+	readyForQuery, err := c.handleMessage(messageType, body, c.conn.In()[:size])
 	if err != nil {
 		return false, err
 	}
@@ -141,11 +141,11 @@
 }
 
 // handleMessage handles one message. raw is the whole message with its header. It returns true for ReadyForQuery.
-func (c *hostConn) handleMessage(kind byte, body, raw []byte) (readyForQuery bool, err error) {
-	if !isWellFormed(kind, body) {
+func (c *hostConn) handleMessage(messageType byte, body, raw []byte) (readyForQuery bool, err error) {
+	if !isWellFormed(messageType, body) {
 		return false, errInvalidAnswer
 	}
-	switch kind {
+	switch messageType {
 	case MsgReadyForQuery:
 		if c.established && c.command == nil {
 			return false, errUnsolicitedMessage
@@ -159,7 +159,7 @@
 	case MsgErrorResponse:
 		return false, c.handleError(body, raw)
 	}
-	return false, c.handleResult(kind, body, raw)
+	return false, c.handleResult(messageType, body, raw)
 }
 
 // handleParameterStatus reads the host's role or position from a parameter. A position that can't be parsed is ignored.
@@ -198,20 +198,20 @@
 }
 
 // handleResult handles a message that is part of the startup or of a command's result.
-func (c *hostConn) handleResult(kind byte, body, raw []byte) error {
+func (c *hostConn) handleResult(messageType byte, body, raw []byte) error {
 	switch {
 	case !c.established:
-		if kind == MsgAuthentication && NewFieldReader(body).Int32() != authenticationOK {
+		if messageType == MsgAuthentication && NewFieldReader(body).Int32() != authenticationOK {
 			return errAuthenticationRequested
 		}
 	case c.command == nil:
 		return errUnsolicitedMessage
-	case c.command.Forwards(kind):
+	case c.command.Forwards(messageType):
 		if len(c.response.Body)+len(raw) > maxAnswerBytes {
 			return ErrTooLarge
 		}
 		c.response.Body = append(c.response.Body, raw...)
-	case kind != MsgParseComplete && kind != MsgBindComplete:
+	case messageType != MsgParseComplete && messageType != MsgBindComplete:
 		return errInvalidAnswer
 	}
 	return nil
--- a/internal/protocol/pg/host_message.go
+++ b/internal/protocol/pg/host_message.go
@@ -15,8 +15,8 @@
 // maxHostMessageLength returns the largest accepted length field of a message from a host, by the message's type, or 0
 // for a type that no host may send to the gateway. The length is checked as soon as the header has arrived, so that the
 // gateway never waits for a message of gigabytes.
-func maxHostMessageLength(kind byte) int {
-	switch kind {
+func maxHostMessageLength(messageType byte) int {
+	switch messageType {
 	case MsgReadyForQuery, MsgParseComplete, MsgBindComplete, MsgCloseComplete, MsgNoData, MsgEmptyQueryResponse,
 		MsgPortalSuspended:
 		return maxShortMessageLength
@@ -31,9 +31,9 @@
 }
 
 // isWellFormed reports whether the body of a host's message matches its type.
-func isWellFormed(kind byte, body []byte) bool {
+func isWellFormed(messageType byte, body []byte) bool {
 	fields := NewFieldReader(body)
-	switch kind {
+	switch messageType {
 	case MsgReadyForQuery:
 		return len(body) == 1 && isTransactionStatus(body[0])
 	case MsgParameterStatus:
@@ -47,7 +47,7 @@
 		for field := fields.Byte(); field != 0; field = fields.Byte() {
 			fields.Text()
 		}
-		return fields.AtEnd() && (kind == MsgNoticeResponse || len(sqlStateOf(body)) == sqlStateLen)
+		return fields.AtEnd() && (messageType == MsgNoticeResponse || len(sqlStateOf(body)) == sqlStateLen)
 	case MsgRowDescription:
 		for range fields.Int16() {
 			fields.Text()
--- a/internal/protocol/pg/host_message_test.go
+++ b/internal/protocol/pg/host_message_test.go
@@ -17,9 +17,9 @@
 			t.Errorf("%q: isWellFormed = %v, want %v", text, !want, want)
 		}
 	}
-	for _, kind := range []byte("x?q\x00QPF") {
-		if maxHostMessageLength(kind) != 0 {
-			t.Errorf("message type %q is accepted from a host", kind)
+	for _, messageType := range []byte("x?q\x00QPF") {
+		if maxHostMessageLength(messageType) != 0 {
+			t.Errorf("message type %q is accepted from a host", messageType)
 		}
 	}
 }
--- a/internal/protocol/pg/message.go
+++ b/internal/protocol/pg/message.go
@@ -65,7 +65,7 @@
 // SplitMessage returns the type, the body and the size, including the header, of the first message in buf. The size is 0
 // while the message is incomplete. The error is ErrTooLarge if the length field exceeds maxLength, and ErrMalformed if it
 // is smaller than the field's own size.
-func SplitMessage(buf []byte, maxLength int) (kind byte, body []byte, size int, err error) {
+func SplitMessage(buf []byte, maxLength int) (messageType byte, body []byte, size int, err error) {
 	if len(buf) < headerSize {
 		return 0, nil, 0, nil
 	}
@@ -82,10 +82,10 @@
 }
 
 // BeginMessage appends a message's header with an unset length field, which starts at lengthOffset. EndMessage sets
-// the length. The kind 0 is for a startup message, which has no type byte.
-func BeginMessage(buf []byte, kind byte) (out []byte, lengthOffset int) {
-	if kind != 0 {
-		buf = append(buf, kind)
+// the length. A messageType of 0 stands for a startup message, which has no type byte.
+func BeginMessage(buf []byte, messageType byte) (out []byte, lengthOffset int) {
+	if messageType != 0 {
+		buf = append(buf, messageType)
 	}
 	return append(buf, 0, 0, 0, 0), len(buf)
 }
@@ -97,14 +97,14 @@
 }
 
 // AppendMessage appends a message with the given type and body.
-func AppendMessage(buf []byte, kind byte, body ...byte) []byte {
-	buf, lengthOffset := BeginMessage(buf, kind)
+func AppendMessage(buf []byte, messageType byte, body ...byte) []byte {
+	buf, lengthOffset := BeginMessage(buf, messageType)
 	return EndMessage(append(buf, body...), lengthOffset)
 }
 
 // AppendStrings appends a message whose body is a list of zero-terminated strings.
-func AppendStrings(buf []byte, kind byte, texts ...string) []byte {
-	buf, lengthOffset := BeginMessage(buf, kind)
+func AppendStrings(buf []byte, messageType byte, texts ...string) []byte {
+	buf, lengthOffset := BeginMessage(buf, messageType)
 	for _, text := range texts {
 		buf = appendString(buf, text)
 	}
--- a/internal/server/fuzz_test.go
+++ b/internal/server/fuzz_test.go
@@ -55,8 +55,8 @@
 func framed(input []byte) []byte {
 	var out []byte
 	for len(input) > 2 {
-		kind, size := input[0], min(int(input[1]), len(input)-2)
-		out = pg.AppendMessage(out, kind, input[2:2+size]...)
+		messageType, size := input[0], min(int(input[1]), len(input)-2)
+		out = pg.AppendMessage(out, messageType, input[2:2+size]...)
 		input = input[2+size:]
 	}
 	return out
@@ -66,12 +66,12 @@
 func unframed(messages []byte) []byte {
 	var out []byte
 	for len(messages) > 0 {
-		kind, body, size, err := pg.SplitMessage(messages, pg.MaxMessage)
+		messageType, body, size, err := pg.SplitMessage(messages, pg.MaxMessage)
 		if err != nil || size == 0 {
 			break
 		}
 		body = body[:min(len(body), 255)]
-		out = append(append(out, kind, byte(len(body))), body...)
+		out = append(append(out, messageType, byte(len(body))), body...)
 		messages = messages[size:]
 	}
 	return out
--- a/internal/stubserver/message.go
+++ b/internal/stubserver/message.go
@@ -30,7 +30,7 @@
 
 // ReadMessage reads one message of the PostgreSQL wire protocol. It returns an error if reading fails, the length field
 // is invalid or the body is longer than maxBody bytes.
-func ReadMessage(r io.Reader, maxBody int) (kind byte, body []byte, err error) {
+func ReadMessage(r io.Reader, maxBody int) (messageType byte, body []byte, err error) {
 	var header [messageHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
--- a/internal/testkit/client_message.go
+++ b/internal/testkit/client_message.go
@@ -128,12 +128,12 @@
 // and NoticeResponse. At the end of the connection it returns io.EOF, or io.ErrUnexpectedEOF in the middle of a message.
 func ReadAnswer(r io.Reader) (string, error) {
 	for {
-		kind, body, err := stubserver.ReadMessage(r, maxMessageBody)
+		messageType, body, err := stubserver.ReadMessage(r, maxMessageBody)
 		if err != nil {
 			return "", err
 		}
 		fields := pg.NewFieldReader(body)
-		switch kind {
+		switch messageType {
 		case pg.MsgParameterStatus, pg.MsgNoticeResponse:
 			continue
 		case pg.MsgBackendKeyData:
@@ -146,7 +146,7 @@
 		case pg.MsgErrorResponse:
 			return errorName(fields), nil
 		}
-		return string(kind), nil
+		return string(messageType), nil
 	}
 }
 
--- a/internal/testkit/host.go
+++ b/internal/testkit/host.go
@@ -57,8 +57,8 @@
 	session := &hostSession{host: h, conn: conn, out: out}
 	session.sendReady()
 	for {
-		kind, body, err := stubserver.ReadMessage(conn, maxMessageBody)
-		if err != nil || kind == pg.MsgTerminate || !session.handle(kind, body) {
+		messageType, body, err := stubserver.ReadMessage(conn, maxMessageBody)
+		if err != nil || messageType == pg.MsgTerminate || !session.handle(messageType, body) {
 			return
 		}
 	}
@@ -108,26 +108,26 @@
 }
 
 // handle handles one message. It returns false if the connection has to end.
-func (s *hostSession) handle(kind byte, body []byte) bool {
+func (s *hostSession) handle(messageType byte, body []byte) bool {
 	switch {
-	case kind == pg.MsgSync:
+	case messageType == pg.MsgSync:
 		s.skipToSync = false
 		s.sendReady()
 	case s.skipToSync:
-	case kind == pg.MsgQuery:
+	case messageType == pg.MsgQuery:
 		return s.query(body)
-	case kind == pg.MsgParse:
+	case messageType == pg.MsgParse:
 		s.statement.ReadParse(body)
 		if strings.Contains(s.statement.Text, "syntax") {
 			return s.fail(pg.StateSyntax)
 		}
 		s.out = pg.AppendMessage(s.out, pg.MsgParseComplete)
-	case kind == pg.MsgBind:
+	case messageType == pg.MsgBind:
 		s.statement.ReadBind(body)
 		s.out = pg.AppendMessage(s.out, pg.MsgBindComplete)
-	case kind == pg.MsgDescribe:
+	case messageType == pg.MsgDescribe:
 		s.describe()
-	case kind == pg.MsgExecute:
+	case messageType == pg.MsgExecute:
 		return s.execute()
 	default:
 		return s.fail(pg.StateProtocol)
