--- a/internal/faultsim/emulate.go
+++ b/internal/faultsim/emulate.go
@@ -114,7 +114,7 @@
 // run schedules the starts of the gateways and the steps, processes all events and collects the result.
 func (em *Emulation) run(gateways int, steps []Step) {
 	em.schedulePlan(gateways, steps)
-	steadyBytesPerSecond := em.playEvents()
+	steadyBytesPerSecond := em.processEvents()
 	end := em.endMs()
 	em.now = end
 	em.oracle.Finish(end)
@@ -148,9 +148,9 @@
 	}
 }
 
-// playEvents processes the queue until the end of the experiment. It returns how many bytes per second the busiest gateway
-// sent up to the first fault.
-func (em *Emulation) playEvents() (steadyBytesPerSecond float64) {
+// processEvents processes the queue until the end of the experiment. It returns how many bytes per second the busiest
+// gateway sent up to the first fault.
+func (em *Emulation) processEvents() (steadyBytesPerSecond float64) {
 	end := em.endMs()
 	steadyUntil := min(em.firstFaultMs, end)
 	nextSample := em.now + sampleIntervalMs
@@ -189,7 +189,7 @@
 	}
 	busiest := 0.0
 	for _, gateway := range em.gateways {
-		busiest = max(busiest, (float64(gateway.sentBytes)-gateway.sentBytesAtStart)/untilMs*1000)
+		busiest = max(busiest, (float64(gateway.sentBytes)-gateway.sentBytesAtSecondZero)/untilMs*1000)
 	}
 	return busiest
 }
@@ -262,7 +262,7 @@
 		sum += rate
 		busiest = max(busiest, rate)
 		if em.now <= 0 {
-			gateway.sentBytesAtStart = float64(gateway.sentBytes)
+			gateway.sentBytesAtSecondZero = float64(gateway.sentBytes)
 		}
 	}
 	traffic := trafficSample{bytesPerSecond: sum, busiestBytesPerSecond: busiest}
--- a/internal/faultsim/emulate_steps.go
+++ b/internal/faultsim/emulate_steps.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// setPaused pauses a gateway's process, or resumes it, which passes it the datagrams that arrived during the pause.
+// setPaused pauses or resumes a gateway's process. A resumed process receives the datagrams that arrived during the pause.
 func (em *Emulation) setPaused(gateway *emulatedGateway, paused bool) {
 	gateway.paused = paused
 	if !paused && gateway.node != nil {
--- a/internal/faultsim/emulated_gateway.go
+++ b/internal/faultsim/emulated_gateway.go
@@ -18,22 +18,23 @@
 	wakeToleranceMs = 1e-6
 )
 
-// emulatedGateway is one gateway in the emulator. It remains when its process ends, and can have several in turn.
+// emulatedGateway is one gateway of the emulated engine. It remains when its process ends, and can run several processes in
+// turn.
 type emulatedGateway struct {
-	index            int
-	name             string
-	address          netip.AddrPort
-	node             Node // nil while no process runs
-	generation       int  // number of processes started so far
-	paused           bool
-	inbox            []membership.Event // datagrams that arrived during the present pause
-	clockOffsetMs    float64            // offset of its clock from the emulation's time
-	wakeAt           float64            // time of its earliest wake-up in the queue; infinite: none
-	duplicate        bool               // it is a second process under the name of another gateway
-	messageVersion   uint8
-	sentBytes        int     // with IP and UDP headers
-	sampledBytes     int     // sentBytes at the last sample
-	sentBytesAtStart float64 // sentBytes at second 0
+	index                 int
+	name                  string
+	address               netip.AddrPort
+	node                  Node // nil while no process runs
+	generation            int  // number of processes started so far
+	paused                bool
+	inbox                 []membership.Event // datagrams that arrived during the present pause
+	clockOffsetMs         float64            // offset of its clock from the emulation's time
+	wakeAt                float64            // time of its earliest wake-up in the queue; infinite: none
+	duplicate             bool               // it is a second process under the name of another gateway
+	messageVersion        uint8
+	sentBytes             int     // with IP and UDP headers
+	sampledBytes          int     // sentBytes at the last sample
+	sentBytesAtSecondZero float64 // sentBytes at second 0
 }
 
 // addGateway adds a gateway, or a duplicate of one, without starting its process.
@@ -130,7 +131,7 @@
 	em.scheduleWake(gateway)
 }
 
-// memberChanged records that a node reports a changed belief of a member.
+// memberChanged records that a node reports a changed belief about a member.
 func (em *Emulation) memberChanged(gateway *emulatedGateway, change *membership.MemberChanged) {
 	em.trace(uint64(gateway.index), uint64(change.New), uint64(membership.IDOf(change.Member.Name)))
 	if gateway.duplicate {
--- a/internal/faultsim/event_queue.go
+++ b/internal/faultsim/event_queue.go
@@ -6,8 +6,8 @@
 	"merlinjunction/membership"
 )
 
-// scheduledEvent is an entry of the emulator's queue. It is a function call if call is set, a step of the plan if step is
-// set, a datagram for a gateway if message is set, or else a wake-up of a gateway.
+// scheduledEvent is an entry of the emulated engine's queue. It is a function call if call is set, a step of the plan if
+// step is set, a datagram for a gateway if message is set, or else a wake-up of a gateway.
 type scheduledEvent struct {
 	at         float64 // ms since second 0
 	order      uint64  // number of the event in the order of entry
--- a/internal/faultsim/experiment.go
+++ b/internal/faultsim/experiment.go
@@ -15,8 +15,8 @@
 	"merlinjunction/membership"
 )
 
-// Experiment is the content of an experiment file. Times are in seconds unless a name says ms. Second 0 is the end of
-// the fleet's settle period.
+// Experiment is the content of an experiment file, such as those below experiments/. Times are in seconds unless a name
+// says ms. Second 0 is the end of the fleet's settle period.
 type Experiment struct {
 	Path      string            `toml:"-"`
 	Name      string            `toml:"name"`
@@ -81,7 +81,7 @@
 	ReadMs                float64 `toml:"read_ms"` // mean processor time of a read; 4 by default
 	MaxConns              int     `toml:"conns"`   // connections that each host accepts; 1000 by default
 	SlowStartMs           float64 `toml:"cold_ms"` // time from a host's start to its full capacity; 10,000 by default
-	MaxFullListsPerSecond float64 `toml:"lists"`   // full endpoint lists that discovery sends; no limit by default
+	MaxFullListsPerSecond float64 `toml:"lists"`   // full endpoint lists that discovery sends per second; no limit by default
 }
 
 // Load describes the clients' load. It is open-loop: arrivals don't depend on answers.
--- a/internal/faultsim/fault.go
+++ b/internal/faultsim/fault.go
@@ -19,8 +19,8 @@
 	RestartDelay float64   `toml:"after"`   // FaultRestart, FaultRoll, FaultHostReplace: time from the end to the new start
 	StopMs       float64   `toml:"stop_ms"` // FaultStarve: length of each pause
 	RunMs        float64   `toml:"run_ms"`  // FaultStarve: time between two pauses
-	// StepMs is, for FaultClock, by how many ms the clock steps. For FaultHostSlow it is not a time, but the factor by
-	// which all work takes longer.
+	// For FaultClock, StepMs is the step of the clock in ms. For FaultHostSlow, it is not a time but the factor by which
+	// all work takes longer.
 	StepMs float64 `toml:"step_ms"`
 	// NetworkConditions are the network conditions of FaultConditions.
 	NetworkConditions
--- a/internal/faultsim/host_steps.go
+++ b/internal/faultsim/host_steps.go
@@ -97,13 +97,14 @@
 	return candidate
 }
 
-// startedBefore reports whether a host started before another one. The start time NaN is earlier than any other.
+// startedBefore reports whether a host started before another one. The start time NaN means long ago, and is earlier than
+// any other.
 func startedBefore(host, other *model.Host) bool {
 	return math.IsNaN(host.StartedAt) && !math.IsNaN(other.StartedAt) || host.StartedAt < other.StartedAt
 }
 
-// electPrimary makes another host of the group the primary if there is a candidate. It schedules a new
-// endpoint list in any case.
+// electPrimary makes another host of the group the primary if there is a candidate. It schedules the publication
+// of a new endpoint list in any case.
 func (s *requestSimulation) electPrimary(group *model.Group, excluded *model.Host) {
 	if candidate := s.primaryCandidate(group, excluded); candidate != nil {
 		group.SetPrimary(candidate)
--- a/internal/faultsim/load_generator.go
+++ b/internal/faultsim/load_generator.go
@@ -26,7 +26,7 @@
 type gatewayEndpoint struct {
 	address     string
 	process     string                     // identifies the process
-	interrupted func(since time.Time) bool // whether a step has killed, paused or resumed it since a time
+	interrupted func(since time.Time) bool // reports whether a step has killed, paused or resumed the process since a time
 }
 
 func newLoadGenerator(route func(session int) (gatewayEndpoint, bool)) *loadGenerator {
@@ -161,7 +161,7 @@
 	return fmt.Sprintf("SELECT v FROM setpoints WHERE greenhouse = '%s'", session), readDeadline
 }
 
-// sendRequest sends one sendRequest and counts its outcome. The latency is measured from the intended send time.
+// sendRequest sends one request of the load and counts its outcome. The latency is measured from the intended send time.
 func (g *loadGenerator) sendRequest(intended time.Time, arrival *arrival) {
 	session := fmt.Sprintf("s%d", arrival.session)
 	text, timeLimit := arrival.statement(session)
--- a/internal/faultsim/options.go
+++ b/internal/faultsim/options.go
@@ -62,7 +62,7 @@
 		zap.Bool("undo", step.Undo))
 }
 
-// logBelief logs that a gateway changed its belief of a member.
+// logBelief logs that a gateway changed its belief about a member.
 func (o *Options) logBelief(nowMs float64, gateway, member, state, reason string, details ...zap.Field) {
 	fields := []zap.Field{
 		zap.Float64("ms", nowMs),
--- a/internal/faultsim/oracle_measurements.go
+++ b/internal/faultsim/oracle_measurements.go
@@ -52,7 +52,7 @@
 }
 
 // detectionTimes collects the detection times of all crashes. A crash is left out if the gateway started again before any
-// gateway suspected it. If a crash was detected by all without a suspicion, its suspicion time is infinite.
+// gateway suspected it. The suspicion time of any other crash that no gateway suspected is infinite.
 func (o *Oracle) detectionTimes() (times detectionTimes) {
 	for _, crash := range o.crashes {
 		if math.IsNaN(crash.detectedMs) && math.IsNaN(crash.suspectedMs) {
--- a/internal/faultsim/plots.go
+++ b/internal/faultsim/plots.go
@@ -52,7 +52,7 @@
 		},
 	},
 	{
-		title: "False suspicions so far", xLabel: "s", yLabel: "accusations", xs: secondsOf,
+		title: "False suspicions so far", xLabel: "s", yLabel: "suspicions", xs: secondsOf,
 		curves: []curve{
 			{"false", func(r *Result) []float64 { return r.Series.FalseSuspicions }},
 		},
@@ -72,7 +72,7 @@
 	},
 }
 
-// drawPlots draws all charts as SVG, and for each report with loads of hosts a plot of them.
+// drawPlots draws all charts as SVG. For each report that contains the load of the hosts, it also draws that load.
 func drawPlots(reports []*Report) ([]template.HTML, error) {
 	var plots []template.HTML
 	for i := range charts {
--- a/internal/faultsim/process_log.go
+++ b/internal/faultsim/process_log.go
@@ -37,12 +37,12 @@
 	Partial   bool    `json:"partial"`
 }
 
-// lastOutputPath returns the path of the file that holds the last output line of a gateway that is not in the log format.
+// lastOutputPath returns the path of the file that holds the last line of a gateway's output that is not in the log format.
 func (r *processRun) lastOutputPath(gateway *gatewayProcess) string {
 	return filepath.Join(r.dir, gateway.name+".last")
 }
 
-// lastOutput returns the last output line of a gateway that is not in the log format, such as an error at startup. It is
+// lastOutput returns the last line of a gateway's output that is not in the log format, such as an error at startup. It is
 // empty if the gateway wrote only log lines.
 func (r *processRun) lastOutput(gateway *gatewayProcess) string {
 	text, _ := os.ReadFile(r.lastOutputPath(gateway)) // the file is missing if the gateway wrote only log lines
--- a/internal/faultsim/process_measurements.go
+++ b/internal/faultsim/process_measurements.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// finish collects the measurements and evaluates the experiment's expectations.
+// finish checks for crashed gateways, collects the measurements and evaluates the experiment's expectations.
 func (r *processRun) finish() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/faultsim/processes_test.go
+++ b/internal/faultsim/processes_test.go
@@ -93,9 +93,9 @@
 	return experiment
 }
 
-// Injects each kind of fault once into real processes. Bounds in milliseconds are four times those of the experiment files,
-// since other work on the machine can delay the processes; `faultsim run --engine processes` applies the files' own bounds.
-// Bounds on counts of forbidden events are the files' own.
+// Injects each kind of fault that the processes engine supports into real processes. Bounds in milliseconds are four times
+// those of the experiment files, since other work on the machine can delay the processes. `faultsim run --engine processes`
+// applies the files' own bounds. Bounds on counts of forbidden events are the files' own in this test, too.
 func TestExperimentsProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes two minutes")
--- a/internal/faultsim/request_simulation.go
+++ b/internal/faultsim/request_simulation.go
@@ -24,8 +24,8 @@
 	publishPending bool           // the publication of a new endpoint list is scheduled
 
 	counts         RequestCounts
-	seconds        map[int]*secondCounts // by second
-	closedCounters model.Counters        // at the end of the last second
+	seconds        map[int]*secondCounts // counts of the requests, by the second in which they were sent
+	closedCounters model.Counters        // counters at the end of the last complete second
 	steady         steadyState
 	peaks          *peakCounts // nil until a second ends after the first fault
 }
--- a/internal/faultsim/selection_test.go
+++ b/internal/faultsim/selection_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// A host has SlowStart.MinShare of its capacity at its start, and a share that grows linearly to 1 at the end of the
-// slow-start window.
+// A host has SlowStart.MinShare of its capacity up to its start, and from then on a share that grows linearly to 1 at the
+// end of the slow-start window.
 func TestSlowStartCapacity(t *testing.T) {
 	slowStart := &model.SlowStart{MinShare: 0.2, WindowMs: 10_000}
 	for _, test := range []struct{ started, now, want float64 }{
--- a/internal/faultsim/stub_hosts.go
+++ b/internal/faultsim/stub_hosts.go
@@ -122,7 +122,7 @@
 	s.publish()
 }
 
-// publish increases the revision of the endpoint list, which ends the waiting watches. The caller holds the lock.
+// publish increases the revision of the endpoint list, so that waiting watches are answered. The caller holds the lock.
 func (s *StubHosts) publish() {
 	s.revision++
 	close(s.changed)
