--- a/internal/faultsim/plots.go
+++ b/internal/faultsim/plots.go
@@ -52,7 +52,7 @@
 		},
 	},
 	{
-		title: "False suspicions so far", xLabel: "s", yLabel: "suspicions", xs: secondsOf,
+		title: "False suspicions so far", xLabel: "s", yLabel: "accusations", xs: secondsOf,
 		curves: []curve{
 			{"false", func(r *Result) []float64 { return r.Series.FalseSuspicions }},
 		},
