--- a/internal/faultsim/plots.go
+++ b/internal/faultsim/plots.go
@@ -72,7 +72,7 @@
 	},
 }
 
-// drawPlots draws all charts as SVG, and for each report with loads of hosts a plot of them.
+// drawPlots draws all charts as SVG. For each report that contains the load of the hosts, it also draws that load.
 func drawPlots(reports []*Report) ([]template.HTML, error) {
 	var plots []template.HTML
 	for i := range charts {
