--- a/internal/faultsim/load_generator.go
+++ b/internal/faultsim/load_generator.go
@@ -134,11 +134,11 @@
 // readResult reads an answer up to ReadyForQuery. The end of the connection before that is an error.
 func readResult(conn net.Conn) (result queryResult, err error) {
 	for {
-		kind, body, err := stubserver.ReadMessage(conn, maxMessageBody)
+		messageType, body, err := stubserver.ReadMessage(conn, maxMessageBody)
 		if err != nil {
 			return result, err
 		}
-		switch kind {
+		switch messageType {
 		case pg.MsgReadyForQuery:
 			return result, nil
 		case pg.MsgCommandComplete:
--- a/internal/faultsim/stub_session.go
+++ b/internal/faultsim/stub_session.go
@@ -26,11 +26,11 @@
 func (s *hostSession) run() {
 	for s.sendReady() {
 		for {
-			kind, body, err := stubserver.ReadMessage(s.conn, maxMessageBody)
-			if err != nil || kind == pg.MsgTerminate {
+			messageType, body, err := stubserver.ReadMessage(s.conn, maxMessageBody)
+			if err != nil || messageType == pg.MsgTerminate {
 				return
 			}
-			if s.handle(kind, body) {
+			if s.handle(messageType, body) {
 				break
 			}
 		}
@@ -64,12 +64,12 @@
 }
 
 // handle processes one message and reports whether the answer is complete and has to be sent.
-func (s *hostSession) handle(kind byte, body []byte) bool {
+func (s *hostSession) handle(messageType byte, body []byte) bool {
 	switch {
-	case kind == pg.MsgSync:
+	case messageType == pg.MsgSync:
 		return true
 	case s.failed:
-	case kind == pg.MsgQuery:
+	case messageType == pg.MsgQuery:
 		s.statement.ReadQuery(body)
 		if s.statement.Text == "" {
 			s.out = pg.AppendMessage(s.out, pg.MsgEmptyQueryResponse)
@@ -77,13 +77,13 @@
 			s.execute(true)
 		}
 		return true
-	case kind == pg.MsgParse:
+	case messageType == pg.MsgParse:
 		s.statement.ReadParse(body)
 		s.out = pg.AppendMessage(s.out, pg.MsgParseComplete)
-	case kind == pg.MsgBind:
+	case messageType == pg.MsgBind:
 		s.statement.ReadBind(body)
 		s.out = pg.AppendMessage(s.out, pg.MsgBindComplete)
-	case kind == pg.MsgExecute:
+	case messageType == pg.MsgExecute:
 		s.execute(false)
 	}
 	return false
