--- a/internal/server/fleet_config.go
+++ b/internal/server/fleet_config.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"errors"
 	"net/netip"
 
 	"go4.org/netipx"
@@ -68,7 +67,7 @@
 		return invalidKey("name", "%q has %d bytes, expected 1 to %d for a gateway with [fleet]",
 			gateway, len(gateway), membership.MaxNameBytes)
 	case f.Name == "":
-		return &ConfigError{Key: "fleet.name", Err: errors.New("is missing")}
+		return invalidKey("fleet.name", "is missing")
 	case len(f.Zone) > membership.MaxZoneBytes:
 		return invalidKey("fleet.zone", "%q has %d bytes, expected at most %d", f.Zone, len(f.Zone), membership.MaxZoneBytes)
 	case f.MessageVersion < 0 || f.MessageVersion > membership.Version:
--- a/internal/server/operator_config.go
+++ b/internal/server/operator_config.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"errors"
 	"fmt"
 	"regexp"
 	"slices"
@@ -285,7 +284,7 @@
 		config.KnownHosts = append(config.KnownHosts, proxy.Host{Address: table.Address, Endpoint: endpoint})
 	}
 	if len(config.KnownHosts) == 0 && config.Discovery == "" {
-		return &ConfigError{Key: "host", Err: errors.New("expected a [[host]] or a discovery address, got neither")}
+		return invalidKey("host", "expected a [[host]] or a discovery address, got neither")
 	}
 	return nil
 }
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"fmt"
 	"os"
 	"runtime/debug"
 	"strconv"
@@ -40,10 +39,7 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < firstInheritedFD {
-		return &ConfigError{
-			Key: listenFDVariable,
-			Err: fmt.Errorf("%q is not a descriptor, expected a number of at least %d", text, firstInheritedFD),
-		}
+		return invalidKey(listenFDVariable, "%q is not a descriptor, expected a number of at least %d", text, firstInheritedFD)
 	}
 	c.ListenFD = fd
 	if c.StateDir = env("TMPDIR"); c.StateDir == "" {
