--- a/fleet/poll_policy_test.go
+++ b/fleet/poll_policy_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "merlinjunction/internal/testkit/seed" // uses the same seed in every run
+	_ "merlinjunction/internal/testkit/seed" // makes rapid draw the same cases in each run
 )
 
 // With pushed lists, the agent is polled at once, and again well within the drain grace period after any number of
--- a/internal/proxy/fixture_test.go
+++ b/internal/proxy/fixture_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"merlinjunction/internal/eventloop"
-	_ "merlinjunction/internal/testkit/seed" // fixes the seed of rapid's draws
+	_ "merlinjunction/internal/testkit/seed" // makes rapid draw the same cases in each run
 	"merlinjunction/routing"
 )
 
--- a/internal/transport/codec_test.go
+++ b/internal/transport/codec_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "merlinjunction/internal/testkit/seed" // uses the same seed in every run
+	_ "merlinjunction/internal/testkit/seed" // makes rapid draw the same cases in each run
 
 	"merlinjunction/membership"
 )
